--- a/deploy/start.py
+++ b/deploy/start.py
@@ -12,10 +12,10 @@
 
 gc.disable()
 
-from bronzekeel.entry.early_port import bound_early  # noqa: E402 (collection is off before it)
+from bronzekeel.entry.early_port import bind_early  # noqa: E402 (collection is off before it)
 
 
-early = bound_early(sys.argv)
+early = bind_early(sys.argv)
 
 from bronzekeel.platform.module_archive import use_archive  # noqa: E402 (the port is bound before)
 
--- a/src/bronzekeel/adapters/asyncio_loop.py
+++ b/src/bronzekeel/adapters/asyncio_loop.py
@@ -17,13 +17,13 @@
 
     def watch(self, sock: socket, mask: int, callback: SocketCallback) -> None:
         """Call `callback` with the events that `sock` is ready for."""
-        self.forget(sock)
+        self.unwatch(sock)
         if mask & EVENT_READ:
             self._loop.add_reader(sock, callback, EVENT_READ)
         if mask & EVENT_WRITE:
             self._loop.add_writer(sock, callback, EVENT_WRITE)
 
-    def forget(self, sock: socket) -> None:
+    def unwatch(self, sock: socket) -> None:
         """Stop to watch a socket; one that is not watched is fine."""
         self._loop.remove_reader(sock)
         self._loop.remove_writer(sock)
--- a/src/bronzekeel/adapters/peers.py
+++ b/src/bronzekeel/adapters/peers.py
@@ -31,7 +31,7 @@
 from bronzekeel.adapters.faults import CALL_FAULTS
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.messages import Heartbeat, HostEntry, Message
-from bronzekeel.entry.port_pair import BIND_TRIES, bind_pair
+from bronzekeel.entry.port_pair import MAX_BIND_ATTEMPTS, bind_pair
 from bronzekeel.wire import WireError, decode, encode, sent_bytes
 
 
@@ -167,7 +167,7 @@
     async def open(self, address: str, port: int) -> int:
         """Bind one port for calls and datagrams; return it."""
         loop: AbstractEventLoop = get_running_loop()
-        datagrams, calls = bind_pair(address, repeat(port, BIND_TRIES))
+        datagrams, calls = bind_pair(address, repeat(port, MAX_BIND_ATTEMPTS))
         transport, _ = await loop.create_datagram_endpoint(
             lambda: _Datagrams(self._take, self.counts),
             sock=datagrams,
--- a/src/bronzekeel/bench/connection_id_path.py
+++ b/src/bronzekeel/bench/connection_id_path.py
@@ -11,7 +11,7 @@
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.steering import ConnectionIdSteering
 from bronzekeel.entry.loop import Loop
-from bronzekeel.entry.packet_port import bound_packet_port
+from bronzekeel.entry.packet_port import bind_packet_port
 from bronzekeel.entry.packets import PacketSocket
 from bronzekeel.platform.packets import PlatformPackets
 from bronzekeel.standins.echo_packets import EchoSegment, build_echo
@@ -52,7 +52,7 @@
         self._loop = Loop()
         self._socket = PacketSocket(
             self._loop,
-            bound_packet_port((_LOOPBACK, 0)),
+            bind_packet_port((_LOOPBACK, 0)),
             PlatformPackets(0),
             steering,
             _refuse_fault,
@@ -74,7 +74,7 @@
 
     def take_batch(self) -> None:
         """Take the packets that wait."""
-        self._socket.take_batch(EVENT_READ)
+        self._socket.receive_batch(EVENT_READ)
 
     def close(self) -> None:
         """Free the socket."""
--- a/src/bronzekeel/demo/connection_ids.py
+++ b/src/bronzekeel/demo/connection_ids.py
@@ -121,7 +121,7 @@
         """Stop a balancer in the planned way: the fabric leaves it first."""
         running = self.running.pop(name)
         self.callers.balancers.pop(name)
-        running.balancer.loop.call_at(0, lambda: running.balancer.take(StopAsked()))
+        running.balancer.loop.call_at(0, lambda: running.balancer.handle(StopAsked()))
         await in_thread(running.thread.join)
         running.balancer.close()
 
--- a/src/bronzekeel/entry/caller_fields.py
+++ b/src/bronzekeel/entry/caller_fields.py
@@ -12,19 +12,22 @@
 )
 
 
-def encode_callers(word_by_service: Mapping[str, CallersWord]) -> dict[str, list[tuple[str, str]]]:
+def encode_callers(
+    report_by_service: Mapping[str, CallersWord],
+) -> dict[str, list[tuple[str, str]]]:
     """Return the field for words on callers; none while nothing is short."""
-    if not word_by_service:
+    if not report_by_service:
         return {}
-    words = [
-        (service, b64encode(pack_word(word)).decode()) for service, word in word_by_service.items()
+    encoded = [
+        (service, b64encode(pack_word(report)).decode())
+        for service, report in report_by_service.items()
     ]
-    return {'callers': words}
+    return {'callers': encoded}
 
 
 def decode_callers(fields: list[Any]) -> dict[str, CallersWord]:
     """Return the words of a field.  Raises ValueError."""
     return {
-        str(service): unpack_word(b64decode(word, validate=True))
-        for service, word in fields[:MOST_SERVICES]
+        str(service): unpack_word(b64decode(report, validate=True))
+        for service, report in fields[:MOST_SERVICES]
     }
--- a/src/bronzekeel/entry/count_fields.py
+++ b/src/bronzekeel/entry/count_fields.py
@@ -14,14 +14,14 @@
 _COUNT = Struct('!IBBH')
 
 #: Parts of a mean that are told.  Source: 1,023 means fit in two bytes.
-_PARTS = 64
+_PARTS_PER_MEAN = 64
 
 
-def encode_counts(told: ToldCounts) -> dict[str, str]:
+def encode_counts(report: ToldCounts) -> dict[str, str]:
     """Return counts as fields of a message; without pending requests their field is absent."""
-    fields = {'answers': _pack_counts(_HEAD.pack(told.told_ms), told.counts)}
-    if told.pending:
-        fields['pending'] = _pack_counts(b'', told.pending)
+    fields = {'answers': _encode_counts(_HEAD.pack(report.told_ms), report.counts)}
+    if report.pending:
+        fields['pending'] = _encode_counts(b'', report.pending)
     return fields
 
 
@@ -34,22 +34,22 @@
         raise ValueError(f'counts of answers are too short: {len(raw)} bytes')
     told_ms = _HEAD.unpack_from(raw)[0]
     pending = b64decode(str(fields.get('pending', '')), validate=True)
-    return ToldCounts(told_ms, _unpack_counts(raw[_HEAD.size :]), _unpack_counts(pending))
+    return ToldCounts(told_ms, _decode_counts(raw[_HEAD.size :]), _decode_counts(pending))
 
 
-def _pack_counts(head: bytes, counts: tuple[AnswerCount, ...]) -> str:
+def _encode_counts(head: bytes, counts: tuple[AnswerCount, ...]) -> str:
     packed = [head]
     for count in counts:
-        parts = round(count.means * _PARTS)
+        parts = round(count.means * _PARTS_PER_MEAN)
         packed.append(_COUNT.pack(count.number, count.start, count.answers, parts))
     return b64encode(b''.join(packed)).decode()
 
 
-def _unpack_counts(raw: bytes) -> tuple[AnswerCount, ...]:
+def _decode_counts(raw: bytes) -> tuple[AnswerCount, ...]:
     if len(raw) % _COUNT.size:
         raise ValueError(f'{len(raw)} bytes are no counts of answers')
     return tuple(
-        AnswerCount(number, start, answers, parts / _PARTS)
+        AnswerCount(number, start, answers, parts / _PARTS_PER_MEAN)
         for number, start, answers, parts in _COUNT.iter_unpack(raw)
         if answers
     )
--- a/src/bronzekeel/entry/daemon.py
+++ b/src/bronzekeel/entry/daemon.py
@@ -43,16 +43,17 @@
     UNAVAILABLE,
     Answer,
     HttpServer,
-    bound_stream,
+    bind_stream,
 )
 from bronzekeel.entry.decision_log import LineDecisionLog
+from bronzekeel.entry.initial_state import initial_state
 from bronzekeel.entry.lines import LineLog
 from bronzekeel.entry.loop import Loop
 from bronzekeel.entry.metrics import metrics_of
-from bronzekeel.entry.packet_port import bound_packet_port
+from bronzekeel.entry.packet_port import bind_packet_port
 from bronzekeel.entry.packets import PacketSocket
 from bronzekeel.entry.peers import PeerSockets
-from bronzekeel.entry.ports import PacketFormat, StoreCalls
+from bronzekeel.entry.ports import PacketFormat, StoreFormat
 from bronzekeel.entry.settings import (
     BROKEN_FLOWS,
     IMBALANCE,
@@ -60,7 +61,6 @@
     SettingsError,
     read_entry_settings,
 )
-from bronzekeel.entry.starting_state import starting_state
 
 
 _STDOUT = 1
@@ -71,7 +71,7 @@
 )
 
 #: Ticks between two looks at whether the settings file has changed.
-_SETTINGS_TICKS = 10
+_SETTINGS_CHECK_TICKS = 10
 
 
 class EntryBalancer:
@@ -81,7 +81,7 @@
         self,
         settings: EntrySettings,
         packet_format: PacketFormat,
-        store_calls: StoreCalls,
+        store_format: StoreFormat,
         stream: int = _STDOUT,
         packet_port: socket | None = None,
     ) -> None:
@@ -91,9 +91,9 @@
         """
         self.loop = Loop()
         me = PeerAddress(settings.name, settings.data_centre, settings.peers)
-        self.state = starting_state(me, settings)
+        self.state = initial_state(me, settings)
         self._readiness_path = settings.readiness_path
-        self._calls = store_calls
+        self._store_format = store_format
         self._lines = LineLog(settings.name, stream)
         steering = ConnectionIdSteering(
             self.state,
@@ -102,24 +102,24 @@
         )
         self.packets = PacketSocket(
             self.loop,
-            packet_port or bound_packet_port(settings.packets),
+            packet_port or bind_packet_port(settings.packets),
             packet_format,
             steering,
-            self._note_bad_packet,
+            self._log_bad_packet,
             link=queue_before(settings.link_mbps),
         )
         self.readiness = HttpServer(
             self.loop,
-            bound_stream(settings.readiness),
-            self._answer_probe,
+            bind_stream(settings.readiness),
+            self._handle_probe,
         )
         self.peers = PeerSockets(
             self.loop,
             settings.peers,
-            self.take,
+            self.handle,
             self._view_since,
-            self._note_bad_packet,
-            {_METRICS_PATH: self._metrics},
+            self._log_bad_packet,
+            {_METRICS_PATH: self._render_metrics},
         )
         me.address = settings.peers_advertised or (settings.peers[0], self.peers.port)
         self._connection_by_collection = {
@@ -127,9 +127,9 @@
             for collection in self.state.follower_by_collection
         }
         self._next_tick_at = monotonic()
-        self.loop.on_pause = self._note_pause
+        self.loop.on_pause = self._handle_pause
         self._handlers: dict[type[Effect], Callable[..., None]] = {
-            WriteLine: self._write_line,
+            WriteLine: self._log_line,
             ReadPage: self._read_page,
             WatchChanges: self._watch,
             SendHeartbeat: lambda effect, now: self.peers.send(effect),
@@ -151,22 +151,22 @@
 
     def start(self) -> None:
         """Ask the store for everything and begin to tick."""
-        self._write(
+        self._log(
             LogNumber.STARTED,
             {'packets': self.packets.port, 'processor_s': round(process_time(), 4)},
         )
-        self.take(Started())
+        self.handle(Started())
         self._tick()
 
-    def take(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         """Reduce one event; a fault in one must not end the balancer."""
         now = monotonic()
         try:
             effects = reduce(self.state, event, now)
-        except Exception as fault:
-            self._write(
+        except Exception as error:
+            self._log(
                 LogNumber.INTERNAL_FAULT,
-                {'taken': type(event).__name__, 'problem': repr(fault)},
+                {'taken': type(event).__name__, 'problem': repr(error)},
             )
             return
         for effect in effects:
@@ -184,55 +184,55 @@
             connection.close()
         self.loop.close()
 
-    def _write_line(self, effect: WriteLine, now: float) -> None:
+    def _log_line(self, effect: WriteLine, now: float) -> None:
         self._lines.write(effect.number, effect.fields, now)
 
     def _read_page(self, effect: ReadPage, now: float) -> None:
-        target = self._calls.page_target(effect)
-        self._call_store(effect.collection, target, now + ANSWER_S, self._calls.read_page)
+        target = self._store_format.page_target(effect)
+        self._call_store(effect.collection, target, now + ANSWER_S, self._store_format.read_page)
 
     def _watch(self, effect: WatchChanges, now: float) -> None:
-        target = self._calls.watch_target(effect)
-        until = now + effect.wait_s + ANSWER_S
-        self._call_store(effect.collection, target, until, self._calls.read_changes)
+        target = self._store_format.watch_target(effect)
+        deadline_at = now + effect.wait_s + ANSWER_S
+        self._call_store(effect.collection, target, deadline_at, self._store_format.read_changes)
 
     def _call_store(
         self,
         collection: str,
         target: str,
-        until: float,
+        deadline_at: float,
         read: Callable[[str, int, bytes, Mapping[str, str]], Event],
     ) -> None:
         """Make a call whose answer is taken as the event that `read` makes of it."""
-        self._connection_by_collection[collection].ask(
+        self._connection_by_collection[collection].start_call(
             Call(
                 target,
-                until,
-                lambda reply: self.take(
+                deadline_at,
+                lambda reply: self.handle(
                     read(collection, reply.status, reply.body, reply.header_by_name),
                 ),
-                lambda problem: self.take(CallFailed(collection, problem)),
+                lambda problem: self.handle(CallFailed(collection, problem)),
             ),
         )
 
-    def _note_pause(self, paused_s: float) -> None:
-        self.take(Paused(paused_s))
+    def _handle_pause(self, paused_s: float) -> None:
+        self.handle(Paused(paused_s))
 
     def _tick(self) -> None:
         self.state.stopping.last_packet_at = self.packets.last_packet_at
-        self.take(Ticked())
+        self.handle(Ticked())
         self._lines.flush()
         self._next_tick_at = max(self._next_tick_at + TICK_S, monotonic())
         self.loop.call_at(self._next_tick_at, self._tick)
 
-    def _answer_probe(self, target: str) -> Answer:
+    def _handle_probe(self, target: str) -> Answer:
         if target != self._readiness_path:
             return Answer(NOT_FOUND)
         ready = self.state.ready and not self.state.stopping.asked
-        self.take(ProbeAnswered(ready=ready))
+        self.handle(ProbeAnswered(ready=ready))
         return Answer(OK if ready else UNAVAILABLE)
 
-    def _metrics(self) -> bytes:
+    def _render_metrics(self) -> bytes:
         return metrics_of(
             self.state,
             monotonic(),
@@ -244,10 +244,10 @@
     def _view_since(self, known: Known) -> View:
         return view_since(self.state, known, monotonic())
 
-    def _note_bad_packet(self, kind: str, raw: bytes) -> None:
-        self._write(LogNumber.PACKET_BAD, {'kind': kind, 'bytes': len(raw)})
+    def _log_bad_packet(self, kind: str, raw: bytes) -> None:
+        self._log(LogNumber.PACKET_BAD, {'kind': kind, 'bytes': len(raw)})
 
-    def _write(self, number: LogNumber, fields: dict[str, object]) -> None:
+    def _log(self, number: LogNumber, fields: dict[str, object]) -> None:
         self._lines.write(number, fields, monotonic())
 
 
@@ -257,51 +257,51 @@
     def __init__(self, balancer: EntryBalancer, path: str) -> None:
         self._balancer = balancer
         self._path = path
-        self._stop_asked = False
-        self._reload_asked = False
+        self._stop_requested = False
+        self._reload_requested = False
         self._ticks = 0
-        self._seen = _stamp(path)
+        self._last_stamp = _file_stamp(path)
         for number in (SIGTERM, SIGINT):
             signal(number, self._on_stop)
         signal(SIGHUP, self._on_reload)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Take what has come since the last look; look again a tick later."""
-        self._balancer.loop.call_at(monotonic() + TICK_S, self.look)
-        if self._stop_asked:
-            self._stop_asked = False
-            self._balancer.take(StopAsked())
+        self._balancer.loop.call_at(monotonic() + TICK_S, self.poll)
+        if self._stop_requested:
+            self._stop_requested = False
+            self._balancer.handle(StopAsked())
         self._ticks += 1
-        if self._ticks % _SETTINGS_TICKS == 0 and _stamp(self._path) != self._seen:
-            self._reload_asked = True
-        if self._reload_asked:
-            self._reload_asked = False
+        if self._ticks % _SETTINGS_CHECK_TICKS == 0 and _file_stamp(self._path) != self._last_stamp:
+            self._reload_requested = True
+        if self._reload_requested:
+            self._reload_requested = False
             self._reload()
 
     def _reload(self) -> None:
-        self._seen = _stamp(self._path)
-        bound_s = self._balancer.state.stopping.within_s
+        self._last_stamp = _file_stamp(self._path)
+        current_stop_s = self._balancer.state.stopping.within_s
         try:
             settings = read_entry_settings(self._path)
-        except SettingsError as fault:
-            self._balancer.take(SettingsChanged(bound_s, str(fault)))
+        except SettingsError as error:
+            self._balancer.handle(SettingsChanged(current_stop_s, str(error)))
             return
-        self._balancer.take(SettingsChanged(settings.stop_within_s))
+        self._balancer.handle(SettingsChanged(settings.stop_within_s))
 
     def _on_stop(self, number: int, frame: FrameType | None) -> None:
-        self._stop_asked = True
+        self._stop_requested = True
 
     def _on_reload(self, number: int, frame: FrameType | None) -> None:
-        self._reload_asked = True
+        self._reload_requested = True
 
 
-def _stamp(path: str) -> tuple[int, int]:
+def _file_stamp(path: str) -> tuple[int, int]:
     """Return what changes when a file is written; zeroes while it cannot be read."""
     try:
-        found = stat(path)
+        status = stat(path)
     except OSError:
         return 0, 0
-    return found.st_mtime_ns, found.st_size
+    return status.st_mtime_ns, status.st_size
 
 
 def serve(
@@ -309,17 +309,17 @@
     settings: EntrySettings,
     packet_port: socket,
     packet_format: PacketFormat,
-    store_calls: StoreCalls,
+    store_format: StoreFormat,
 ) -> None:
     """Run one balancer with the settings read from `path` until it is told to stop.
 
     What exists after the start stays: it is left out of garbage collections.
     Raises OSError when a port is taken.
     """
-    balancer = EntryBalancer(settings, packet_format, store_calls, packet_port=packet_port)
+    balancer = EntryBalancer(settings, packet_format, store_format, packet_port=packet_port)
     signals = _Signals(balancer, path)
     balancer.start()
-    signals.look()
+    signals.poll()
     freeze()
     enable()
     balancer.loop.run()
--- a/src/bronzekeel/entry/decision_log.py
+++ b/src/bronzekeel/entry/decision_log.py
@@ -32,7 +32,7 @@
     def note(self, decision: Decision, now: float) -> None:
         """Write one decision with what decided it."""
         number = _NUMBER_BY_OUTCOME[decision.outcome]
-        if not self._lines.wants(number, now):
+        if not self._lines.admits(number, now):
             return
         packet = decision.packet
         fields: dict[str, object] = {
--- a/src/bronzekeel/entry/early_port.py
+++ b/src/bronzekeel/entry/early_port.py
@@ -12,21 +12,21 @@
 
 #: Bytes that the kernel may hold for us.  Source: two tenths of a second of a
 #: busy host's packets, the time that a start of Python may take on a slow one.
-RECEIVE_BUFFER = 1024 * 1024
+RECEIVE_BUFFER_BYTES = 1024 * 1024
 
-_NOT_BOUND = (IndexError, OSError, OverflowError, ValueError)
+_BIND_ERRORS = (IndexError, OSError, OverflowError, ValueError)
 
 
-def bound_early(words: list[str]) -> int | None:
+def bind_early(arguments: list[str]) -> int | None:
     """Return a descriptor bound to the address in a program's first word after its name.
 
     Without one, or when it cannot be bound, the settings say later what is wrong.
     """
     try:
-        host, port = words[1].rsplit(':', 1)
+        host, port = arguments[1].rsplit(':', 1)
         bound = socket(AF_INET, SOCK_DGRAM)
-        bound.setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE_BUFFER)
+        bound.setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         bound.bind((host, int(port)))
-    except _NOT_BOUND:
+    except _BIND_ERRORS:
         return None
     return bound.detach()
--- a/src/bronzekeel/entry/http_client.py
+++ b/src/bronzekeel/entry/http_client.py
@@ -27,13 +27,13 @@
 #: Seconds of silence after which the kernel asks whether the peer is there,
 #: and between such questions.  Source: a connection that fell silent must be
 #: given up within the four seconds for which the users excuse it.
-_KEEPALIVE_S = 1
+_KEEPALIVE_INTERVAL_S = 1
 
 #: Unanswered questions after which the connection is closed.
 _KEEPALIVE_PROBES = 2
 
 #: Milliseconds for which sent bytes may stay unconfirmed.
-_UNCONFIRMED_MS = 2000
+_UNACKNOWLEDGED_MS = 2000
 
 _CHUNK_BYTES = 65536
 
@@ -50,21 +50,21 @@
         self.header_by_name = header_by_name
 
 
-_ANSWERED = Callable[[Reply], None]
-_FAILED = Callable[[str], None]
+_OnReply = Callable[[Reply], None]
+_OnFailure = Callable[[str], None]
 
 
 class Call:
     """Hold one call: what is asked, by when, and who is told."""
 
-    __slots__ = ('answered', 'body', 'failed', 'method', 'target', 'until')
+    __slots__ = ('answered', 'body', 'deadline_at', 'failed', 'method', 'target')
 
     def __init__(
         self,
         target: str,
-        until: float,
-        answered: _ANSWERED,
-        failed: _FAILED,
+        deadline_at: float,
+        answered: _OnReply,
+        failed: _OnFailure,
         method: str = 'GET',
         body: bytes = b'',
     ) -> None:
@@ -72,7 +72,7 @@
         self.method = method
         self.target = target
         self.body = body
-        self.until = until
+        self.deadline_at = deadline_at
         self.answered = answered
         self.failed = failed
 
@@ -98,7 +98,7 @@
         self._connected = False
         self._complete = False
 
-    def ask(self, call: Call) -> None:
+    def start_call(self, call: Call) -> None:
         """Make a call; one in progress is given up without a word."""
         if self._call is not None:
             self.close()
@@ -107,19 +107,19 @@
         self._body = []
         self._header_by_name = {}
         self._complete = False
-        self._unsent = self._encoded(call)
-        self._deadline = self._loop.call_at(call.until, self._time_out)
+        self._unsent = self._encode(call)
+        self._deadline = self._loop.call_at(call.deadline_at, self._on_timeout)
         try:
             self._open_and_send()
-        except OSError as fault:
-            self._fail(str(fault))
+        except OSError as error:
+            self._fail(str(error))
 
     def close(self) -> None:
         """Close the connection; a call in progress is given up without a word."""
         if self._deadline is not None:
             self._deadline.cancel()
         if self._socket is not None:
-            self._loop.forget(self._socket)
+            self._loop.unwatch(self._socket)
             self._socket.close()
         self._socket = None
         self._call = None
@@ -136,7 +136,7 @@
         """Note that the answer is whole (called by the parser)."""
         self._complete = True
 
-    def _encoded(self, call: Call) -> bytes:
+    def _encode(self, call: Call) -> bytes:
         host = ':'.join(map(str, self._address))
         lines = [f'{call.method} {call.target} HTTP/1.1', f'Host: {host}']
         if call.body:
@@ -147,30 +147,30 @@
 
     def _open_and_send(self) -> None:
         if self._socket is None:
-            self._socket = _connecting(self._address)
+            self._socket = _start_connecting(self._address)
             self._connected = False
             self._parser = HttpResponseParser(self)
         if self._connected:
             self._send()
             return
-        self._loop.watch(self._socket, EVENT_READ | EVENT_WRITE, self._ready)
+        self._loop.watch(self._socket, EVENT_READ | EVENT_WRITE, self._on_ready)
 
-    def _ready(self, mask: int) -> None:
+    def _on_ready(self, mask: int) -> None:
         try:
             if mask & EVENT_WRITE:
                 self._finish_connecting()
                 self._send()
             if mask & EVENT_READ:
                 self._receive()
-        except (OSError, HttpParserError) as fault:
-            self._fail(f'{type(fault).__name__}: {fault}')
+        except (OSError, HttpParserError) as error:
+            self._fail(f'{type(error).__name__}: {error}')
 
     def _finish_connecting(self) -> None:
         if self._connected or self._socket is None:
             return
-        error = self._socket.getsockopt(SOL_SOCKET, SO_ERROR)
-        if error:
-            raise ConnectionError(error, 'not connected')
+        error_number = self._socket.getsockopt(SOL_SOCKET, SO_ERROR)
+        if error_number:
+            raise ConnectionError(error_number, 'not connected')
         self._connected = True
 
     def _send(self) -> None:
@@ -180,7 +180,7 @@
             sent = self._socket.send(self._unsent)
             self._unsent = self._unsent[sent:]
         mask = EVENT_READ | EVENT_WRITE if self._unsent else EVENT_READ
-        self._loop.watch(self._socket, mask, self._ready)
+        self._loop.watch(self._socket, mask, self._on_ready)
 
     def _receive(self) -> None:
         if self._socket is None:
@@ -197,7 +197,7 @@
         if call is None:
             self.close()
             return
-        keep = self._parser.should_keep_alive()
+        is_reusable = self._parser.should_keep_alive()
         reply = Reply(
             self._parser.get_status_code(),
             b''.join(self._body),
@@ -206,12 +206,12 @@
         self._call = None
         if self._deadline is not None:
             self._deadline.cancel()
-        if not keep:
+        if not is_reusable:
             self.close()
         call.answered(reply)
 
-    def _time_out(self) -> None:
-        if self._call is not None and monotonic() >= self._call.until:
+    def _on_timeout(self) -> None:
+        if self._call is not None and monotonic() >= self._call.deadline_at:
             self._fail('no answer in time')
 
     def _fail(self, problem: str) -> None:
@@ -221,17 +221,17 @@
             call.failed(problem)
 
 
-def _connecting(address: tuple[str, int]) -> socket:
-    made = socket(AF_INET, SOCK_STREAM)
-    made.setblocking(False)
-    made.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
-    made.setsockopt(SOL_SOCKET, SO_KEEPALIVE, 1)
-    made.setsockopt(IPPROTO_TCP, TCP_KEEPIDLE, _KEEPALIVE_S)
-    made.setsockopt(IPPROTO_TCP, TCP_KEEPINTVL, _KEEPALIVE_S)
-    made.setsockopt(IPPROTO_TCP, TCP_KEEPCNT, _KEEPALIVE_PROBES)
-    made.setsockopt(IPPROTO_TCP, TCP_USER_TIMEOUT, _UNCONFIRMED_MS)
-    error = made.connect_ex(address)
-    if error not in {0, EINPROGRESS}:
-        made.close()
-        raise ConnectionError(error, 'cannot connect')
-    return made
+def _start_connecting(address: tuple[str, int]) -> socket:
+    connecting = socket(AF_INET, SOCK_STREAM)
+    connecting.setblocking(False)
+    connecting.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
+    connecting.setsockopt(SOL_SOCKET, SO_KEEPALIVE, 1)
+    connecting.setsockopt(IPPROTO_TCP, TCP_KEEPIDLE, _KEEPALIVE_INTERVAL_S)
+    connecting.setsockopt(IPPROTO_TCP, TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    connecting.setsockopt(IPPROTO_TCP, TCP_KEEPCNT, _KEEPALIVE_PROBES)
+    connecting.setsockopt(IPPROTO_TCP, TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
+    error_number = connecting.connect_ex(address)
+    if error_number not in {0, EINPROGRESS}:
+        connecting.close()
+        raise ConnectionError(error_number, 'cannot connect')
+    return connecting
--- a/src/bronzekeel/entry/http_server.py
+++ b/src/bronzekeel/entry/http_server.py
@@ -19,7 +19,7 @@
 
 #: Connections that are held at once.  Source: the fabric has one or two, and
 #: all peers of a data centre may ask at the same moment (``MOST_PEERS``).
-_MOST_CONNECTIONS = 64
+_MAX_CONNECTIONS = 64
 
 
 class Answer:
@@ -38,10 +38,10 @@
         return head.encode() + self.body
 
 
-_AnswerTo = Callable[[str], Answer]
+_RequestHandler = Callable[[str], Answer]
 
 
-def bound_stream(address: tuple[str, int]) -> socket:
+def bind_stream(address: tuple[str, int]) -> socket:
     """Return a socket that is to take connections at `address`.
 
     Raises OSError when the port is taken or the address is not this host's.
@@ -55,10 +55,10 @@
 class HttpServer:
     """Own one listening port."""
 
-    def __init__(self, loop: Loop, bound: socket, answer_to: _AnswerTo) -> None:
+    def __init__(self, loop: Loop, bound: socket, handle_request: _RequestHandler) -> None:
         """Listen on a `bound` socket; ``answer_to`` is asked for the answer to each target."""
         self._loop = loop
-        self._answer_to = answer_to
+        self._handle_request = handle_request
         self._connections: set[_Connection] = set()
         self._socket = bound
         self._socket.setblocking(False)
@@ -77,7 +77,7 @@
 
     def close(self) -> None:
         """Free the port and close all connections."""
-        self._loop.forget(self._socket)
+        self._loop.unwatch(self._socket)
         self._socket.close()
         for connection in list(self._connections):
             connection.close()
@@ -88,11 +88,11 @@
         except OSError:
             return
         accepted.setblocking(False)
-        if len(self._connections) >= _MOST_CONNECTIONS:
+        if len(self._connections) >= _MAX_CONNECTIONS:
             accepted.close()
             return
         self._connections.add(
-            _Connection(self._loop, accepted, self._answer_to, self._connections.discard),
+            _Connection(self._loop, accepted, self._handle_request, self._connections.discard),
         )
 
 
@@ -103,17 +103,17 @@
         self,
         loop: Loop,
         accepted: socket,
-        answer_to: _AnswerTo,
-        closed: Callable[['_Connection'], None],
+        handle_request: _RequestHandler,
+        on_close: Callable[['_Connection'], None],
     ) -> None:
         self._loop = loop
         self._socket = accepted
-        self._answer_to = answer_to
-        self._closed = closed
+        self._handle_request = handle_request
+        self._on_close = on_close
         self._target = b''
         self._unsent = b''
         self._parser = HttpRequestParser(self)
-        loop.watch(accepted, EVENT_READ, self._ready)
+        loop.watch(accepted, EVENT_READ, self._on_ready)
 
     @property
     def is_sending(self) -> bool:
@@ -130,15 +130,15 @@
 
     def on_message_complete(self) -> None:
         """Answer a request that is whole (called by the parser)."""
-        self._unsent += self._answer_to(self._target.decode('latin-1')).encode()
+        self._unsent += self._handle_request(self._target.decode('latin-1')).encode()
 
     def close(self) -> None:
         """Close the connection."""
-        self._loop.forget(self._socket)
+        self._loop.unwatch(self._socket)
         self._socket.close()
-        self._closed(self)
+        self._on_close(self)
 
-    def _ready(self, mask: int) -> None:
+    def _on_ready(self, mask: int) -> None:
         try:
             if mask & EVENT_READ and not self._receive():
                 self.close()
@@ -159,4 +159,4 @@
             sent = self._socket.send(self._unsent)
             self._unsent = self._unsent[sent:]
         mask = EVENT_READ | EVENT_WRITE if self._unsent else EVENT_READ
-        self._loop.watch(self._socket, mask, self._ready)
+        self._loop.watch(self._socket, mask, self._on_ready)
--- a/src/bronzekeel/entry/starting_state.py
+++ b/src/bronzekeel/entry/initial_state.py
@@ -8,7 +8,7 @@
 from bronzekeel.entry.settings import EntrySettings
 
 
-def starting_state(me: PeerAddress, settings: EntrySettings) -> RoutingState:
+def initial_state(me: PeerAddress, settings: EntrySettings) -> RoutingState:
     """Return the state of the balancer that peers know as `me`; it knows nothing yet."""
     peers = PeerTable(me, settings.seeds)
     cold_starts = ColdStarts(
--- a/src/bronzekeel/entry/lines.py
+++ b/src/bronzekeel/entry/lines.py
@@ -18,12 +18,12 @@
 
 #: Lines of one kind in a second.  Source: 20 lines take about 0.4 ms of
 #: processor time to make; ten kinds at once stay below a hundredth of a core.
-LINES_PER_KIND = 20
+MAX_LINES_PER_KIND = 20
 
 #: Bytes that wait for a reader at most.
-MOST_WAITING_BYTES = 65536
+MAX_BUFFERED_BYTES = 65536
 
-_SECOND = 1.0
+_QUOTA_PERIOD_S = 1.0
 
 
 class LineLog:
@@ -34,58 +34,58 @@
         self._host = host
         self._stream = stream
         self._clock = clock
-        self._waiting: list[bytes] = []
-        self._waiting_bytes = 0
-        self._room_by_number: dict[int, int] = {}
+        self._buffer: list[bytes] = []
+        self._buffered_bytes = 0
+        self._quota_by_number: dict[int, int] = {}
         self._left_out_by_number: dict[int, int] = {}
         self._refill_at: float = 0
         self.left_out = 0
         set_blocking(stream, False)
 
     @property
-    def waiting_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes that wait for the reader."""
-        return self._waiting_bytes
+        return self._buffered_bytes
 
     def write(self, number: int, fields: dict[str, object], now: float) -> None:
         """Take one line; `now` is the steady clock."""
         if now >= self._refill_at:
-            self._refill_at = now + _SECOND
-            self._room_by_number.clear()
-        room = self._room_by_number.get(number, LINES_PER_KIND)
-        if room <= 0 or self._waiting_bytes > MOST_WAITING_BYTES:
-            self._leave_out(number)
+            self._refill_at = now + _QUOTA_PERIOD_S
+            self._quota_by_number.clear()
+        quota = self._quota_by_number.get(number, MAX_LINES_PER_KIND)
+        if quota <= 0 or self._buffered_bytes > MAX_BUFFERED_BYTES:
+            self._count_left_out(number)
             return
-        self._room_by_number[number] = room - 1
-        self._add(self._line(number, fields, now))
+        self._quota_by_number[number] = quota - 1
+        self._append(self._encode(number, fields, now))
 
-    def wants(self, number: int, now: float) -> bool:
+    def admits(self, number: int, now: float) -> bool:
         """Whether a line of this kind would be written; count it if not."""
-        if now >= self._refill_at or self._room_by_number.get(number, 1) > 0:
+        if now >= self._refill_at or self._quota_by_number.get(number, 1) > 0:
             return True
-        self._leave_out(number)
+        self._count_left_out(number)
         return False
 
     def flush(self) -> None:
         """Write what waits, as far as the reader takes it."""
-        if not self._waiting:
+        if not self._buffer:
             return
-        content = b''.join(self._waiting)
+        content = b''.join(self._buffer)
         try:
             written = write_bytes(self._stream, content)
         except BlockingIOError:
             return
         except OSError:
             written = len(content)
-        rest = content[written:]
-        self._waiting = [rest] if rest else []
-        self._waiting_bytes = len(rest)
+        unsent = content[written:]
+        self._buffer = [unsent] if unsent else []
+        self._buffered_bytes = len(unsent)
 
-    def _leave_out(self, number: int) -> None:
+    def _count_left_out(self, number: int) -> None:
         self.left_out += 1
         self._left_out_by_number[number] = self._left_out_by_number.get(number, 0) + 1
 
-    def _line(self, number: int, fields: dict[str, object], now: float) -> bytes:
+    def _encode(self, number: int, fields: dict[str, object], now: float) -> bytes:
         line: dict[str, object] = {
             'time': round(self._clock(), 3),
             'steady': round(now, 3),
@@ -99,6 +99,6 @@
         line.update(fields)
         return f'{encode_json(line, default=str)}\n'.encode()
 
-    def _add(self, line: bytes) -> None:
-        self._waiting.append(line)
-        self._waiting_bytes += len(line)
+    def _append(self, line: bytes) -> None:
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
--- a/src/bronzekeel/entry/load_fields.py
+++ b/src/bronzekeel/entry/load_fields.py
@@ -13,11 +13,11 @@
 _CENTRES = ('hears', 'unheard')
 
 #: Data centres that a field lists at most.  Source: ten times those of docs/CAPACITY.md.
-_MOST_CENTRES = 60
+_MAX_CENTRES = 60
 
 #: Requests a second of one host or data centre at most.  Source: a thousand times what all are
 #: designed for; a figure beyond it is a mistake.
-_MOST_RATE = 280_000_000
+_MAX_RATE = 280_000_000
 
 
 def encode_load(heartbeat: Heartbeat) -> dict[str, Any]:
@@ -25,8 +25,8 @@
     fields: dict[str, Any] = {}
     if heartbeat.asked_by_service is not None:
         fields['asked'] = [
-            (service, round(asked.rate), asked.lacking)
-            for service, asked in heartbeat.asked_by_service.items()
+            (service, round(demand.rate), demand.lacking)
+            for service, demand in heartbeat.asked_by_service.items()
         ]
     for name in _CENTRES:
         centres = getattr(heartbeat, name)
@@ -35,22 +35,22 @@
     return fields
 
 
-def decode_asked(listed: list[Any] | None) -> dict[str, Asked] | None:
+def decode_demand(listed: list[Any] | None) -> dict[str, Asked] | None:
     """Return what is asked by service, None if it was not told."""
     if listed is None:
         return None
-    return {str(service): _asked_in(rate, lacking) for service, rate, lacking in listed}
+    return {str(service): _demand_in(rate, lacking) for service, rate, lacking in listed}
 
 
 def decode_centres(name: str, listed: list[Any]) -> tuple[str, ...]:
     """Return the data centres that the field `name` lists."""
     if not isinstance(listed, list):
         raise TypeError(f'{name} is no list')
-    return tuple(label(name, centre) for centre in listed[:_MOST_CENTRES])
+    return tuple(label(name, centre) for centre in listed[:_MAX_CENTRES])
 
 
-def _asked_in(rate: Any, lacking: Any) -> Asked:
-    asked = Asked(float(rate), int(lacking))
-    if not 0 <= asked.rate <= _MOST_RATE or not 0 <= asked.lacking <= _MOST_RATE:
+def _demand_in(rate: Any, lacking: Any) -> Asked:
+    demand = Asked(float(rate), int(lacking))
+    if not 0 <= demand.rate <= _MAX_RATE or not 0 <= demand.lacking <= _MAX_RATE:
         raise ValueError(f'{rate} and {lacking} are no figures to reckon with')
-    return asked
+    return demand
--- a/src/bronzekeel/entry/loop.py
+++ b/src/bronzekeel/entry/loop.py
@@ -20,7 +20,7 @@
 PAUSE_S = 0.5
 
 
-def counting_time() -> float:
+def boottime() -> float:
     """Return the seconds of a clock that counts suspensions too."""
     return clock_gettime(CLOCK_BOOTTIME)
 
@@ -35,26 +35,26 @@
 
     def __init__(
         self,
-        steady: Callable[[], float] = monotonic,
-        counting: Callable[[], float] = counting_time,
+        monotonic_clock: Callable[[], float] = monotonic,
+        boottime_clock: Callable[[], float] = boottime,
     ) -> None:
         """Compare `steady` with `counting`, which counts suspensions too."""
-        self._steady = steady
-        self._counting = counting
-        self._expected_at = steady()
-        self._offset = counting() - self._expected_at
+        self._monotonic_clock = monotonic_clock
+        self._boottime_clock = boottime_clock
+        self._wake_expected_at = monotonic_clock()
+        self._clock_offset_s = boottime_clock() - self._wake_expected_at
 
-    def plan(self, wait_s: float | None) -> None:
+    def start_wait(self, wait_s: float | None) -> None:
         """Note that the next round is due in `wait_s` seconds at the latest."""
-        self._expected_at = self._steady() + (wait_s or 0)
+        self._wake_expected_at = self._monotonic_clock() + (wait_s or 0)
 
     def paused_s(self) -> float:
         """Return the seconds that were slept beyond the plan, zero if it was no pause."""
-        now = self._steady()
-        offset = self._counting() - now
-        slept_s = max(now - self._expected_at, 0) + max(offset - self._offset, 0)
-        self._offset = offset
-        return slept_s if slept_s > PAUSE_S else 0
+        now = self._monotonic_clock()
+        offset = self._boottime_clock() - now
+        overslept_s = max(now - self._wake_expected_at, 0) + max(offset - self._clock_offset_s, 0)
+        self._clock_offset_s = offset
+        return overslept_s if overslept_s > PAUSE_S else 0
 
 
 class Loop(SocketLoop):
@@ -69,7 +69,7 @@
         self._selector = DefaultSelector()
         self._deadlines: list[Deadline] = []
         self._running = False
-        self._pauses = PauseDetector()
+        self._pause_detector = PauseDetector()
 
     @property
     def running(self) -> bool:
@@ -83,7 +83,7 @@
             return
         self._selector.register(sock, mask, callback)
 
-    def forget(self, sock: socket) -> None:
+    def unwatch(self, sock: socket) -> None:
         """Stop to watch a socket; one that is not watched is fine."""
         if sock.fileno() in self._selector.get_map():
             self._selector.unregister(sock)
@@ -99,9 +99,9 @@
         self._running = True
         while self._running:
             wait_s = self._wait_s()
-            self._pauses.plan(wait_s)
+            self._pause_detector.start_wait(wait_s)
             ready = self._selector.select(wait_s)
-            self._note_pause()
+            self._check_pause()
             for key, mask in ready:
                 key.data(mask)
             self._call_due(monotonic())
@@ -114,8 +114,8 @@
         """Free the selector."""
         self._selector.close()
 
-    def _note_pause(self) -> None:
-        paused_s = self._pauses.paused_s()
+    def _check_pause(self) -> None:
+        paused_s = self._pause_detector.paused_s()
         if paused_s and self.on_pause is not None:
             self.on_pause(paused_s)
 
--- a/src/bronzekeel/entry/metrics.py
+++ b/src/bronzekeel/entry/metrics.py
@@ -43,16 +43,16 @@
         """Start with an empty page."""
         self._lines: list[str] = []
 
-    def add(self, name: str, kind: str, helping: str, samples: dict[str, float]) -> None:
+    def add(self, name: str, kind: str, help_text: str, samples: dict[str, float]) -> None:
         """Add a metric with its samples by label value; an empty value has no label."""
-        self._head(name, kind, helping)
+        self._add_head(name, kind, help_text)
         for value, number in samples.items():
             label = f'{{kind="{value}"}}' if value else ''
             self._lines.append(f'{name}{label} {number}')
 
-    def add_histogram(self, name: str, helping: str, histogram: Histogram) -> None:
+    def add_histogram(self, name: str, help_text: str, histogram: Histogram) -> None:
         """Add a histogram of seconds."""
-        self._head(name, 'histogram', helping)
+        self._add_head(name, 'histogram', help_text)
         total = 0
         for bound, count in zip((*BOUNDS_S, '+Inf'), histogram.counts, strict=True):
             total += count
@@ -64,8 +64,8 @@
         """Return the page."""
         return '\n'.join((*self._lines, '')).encode()
 
-    def _head(self, name: str, kind: str, helping: str) -> None:
-        self._lines.append(f'# HELP {name} {helping}')
+    def _add_head(self, name: str, kind: str, help_text: str) -> None:
+        self._lines.append(f'# HELP {name} {help_text}')
         self._lines.append(f'# TYPE {name} {kind}')
 
 
@@ -105,16 +105,16 @@
         'Log lines beyond the bound of their kind.',
         {'': lines_left_out},
     )
-    page.add('bronzekeel_state', 'gauge', 'State of this balancer.', _gauges(state, now))
+    page.add('bronzekeel_state', 'gauge', 'State of this balancer.', _state_gauges(state, now))
     pools = state.directory.pools_of(state.peers.me.data_centre)
-    for name, kind, helping, figure in _POOL_METRICS:
-        samples = {pool.service: figure(pool) for pool in pools}
-        page.add(f'bronzekeel_{name}', kind, helping, samples)
+    for name, kind, help_text, measure in _POOL_METRICS:
+        samples = {pool.service: measure(pool) for pool in pools}
+        page.add(f'bronzekeel_{name}', kind, help_text, samples)
     page.add(
         'bronzekeel_learned_speed',
         'gauge',
         'Speeds of upstreams that differ from the mean of their service.',
-        _speeds(state.demand.capacities.learned_speeds),
+        _speed_range(state.demand.capacities.learned_speeds),
     )
     page.add(
         'bronzekeel_flows_sent_elsewhere_total',
@@ -126,7 +126,7 @@
         'bronzekeel_requests_allowed_elsewhere',
         'gauge',
         'Requests that may be in progress in other data centres, for flows without room at home.',
-        _allowed_elsewhere(state),
+        _remote_allowances(state),
     )
     page.add_histogram(
         'bronzekeel_answer_seconds',
@@ -136,17 +136,17 @@
     return page.encode()
 
 
-def _allowed_elsewhere(state: RoutingState) -> dict[str, float]:
+def _remote_allowances(state: RoutingState) -> dict[str, float]:
     """Return the allowances in force of this balancer, by service."""
     allowed_by_service: dict[str, float] = {}
-    home = state.peers.me.data_centre
-    for pool in state.directory.pools_elsewhere(home).values():
+    local_centre = state.peers.me.data_centre
+    for pool in state.directory.pools_elsewhere(local_centre).values():
         allowed = allowed_by_service.get(pool.service, 0) + pool.allowance
         allowed_by_service[pool.service] = round(allowed, 2)
     return allowed_by_service
 
 
-def _gauges(state: RoutingState, now: float) -> dict[str, float]:
+def _state_gauges(state: RoutingState, now: float) -> dict[str, float]:
     return {
         'ready': int(state.ready),
         'stopping': int(state.stopping.asked),
@@ -162,9 +162,9 @@
     }
 
 
-def _speeds(learned: list[float]) -> dict[str, float]:
+def _speed_range(speeds: list[float]) -> dict[str, float]:
     return {
-        'least': round(min(learned, default=1), 2),
-        'most': round(max(learned, default=1), 2),
-        'upstreams': len(learned),
+        'least': round(min(speeds, default=1), 2),
+        'most': round(max(speeds, default=1), 2),
+        'upstreams': len(speeds),
     }
--- a/src/bronzekeel/entry/packet_port.py
+++ b/src/bronzekeel/entry/packet_port.py
@@ -8,23 +8,23 @@
 
 from socket import AF_INET, SO_RCVBUF, SOCK_DGRAM, SOL_SOCKET, socket
 
-from bronzekeel.entry.early_port import RECEIVE_BUFFER
+from bronzekeel.entry.early_port import RECEIVE_BUFFER_BYTES
 
 
-def bound_packet_port(address: tuple[str, int], early: int | None = None) -> socket:
+def bind_packet_port(address: tuple[str, int], early_descriptor: int | None = None) -> socket:
     """Return a socket that takes datagrams at `address`.
 
     A descriptor that was bound `early` is used if that is its address.  Raises OSError when
     the port is taken or the address is not this host's.
     """
-    if early is not None:
-        known = socket(AF_INET, SOCK_DGRAM, fileno=early)
-        known.setblocking(False)
-        if known.getsockname() == address:
-            return known
-        known.close()
+    if early_descriptor is not None:
+        reused = socket(AF_INET, SOCK_DGRAM, fileno=early_descriptor)
+        reused.setblocking(False)
+        if reused.getsockname() == address:
+            return reused
+        reused.close()
     bound = socket(AF_INET, SOCK_DGRAM)
-    bound.setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE_BUFFER)
+    bound.setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     bound.setblocking(False)
     bound.bind(address)
     return bound
--- a/src/bronzekeel/entry/packets.py
+++ b/src/bronzekeel/entry/packets.py
@@ -16,21 +16,21 @@
 
 
 #: Datagrams taken before probes and the store get their turn.
-_BATCH = 64
-_MOST_DATAGRAM = 2048
+_BATCH_DATAGRAMS = 64
+_MAX_DATAGRAM_BYTES = 2048
 _DELIVERED = 'delivered'
 _WAITED = 'waited'
 _STALE = 'stale'
-_NO_LINK = 'no_room_on_link'
+_LINK_FULL = 'no_room_on_link'
 
 #: Flows whose path is kept at most; with more all are looked up anew.
 #: Source: as many as are remembered (``MOST_FLOWS``).
-_MOST_PATHS = MOST_FLOWS
+_MAX_PATHS = MOST_FLOWS
 
-_Fault = Callable[[str, bytes], None]
+_LogBadPacket = Callable[[str, bytes], None]
 
 
-class _KnownPath:
+class _CachedPath:
     """Hold where ordinary packets of one flow go."""
 
     __slots__ = ('address', 'flow', 'pool', 'prefix')
@@ -58,7 +58,7 @@
         bound: socket,
         packet_format: PacketFormat,
         steering: ConnectionIdSteering,
-        note_fault: _Fault,
+        log_bad_packet: _LogBadPacket,
         clock: Callable[[], float] = monotonic,
         link: LinkQueue | None = None,
     ) -> None:
@@ -69,31 +69,31 @@
         self._link = link
         self._clock = clock
         self._count_by_fate: dict[str, int] = {}
-        self._kept = 0
+        self._forwarded_by_path = 0
         self._resumed_at: float = 0
         self.last_packet_at: float = 0
         self._format = packet_format
         self._steering = steering
         self._state = steering.state
         self._epoch = self._state.epoch
-        self._path_by_key: dict[bytes, _KnownPath] = {}
+        self._path_by_key: dict[bytes, _CachedPath] = {}
         self._head_bytes = packet_format.head_bytes
         self._ordinary_flags = packet_format.ordinary_flags
         self._positions = packet_format.positions
         self._step = self._state.flows.step
-        self._note_fault = note_fault
+        self._log_bad_packet = log_bad_packet
         self._loop = loop
         self._held = HeldPackets()
         self._socket = bound
-        loop.watch(self._socket, EVENT_READ, self.take_batch)
+        loop.watch(self._socket, EVENT_READ, self.receive_batch)
 
     @property
     def count_by_fate(self) -> dict[str, int]:
         """Packets by what became of them."""
         counts = dict(self._count_by_fate)
-        counts[_DELIVERED] = counts.get(_DELIVERED, 0) + self._kept
+        counts[_DELIVERED] = counts.get(_DELIVERED, 0) + self._forwarded_by_path
         if self._link is not None:
-            counts[_NO_LINK] = self._link.lost
+            counts[_LINK_FULL] = self._link.lost
         return counts
 
     @property
@@ -103,14 +103,14 @@
 
     def close(self) -> None:
         """Free the socket."""
-        self._loop.forget(self._socket)
+        self._loop.unwatch(self._socket)
         self._socket.close()
 
-    def take_batch(self, mask: int = EVENT_READ) -> None:
+    def receive_batch(self, mask: int = EVENT_READ) -> None:
         """Take the packets that wait, up to a batch."""
         now = self._clock()
         self.last_packet_at = now
-        if self._state.epoch != self._epoch or len(self._path_by_key) > _MOST_PATHS:
+        if self._state.epoch != self._epoch or len(self._path_by_key) > _MAX_PATHS:
             self._epoch = self._state.epoch
             self._path_by_key.clear()
         self._state.flows.expire_openings(now)
@@ -122,11 +122,11 @@
         if not self._state.waiting:
             return
         for packet, verdict in self._steering.resume(self._clock()):
-            self._apply(packet, verdict)
-        end = self._state.waiting.next_end
-        if end is not None and end != self._resumed_at:
-            self._resumed_at = end
-            self._loop.call_at(end, self.resume)
+            self._carry_out(packet, verdict)
+        deadline_at = self._state.waiting.next_end
+        if deadline_at is not None and deadline_at != self._resumed_at:
+            self._resumed_at = deadline_at
+            self._loop.call_at(deadline_at, self.resume)
 
     def release_held(self) -> None:
         """Decide on the packets that came before the state was ready."""
@@ -134,31 +134,31 @@
             return
         now = self._clock()
         for raw in self._held.release(now):
-            self._take(raw, now)
+            self._process(raw, now)
 
     def drop_waiting(self) -> None:
         """Drop and count the packets that wait in the kernel, here, and for the link."""
         if self._link is not None:
             self._count(_STALE, self._link.drop())
         self._count(_STALE, self._held.drop())
-        while self._reads_one():
+        while self._discard_one():
             self._count(_STALE)
 
     def _read_batch(self, now: float) -> None:
-        for _ in range(_BATCH):
+        for _ in range(_BATCH_DATAGRAMS):
             try:
-                raw = self._socket.recv(_MOST_DATAGRAM)
+                raw = self._socket.recv(_MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            except OSError as fault:
-                self._note_fault(f'receive: {fault}', b'')
+            except OSError as error:
+                self._log_bad_packet(f'receive: {error}', b'')
                 return
             if not self._forward_ordinary(raw, now):
-                self._take(raw, now)
+                self._process(raw, now)
 
-    def _reads_one(self) -> bool:
+    def _discard_one(self) -> bool:
         try:
-            self._socket.recv(_MOST_DATAGRAM)
+            self._socket.recv(_MAX_DATAGRAM_BYTES)
         except OSError:
             return False
         return True
@@ -176,27 +176,27 @@
         if payload_bytes and not path.flow.busy and not path.pool.has_room:
             return False
         self._step(path.flow, now, sequence, acknowledged, payload_bytes > 0)
-        self._kept += 1
-        self._leave(key, path.prefix + raw, path.address, now)
+        self._forwarded_by_path += 1
+        self._transmit(key, path.prefix + raw, path.address, now)
         return True
 
-    def _take(self, raw: bytes, now: float) -> None:
+    def _process(self, raw: bytes, now: float) -> None:
         if not self._state.ready:
             self._held.hold(raw, now)
             return
         packet = self._format.read(raw)
         if isinstance(packet, str):
             self._count(packet)
-            self._note_fault(packet, raw)
+            self._log_bad_packet(packet, raw)
             return
-        self._apply(packet, self._steering.decide(packet, now))
+        self._carry_out(packet, self._steering.decide(packet, now))
 
-    def _apply(self, packet: FlowPacket, verdict: Verdict) -> None:
+    def _carry_out(self, packet: FlowPacket, verdict: Verdict) -> None:
         if isinstance(verdict, Deliver):
             self._count(_DELIVERED)
-            self._remember_path(packet.raw, verdict)
+            self._cache_path(packet.raw, verdict)
             raw, address = self._format.delivery(packet, verdict.upstream, verdict.connection_id)
-            self._leave(self._positions(packet.raw)[1], raw, address, self._clock())
+            self._transmit(self._positions(packet.raw)[1], raw, address, self._clock())
             return
         if isinstance(verdict, Wait):
             self._count(_WAITED)
@@ -205,26 +205,26 @@
         if isinstance(verdict, Reset):
             self._send(*self._format.reset(packet))
 
-    def _remember_path(self, raw: bytes, verdict: Deliver) -> None:
+    def _cache_path(self, raw: bytes, verdict: Deliver) -> None:
         if verdict.flow is None:
             return
         key = self._positions(raw)[1]
         upstream = verdict.upstream
         prefix = self._format.prefix(upstream)
-        self._path_by_key[key] = _KnownPath(prefix, upstream, verdict.flow)
+        self._path_by_key[key] = _CachedPath(prefix, upstream, verdict.flow)
 
-    def _leave(self, key: bytes, raw: bytes, address: tuple[str, int], now: float) -> None:
+    def _transmit(self, key: bytes, raw: bytes, address: tuple[str, int], now: float) -> None:
         """Send a datagram now, or when the link has room for it."""
         link = self._link
         if link is None or link.passes(len(raw), now):
             self._send(raw, address)
             return
-        waited = len(link)
+        was_waiting = len(link)
         link.add(Outgoing(key, raw, address))
-        if not waited:
-            self._loop.call_at(link.next_at, self._send_due)
+        if not was_waiting:
+            self._loop.call_at(link.next_at, self._send_queued)
 
-    def _send_due(self) -> None:
+    def _send_queued(self) -> None:
         """Send what the link has room for, and come again while something waits."""
         link = self._link
         if link is None:
@@ -234,18 +234,18 @@
             self._send(outgoing.raw, outgoing.address)
             outgoing = link.take_due(self._clock())
         if link:
-            self._loop.call_at(link.next_at, self._send_due)
+            self._loop.call_at(link.next_at, self._send_queued)
 
     def _send(self, raw: bytes, address: tuple[str, int]) -> None:
         """Send a datagram; one that the kernel refuses is lost like any other."""
         try:
             self._socket.sendto(raw, address)
-        except OSError as refused:
-            self._note_refused(refused, raw)
+        except OSError as error:
+            self._note_send_error(error, raw)
 
-    def _note_refused(self, refused: OSError, raw: bytes) -> None:
+    def _note_send_error(self, error: OSError, raw: bytes) -> None:
         self._count('send_error')
-        self._note_fault(f'send: {refused}', raw)
+        self._log_bad_packet(f'send: {error}', raw)
 
     def _count(self, fate: str, packets: int = 1) -> None:
         self._count_by_fate[fate] = self._count_by_fate.get(fate, 0) + packets
--- a/src/bronzekeel/entry/peer_messages.py
+++ b/src/bronzekeel/entry/peer_messages.py
@@ -32,7 +32,7 @@
 from bronzekeel.core.routing.model import Route, RoutingText, ServiceShare, UpstreamEntry
 from bronzekeel.entry.caller_fields import decode_callers, encode_callers
 from bronzekeel.entry.count_fields import decode_counts, encode_counts
-from bronzekeel.entry.load_fields import decode_asked, decode_centres, encode_load
+from bronzekeel.entry.load_fields import decode_demand, decode_centres, encode_load
 from bronzekeel.entry.revision_fields import (
     decode_revision,
     decode_text_order,
@@ -42,7 +42,7 @@
 
 
 #: What a message of the wrong shape raises while it is read.
-_FORMAT_FAULTS = (
+_FORMAT_ERRORS = (
     KeyError,
     TypeError,
     ValueError,
@@ -53,23 +53,23 @@
 )
 
 #: Level of compression.  Source: 6 ms of processor time for 590 KB; higher ones save a tenth.
-_QUICK = 1
+_COMPRESSION_LEVEL = 1
 
 #: Bytes of a body at most.  Source: five times 27,000 upstreams of 92 bytes and 9,200 routes of 21.
-_MOST_BODY = 16_000_000
+_MAX_BODY_BYTES = 16_000_000
 
-_COMPACT = (',', ':')
+_COMPACT_SEPARATORS = (',', ':')
 
 #: Bytes of a route's address and port.
-_KEY_BYTES = 6
-_ENDLESS = float('inf')
+_ROUTE_KEY_BYTES = 6
+_INFINITY = float('inf')
 
 #: Largest number of an upstream: 64 bits stand before packets.
-_MOST_NUMBER = 0xFFFFFFFFFFFFFFFF
+_MAX_UPSTREAM_NUMBER = 0xFFFFFFFFFFFFFFFF
 
 #: What routes have in common that are told together: services with weights, priority, seconds
 #: to the time limit, homes, seconds of the latency objective.
-_RouteKind = tuple[tuple[tuple[str, int], ...], int, float, tuple[str, ...], float]
+_RouteGroup = tuple[tuple[tuple[str, int], ...], int, float, tuple[str, ...], float]
 
 #: Fields of an entry in the order in which they are told; the revision follows them.
 _ENTRY_FIELDS = (
@@ -93,15 +93,15 @@
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
     """Return the datagram of a heartbeat."""
-    return _encoded(
+    return _encode_json(
         {
-            'from': _peer_out(heartbeat.sender),
+            'from': _encode_peer(heartbeat.sender),
             'text': encode_text_order(heartbeat.text_order),
             'upstreams': encode_revision(heartbeat.upstreams_revision),
             'unanswered': list(heartbeat.unanswered_by_number.items()),
             'busy': list(heartbeat.busy_by_number.items()),
-            'others': [_peer_out(other) for other in heartbeat.others],
-            'shares': None if heartbeat.shares is None else _shares_out(heartbeat.shares),
+            'others': [_encode_peer(other) for other in heartbeat.others],
+            'shares': None if heartbeat.shares is None else _encode_shares(heartbeat.shares),
             'rates': [
                 (service, round(rate)) for service, rate in heartbeat.rate_by_service.items()
             ],
@@ -112,8 +112,10 @@
                 encode_revision(heartbeat.evacuated.as_of),
                 sorted(heartbeat.evacuated.centres),
             ),
-            **_counts_out(heartbeat),
-            'room': None if heartbeat.allowances is None else _room_out(heartbeat.allowances),
+            **_encode_counts_if_any(heartbeat),
+            'room': None
+            if heartbeat.allowances is None
+            else _encode_allowances(heartbeat.allowances),
             'flags': [getattr(heartbeat, flag) for flag in _FLAGS],
             **encode_callers(heartbeat.callers_by_service),
             **encode_load(heartbeat),
@@ -127,44 +129,46 @@
         fields = decode_json(raw)
         flags = dict(zip(_FLAGS, map(bool, fields['flags']), strict=True))
         return Heartbeat(
-            _peer_in(fields['from']),
+            _decode_peer(fields['from']),
             decode_text_order(*fields['text']),
             decode_revision(*fields['upstreams']),
             {int(number): int(busy) for number, busy in fields['busy']},
-            tuple(_peer_in(other) for other in fields['others']),
-            {str(service): _figure_in(rate) for service, rate in fields['rates']},
-            None if fields['shares'] is None else _shares_in(fields['shares']),
-            load_by_service={str(service): _figure_in(load) for service, load in fields['loads']},
-            allowances=None if fields['room'] is None else _room_in(fields['room']),
-            evacuated=_evacuated_in(*fields['evacuated']),
+            tuple(_decode_peer(other) for other in fields['others']),
+            {str(service): _decode_number(rate) for service, rate in fields['rates']},
+            None if fields['shares'] is None else _decode_shares(fields['shares']),
+            load_by_service={
+                str(service): _decode_number(load) for service, load in fields['loads']
+            },
+            allowances=None if fields['room'] is None else _decode_allowances(fields['room']),
+            evacuated=_decode_evacuated(*fields['evacuated']),
             unanswered_by_number={
                 int(number): int(unanswered) for number, unanswered in fields['unanswered']
             },
             callers_by_service=decode_callers(fields.get('callers', [])),
             counts=decode_counts(fields),
-            asked_by_service=decode_asked(fields.get('asked')),
+            asked_by_service=decode_demand(fields.get('asked')),
             hears=decode_centres('hears', fields.get('hears', [])),
             unheard=decode_centres('unheard', fields.get('unheard', [])),
             **flags,
         )
-    except _FORMAT_FAULTS as fault:
-        raise MessageError(f'heartbeat unreadable: {fault!r}') from fault
+    except _FORMAT_ERRORS as error:
+        raise MessageError(f'heartbeat unreadable: {error!r}') from error
 
 
-def _counts_out(heartbeat: Heartbeat) -> dict[str, str]:
+def _encode_counts_if_any(heartbeat: Heartbeat) -> dict[str, str]:
     return {} if heartbeat.counts is None else encode_counts(heartbeat.counts)
 
 
 def encode_view(view: View) -> bytes:
     """Return the body of a view."""
-    return _encoded(
+    return _encode_json(
         {
-            'text': None if view.text is None else _text_out(view.text),
+            'text': None if view.text is None else _encode_text(view.text),
             'text_followed': encode_revision(view.text_followed),
-            'entries': [_entry_out(entry) for entry in view.entries],
+            'entries': [_encode_entry(entry) for entry in view.entries],
             'missing': [
                 (
-                    _entry_out(missing.entry),
+                    _encode_entry(missing.entry),
                     encode_revision(missing.revision),
                     missing.gone_in_s,
                     missing.left,
@@ -184,166 +188,168 @@
         fields = decode_json(raw)
         text = fields['text']
         return View(
-            None if text is None else _text_in(text),
+            None if text is None else _decode_text(text),
             decode_revision(*fields['text_followed']),
-            [_entry_in(entry) for entry in fields['entries']],
-            [_missing_in(missing) for missing in fields['missing']],
+            [_decode_entry(entry) for entry in fields['entries']],
+            [_decode_missing(missing) for missing in fields['missing']],
             decode_revision(*fields['upstreams_followed']),
             decode_revision(*fields['newest']),
             all_missing=bool(fields['all_missing']),
         )
-    except _FORMAT_FAULTS as fault:
-        raise MessageError(f'view unreadable: {fault!r}') from fault
+    except _FORMAT_ERRORS as error:
+        raise MessageError(f'view unreadable: {error!r}') from error
 
 
-def packed(body: bytes) -> bytes:
+def compress_body(body: bytes) -> bytes:
     """Return a body as it goes over the wire.
 
     What goes wrong without it: a view of three thousand upstreams is 590 KB, a link of 20 Mbit/s
     takes longer for two of them than their askers wait, and hosts that start together get
     none.  Packed, with fields by their places, it is 72 KB.
     """
-    return compress(body, _QUICK)
+    return compress(body, _COMPRESSION_LEVEL)
 
 
-def unpacked(raw: bytes) -> bytes:
+def decompress_body(raw: bytes) -> bytes:
     """Return the body that ``packed`` made.  Raises MessageError."""
     reader = decompressobj()
     try:
-        body = reader.decompress(raw, _MOST_BODY)
-    except CompressionError as fault:
-        raise MessageError(f'body unreadable: {fault}') from fault
+        body = reader.decompress(raw, _MAX_BODY_BYTES)
+    except CompressionError as error:
+        raise MessageError(f'body unreadable: {error}') from error
     if not reader.eof:
-        raise MessageError(f'body is cut, or larger than {_MOST_BODY} bytes')
+        raise MessageError(f'body is cut, or larger than {_MAX_BODY_BYTES} bytes')
     return body
 
 
-def _encoded(fields: dict[str, Any]) -> bytes:
-    return encode_json(fields, separators=_COMPACT).encode()
+def _encode_json(fields: dict[str, Any]) -> bytes:
+    return encode_json(fields, separators=_COMPACT_SEPARATORS).encode()
 
 
-def _peer_out(peer: PeerAddress) -> tuple[str, str, str, int]:
+def _encode_peer(peer: PeerAddress) -> tuple[str, str, str, int]:
     return peer.name, peer.data_centre, peer.address[0], peer.address[1]
 
 
-def _peer_in(fields: list[Any]) -> PeerAddress:
+def _decode_peer(fields: list[Any]) -> PeerAddress:
     name, data_centre, host, port = fields
     return PeerAddress(str(name), str(data_centre), (str(host), int(port)))
 
 
-def _shares_out(shares: tuple[FlowShare, ...]) -> list[tuple[str, str, float]]:
+def _encode_shares(shares: tuple[FlowShare, ...]) -> list[tuple[str, str, float]]:
     return [(share.service, share.data_centre, round(share.share, 3)) for share in shares]
 
 
-def _shares_in(fields: list[Any]) -> tuple[FlowShare, ...]:
+def _decode_shares(fields: list[Any]) -> tuple[FlowShare, ...]:
     return tuple(
-        FlowShare(str(service), str(data_centre), _figure_in(share))
+        FlowShare(str(service), str(data_centre), _decode_number(share))
         for service, data_centre, share in fields
     )
 
 
-def _room_out(allowances: tuple[Allowance, ...]) -> list[tuple[str, str, float]]:
+def _encode_allowances(allowances: tuple[Allowance, ...]) -> list[tuple[str, str, float]]:
     return [
         (allowance.service, allowance.data_centre, round(allowance.requests, 1))
         for allowance in allowances
     ]
 
 
-def _room_in(fields: list[Any]) -> tuple[Allowance, ...]:
+def _decode_allowances(fields: list[Any]) -> tuple[Allowance, ...]:
     return tuple(
-        Allowance(str(service), str(data_centre), _figure_in(requests))
+        Allowance(str(service), str(data_centre), _decode_number(requests))
         for service, data_centre, requests in fields
     )
 
 
-def _evacuated_in(as_of: list[Any], centres: list[Any]) -> Evacuated:
+def _decode_evacuated(as_of: list[Any], centres: list[Any]) -> Evacuated:
     names = frozenset(label('evacuated', centre) for centre in centres)
     return Evacuated(decode_revision(*as_of), names)
 
 
-def _figure_in(field: Any) -> float:
+def _decode_number(field: Any) -> float:
     """Return a figure that can be reckoned with: zero or more, and no infinity."""
     figure = float(field)
-    if not 0 <= figure < _ENDLESS:
+    if not 0 <= figure < _INFINITY:
         raise ValueError(f'{figure} is no figure to reckon with')
     return figure
 
 
-def _text_out(text: RoutingText) -> dict[str, Any]:
+def _encode_text(text: RoutingText) -> dict[str, Any]:
     """Return a text with its routes grouped by where they lead and how urgent they are.
 
     What goes wrong with a route an object each: a text of two thousand routes
     is 95 KB, and a data centre of thirty hosts with links of 10 Mbit/s takes
     seconds to pass it on.  Grouped it is a quarter of that.
     """
-    keys_by_kind: dict[_RouteKind, list[str]] = {}
+    keys_by_group: dict[_RouteGroup, list[str]] = {}
     for route in text.route_by_key.values():
         shares = tuple((share.service, share.weight) for share in route.shares)
-        kind = (
+        group = (
             shares,
             route.priority,
             route.timeout_s,
             tuple(sorted(route.homes)),
             route.objective_s,
         )
-        keys_by_kind.setdefault(kind, []).append(route.key.hex())
+        keys_by_group.setdefault(group, []).append(route.key.hex())
     return {
         'generation': text.generation,
         'revision': encode_revision(text.revision),
         'idle_s': text.idle_s,
         'cold_rates': list(text.cold_rate_by_service.items()),
-        'groups': [(*kind, ''.join(keys)) for kind, keys in keys_by_kind.items()],
+        'groups': [(*group, ''.join(keys)) for group, keys in keys_by_group.items()],
     }
 
 
-def _text_in(fields: dict[str, Any]) -> RoutingText:
-    route_by_key = {route.key: route for group in fields['groups'] for route in _routes_in(*group)}
+def _decode_text(fields: dict[str, Any]) -> RoutingText:
+    route_by_key = {
+        route.key: route for group in fields['groups'] for route in _decode_routes(*group)
+    }
     return RoutingText(
         whole_number('generation', fields['generation']),
         decode_revision(*fields['revision']),
         route_by_key,
         float(fields['idle_s']),
-        {str(service): _figure_in(rate) for service, rate in fields['cold_rates']},
+        {str(service): _decode_number(rate) for service, rate in fields['cold_rates']},
     )
 
 
-def _routes_in(
-    listed: list[Any],
+def _decode_routes(
+    encoded_shares: list[Any],
     priority: int,
     timeout_s: float,
-    listed_homes: list[Any],
+    encoded_homes: list[Any],
     objective_s: float,
     keys_hex: str,
 ) -> Iterator[Route]:
-    homes = frozenset(label('homes', region) for region in listed_homes)
-    shares = tuple(ServiceShare(str(service), int(weight)) for service, weight in listed)
+    homes = frozenset(label('homes', region) for region in encoded_homes)
+    shares = tuple(ServiceShare(str(service), int(weight)) for service, weight in encoded_shares)
     keys = bytes.fromhex(keys_hex)
-    for place in range(0, len(keys), _KEY_BYTES):
-        key = keys[place : place + _KEY_BYTES]
+    for offset in range(0, len(keys), _ROUTE_KEY_BYTES):
+        key = keys[offset : offset + _ROUTE_KEY_BYTES]
         yield Route(
             key,
             shares,
             seal_of(key),
             int(priority),
-            _figure_in(timeout_s),
+            _decode_number(timeout_s),
             homes,
-            _figure_in(objective_s),
+            _decode_number(objective_s),
         )
 
 
-def _entry_out(entry: UpstreamEntry) -> list[object]:
+def _encode_entry(entry: UpstreamEntry) -> list[object]:
     """Return an entry by the places of its fields: names would be half of a view."""
     fields = [getattr(entry, name) for name in _ENTRY_FIELDS]
     return [*fields, encode_revision(entry.revision)]
 
 
-def _entry_in(listed: list[Any]) -> UpstreamEntry:
-    *told, revision = listed
-    fields = dict(zip(_ENTRY_FIELDS, told, strict=True))
+def _decode_entry(encoded_entry: list[Any]) -> UpstreamEntry:
+    *encoded, revision = encoded_entry
+    fields = dict(zip(_ENTRY_FIELDS, encoded, strict=True))
     host, port = fields['address']
     return UpstreamEntry(
         name=label('name', fields['name']),
-        number=whole_number('number', fields['number'], most=_MOST_NUMBER),
+        number=whole_number('number', fields['number'], most=_MAX_UPSTREAM_NUMBER),
         service=label('service', fields['service']),
         address=address('address', host, port),
         data_centre=label('data_centre', fields['data_centre']),
@@ -356,10 +362,10 @@
     )
 
 
-def _missing_in(fields: list[Any]) -> MissingEntry:
+def _decode_missing(fields: list[Any]) -> MissingEntry:
     entry, revision, gone_in_s, left = fields
     return MissingEntry(
-        _entry_in(entry),
+        _decode_entry(entry),
         decode_revision(*revision),
         float(gone_in_s),
         left=bool(left),
--- a/src/bronzekeel/entry/peers.py
+++ b/src/bronzekeel/entry/peers.py
@@ -31,29 +31,29 @@
     decode_view,
     encode_heartbeat,
     encode_view,
-    packed,
-    unpacked,
+    compress_body,
+    decompress_body,
 )
-from bronzekeel.entry.port_pair import BIND_TRIES, bind_pair
+from bronzekeel.entry.port_pair import MAX_BIND_ATTEMPTS, bind_pair
 
 
 #: Views that are sent at once; who asks beyond that is refused and asks another
 #: peer at its next heartbeat, which by then has the view.  Source: with two at a
 #: time the hosts that know more than double in each round, and a link that is
 #: shared by more passes its time limit for all of them.
-MOST_SENT_AT_ONCE = 2
+MAX_CONCURRENT_VIEWS = 2
 
-_PATH = '/view/'
-_REVISIONS = 3
+_VIEW_PATH = '/view/'
+_REVISION_COUNT = 3
 
 #: Digits of a text's order at most: a generation, an incarnation and a number of 64 bits each.
-_MOST_DIGITS = 58
-_BATCH = 64
-_MOST_DATAGRAM = 8192
+_MAX_DIGITS = 58
+_BATCH_DATAGRAMS = 64
+_MAX_DATAGRAM_BYTES = 8192
 
 _Emit = Callable[[Event], None]
 _ViewSince = Callable[[Known], View]
-_Fault = Callable[[str, bytes], None]
+_LogBadPacket = Callable[[str, bytes], None]
 
 
 class PeerSockets:
@@ -65,7 +65,7 @@
         address: tuple[str, int],
         emit: _Emit,
         view_since: _ViewSince,
-        note_fault: _Fault,
+        log_bad_packet: _LogBadPacket,
         pages: Mapping[str, Callable[[], bytes]],
     ) -> None:
         """Bind `address`; peers' questions are answered by `view_since`.
@@ -76,12 +76,12 @@
         self._loop = loop
         self._emit = emit
         self._view_since = view_since
-        self._note_fault = note_fault
-        self._fetch: HttpConnection | None = None
-        datagrams, streams = bind_pair(address[0], repeat(address[1], BIND_TRIES))
+        self._log_bad_packet = log_bad_packet
+        self._view_connection: HttpConnection | None = None
+        datagrams, streams = bind_pair(address[0], repeat(address[1], MAX_BIND_ATTEMPTS))
         datagrams.setblocking(False)
         self._socket = datagrams
-        self._server = HttpServer(loop, streams, self._answer_to)
+        self._server = HttpServer(loop, streams, self._handle_request)
         loop.watch(self._socket, EVENT_READ, self._receive)
 
     @property
@@ -91,11 +91,11 @@
 
     def close(self) -> None:
         """Free all sockets."""
-        self._loop.forget(self._socket)
+        self._loop.unwatch(self._socket)
         self._socket.close()
         self._server.close()
-        if self._fetch is not None:
-            self._fetch.close()
+        if self._view_connection is not None:
+            self._view_connection.close()
 
     def send(self, effect: SendHeartbeat) -> None:
         """Send a heartbeat; one that the kernel refuses is lost like any other."""
@@ -103,75 +103,75 @@
         for address in effect.addresses:
             try:
                 self._socket.sendto(raw, address)
-            except OSError as fault:
-                self._note_fault(f'heartbeat: {fault}', raw)
+            except OSError as error:
+                self._log_bad_packet(f'heartbeat: {error}', raw)
 
     def fetch(self, effect: FetchView) -> None:
         """Ask a peer for its view; an older question is given up."""
-        if self._fetch is not None:
-            self._fetch.close()
+        if self._view_connection is not None:
+            self._view_connection.close()
         address = effect.address
-        self._fetch = HttpConnection(self._loop, address)
-        self._fetch.ask(
+        self._view_connection = HttpConnection(self._loop, address)
+        self._view_connection.start_call(
             Call(
-                _target_of(effect.known),
+                _view_target(effect.known),
                 monotonic() + FETCH_S,
-                lambda reply: self._take_view(address, reply),
+                lambda reply: self._handle_view(address, reply),
                 lambda problem: self._emit(ViewFailed(address, problem)),
             ),
         )
 
-    def _take_view(self, address: tuple[str, int], reply: Reply) -> None:
-        if self._fetch is not None:
-            self._fetch.close()
+    def _handle_view(self, address: tuple[str, int], reply: Reply) -> None:
+        if self._view_connection is not None:
+            self._view_connection.close()
         if reply.status != OK:
             self._emit(ViewFailed(address, f'refused with status {reply.status}'))
             return
         try:
-            view = decode_view(unpacked(reply.body))
-        except MessageError as fault:
-            self._emit(ViewFailed(address, str(fault)))
+            view = decode_view(decompress_body(reply.body))
+        except MessageError as error:
+            self._emit(ViewFailed(address, str(error)))
             return
         self._emit(ViewFetched(address, view))
 
     def _receive(self, mask: int) -> None:
-        for _ in range(_BATCH):
+        for _ in range(_BATCH_DATAGRAMS):
             try:
-                raw = self._socket.recv(_MOST_DATAGRAM)
+                raw = self._socket.recv(_MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            except OSError as fault:
-                self._note_fault(f'peers: {fault}', b'')
+            except OSError as error:
+                self._log_bad_packet(f'peers: {error}', b'')
                 return
-            self._take(raw)
+            self._handle_datagram(raw)
 
-    def _take(self, raw: bytes) -> None:
+    def _handle_datagram(self, raw: bytes) -> None:
         try:
             heartbeat = decode_heartbeat(raw)
-        except MessageError as fault:
-            self._note_fault(str(fault), raw)
+        except MessageError as error:
+            self._log_bad_packet(str(error), raw)
             return
         self._emit(HeartbeatHeard(heartbeat))
 
-    def _answer_to(self, target: str) -> Answer:
+    def _handle_request(self, target: str) -> Answer:
         page = self._pages.get(target)
         if page is not None:
             return Answer(OK, page())
-        if not target.startswith(_PATH):
+        if not target.startswith(_VIEW_PATH):
             return Answer(NOT_FOUND)
-        if self._server.sending >= MOST_SENT_AT_ONCE:
+        if self._server.sending >= MAX_CONCURRENT_VIEWS:
             return Answer(UNAVAILABLE)
-        revisions = target.removeprefix(_PATH).split('/')
-        if len(revisions) != _REVISIONS or not all(map(_is_whole, revisions)):
+        revisions = target.removeprefix(_VIEW_PATH).split('/')
+        if len(revisions) != _REVISION_COUNT or not all(map(_is_whole_number, revisions)):
             return Answer(BAD_REQUEST)
         view = self._view_since(Known(*map(int, revisions)))
-        return Answer(OK, packed(encode_view(view)))
+        return Answer(OK, compress_body(encode_view(view)))
 
 
-def _is_whole(text: str) -> bool:
-    return text.isascii() and text.isdecimal() and len(text) <= _MOST_DIGITS
+def _is_whole_number(text: str) -> bool:
+    return text.isascii() and text.isdecimal() and len(text) <= _MAX_DIGITS
 
 
-def _target_of(known: Known) -> str:
+def _view_target(known: Known) -> str:
     revisions = (known.text_order, known.upstreams_revision, known.removals_revision)
-    return _PATH + '/'.join(map(str, revisions))
+    return _VIEW_PATH + '/'.join(map(str, revisions))
--- a/src/bronzekeel/entry/port_pair.py
+++ b/src/bronzekeel/entry/port_pair.py
@@ -7,7 +7,7 @@
 #: Tries to find a port that is free for datagrams and for calls.  Source: a
 #: crowded host has a tenth of its ports in use; twenty tries all fail then
 #: once in 10**20 starts.
-BIND_TRIES = 20
+MAX_BIND_ATTEMPTS = 20
 
 
 def bind_pair(address: str, ports: Iterable[int]) -> tuple[socket, socket]:
@@ -18,18 +18,18 @@
     "address already in use" though any port would do; so each of `ports` is
     tried in turn.  Raises OSError when none is free for both.
     """
-    fault = OSError('no port to try')
+    error = OSError('no port to try')
     for port in ports:
         datagrams = socket(AF_INET, SOCK_DGRAM)
-        calls = socket(AF_INET, SOCK_STREAM)
-        calls.setsockopt(SOL_SOCKET, SO_REUSEADDR, 1)
+        streams = socket(AF_INET, SOCK_STREAM)
+        streams.setsockopt(SOL_SOCKET, SO_REUSEADDR, 1)
         try:
             datagrams.bind((address, port))
-            calls.bind((address, datagrams.getsockname()[1]))
-        except OSError as taken:
-            fault = taken
+            streams.bind((address, datagrams.getsockname()[1]))
+        except OSError as bind_error:
+            error = bind_error
             datagrams.close()
-            calls.close()
+            streams.close()
             continue
-        return datagrams, calls
-    raise fault
+        return datagrams, streams
+    raise error
--- a/src/bronzekeel/entry/ports.py
+++ b/src/bronzekeel/entry/ports.py
@@ -55,7 +55,7 @@
         """Return the datagram that resets the packet's flow at its caller."""
 
 
-class StoreCalls(ABC):
+class StoreFormat(ABC):
     """Spell the calls to the platform's object store and read their answers."""
 
     @abstractmethod
--- a/src/bronzekeel/entry/settings.py
+++ b/src/bronzekeel/entry/settings.py
@@ -19,12 +19,12 @@
 BROKEN_FLOWS = 'broken_flows'
 IMBALANCE = 'imbalance'
 
-_MOST_PORT = 65535
-_MOST_STOP_S = 3600
-_MOST_FIGURE = 1e6
-_USUAL_OVERAGE = 1
-_OCTETS = 4
-_MOST_OCTET = 255
+_MAX_PORT = 65535
+_MAX_STOP_S = 3600
+_MAX_NUMBER = 1e6
+_DEFAULT_COLD_OVERAGE = 1
+_OCTET_COUNT = 4
+_MAX_OCTET = 255
 
 
 class SettingsError(ValueError):
@@ -67,25 +67,25 @@
 
     def __init__(self, fields: Mapping[str, object]) -> None:
         """Check and keep the fields.  Raises SettingsError."""
-        self.name = _text(fields, 'name')
-        self.data_centre = _text(fields, 'data_centre')
+        self.name = _string(fields, 'name')
+        self.data_centre = _string(fields, 'data_centre')
         self.packets = _address(fields, 'packets')
         self.peers = _address(fields, 'peers')
         self.peers_advertised = _address_or_none(fields, 'peers_advertised')
         self.seeds = _addresses(fields, 'seeds')
         self.readiness = _address(fields, 'readiness')
-        self.readiness_path = _text(fields, 'readiness_path')
+        self.readiness_path = _string(fields, 'readiness_path')
         self.store = _address(fields, 'store')
         self.stop_within_s = _seconds(fields, 'stop_within_s')
-        self.region_by_data_centre = _texts_by_name(fields, 'region_by_data_centre')
-        self.cold_overage = _figure(fields, 'cold_overage', _USUAL_OVERAGE, least=1)
-        self.cold_slack = _figure(fields, 'cold_slack', 0)
-        self.link_mbps = _figure(fields, 'link_mbps', 0)
+        self.region_by_data_centre = _string_by_name(fields, 'region_by_data_centre')
+        self.cold_overage = _number(fields, 'cold_overage', _DEFAULT_COLD_OVERAGE, minimum=1)
+        self.cold_slack = _number(fields, 'cold_slack', 0)
+        self.link_mbps = _number(fields, 'link_mbps', 0)
         self.weighs = _one_of(fields, 'weighs', (BROKEN_FLOWS, IMBALANCE))
         self.demand_control = DemandControlMode(
             _one_of(fields, 'demand_control', tuple(DemandControlMode)),
         )
-        self.caller_bits = _whole(fields, 'caller_bits', USUAL_CALLER_BITS, least=1)
+        self.caller_bits = _integer(fields, 'caller_bits', USUAL_CALLER_BITS, minimum=1)
         if fields.get('steering') != STEERING:
             raise SettingsError(f'$.steering: {fields.get("steering")!r} is not {STEERING!r}')
 
@@ -98,35 +98,35 @@
     fields = _read_object(path)
     try:
         return EntrySettings(fields)
-    except SettingsError as fault:
-        raise SettingsError(f'{path}: {fault}; correct it, see docs/OPERATIONS.md') from fault
+    except SettingsError as error:
+        raise SettingsError(f'{path}: {error}; correct it, see docs/OPERATIONS.md') from error
 
 
 def _read_object(path: str) -> dict[str, object]:
     try:
-        with open(path, encoding='utf-8') as lines:
-            fields = decode_json(lines.read())
-    except OSError as fault:
-        raise SettingsError(f'{path}: {fault.strerror}; name a readable file') from fault
-    except (JSONDecodeError, UnicodeDecodeError) as fault:
-        raise SettingsError(f'{path}: $: {fault}; write the settings as JSON') from fault
+        with open(path, encoding='utf-8') as settings_file:
+            fields = decode_json(settings_file.read())
+    except OSError as error:
+        raise SettingsError(f'{path}: {error.strerror}; name a readable file') from error
+    except (JSONDecodeError, UnicodeDecodeError) as error:
+        raise SettingsError(f'{path}: $: {error}; write the settings as JSON') from error
     if not isinstance(fields, dict):
         raise SettingsError(f'{path}: $: no JSON object; write the settings as one object')
     return fields
 
 
-def _text(fields: Mapping[str, object], name: str) -> str:
+def _string(fields: Mapping[str, object], name: str) -> str:
     found = fields.get(name)
     if not isinstance(found, str) or not found:
         raise SettingsError(f'$.{name}: {found!r} is no text')
     return found
 
 
-def _one_of(fields: Mapping[str, object], name: str, known: tuple[str, ...]) -> str:
+def _one_of(fields: Mapping[str, object], name: str, allowed: tuple[str, ...]) -> str:
     """Return a text that is one of `known`; the first when there is none."""
-    found = fields.get(name, known[0])
-    if not isinstance(found, str) or found not in known:
-        choices = ' or '.join(known)
+    found = fields.get(name, allowed[0])
+    if not isinstance(found, str) or found not in allowed:
+        choices = ' or '.join(allowed)
         raise SettingsError(f'$.{name}: {found!r} is not {choices}')
     return found
 
@@ -135,62 +135,62 @@
     listed = fields.get(name)
     if not isinstance(listed, list):
         raise SettingsError(f'$.{name}: {listed!r} is no list of addresses')
-    return tuple(_checked(found, f'{name}[{place}]') for place, found in enumerate(listed))
+    return tuple(_parse_address(found, f'{name}[{index}]') for index, found in enumerate(listed))
 
 
 def _address(fields: Mapping[str, object], name: str) -> tuple[str, int]:
-    return _checked(_text(fields, name), name)
+    return _parse_address(_string(fields, name), name)
 
 
 def _address_or_none(fields: Mapping[str, object], name: str) -> tuple[str, int] | None:
     return _address(fields, name) if name in fields else None
 
 
-def _checked(found: object, name: str) -> tuple[str, int]:
+def _parse_address(found: object, name: str) -> tuple[str, int]:
     if not isinstance(found, str):
         raise SettingsError(f'$.{name}: {found!r} is no text')
     host, _, port = found.rpartition(':')
     octets = host.split('.')
-    is_ip = len(octets) == _OCTETS and all(_is_octet(octet) for octet in octets)
-    if not is_ip or not port.isdecimal() or int(port) > _MOST_PORT:
+    is_ip = len(octets) == _OCTET_COUNT and all(_is_octet(octet) for octet in octets)
+    if not is_ip or not port.isdecimal() or int(port) > _MAX_PORT:
         raise SettingsError(f'$.{name}: {found!r} is no IPv4 number with a port')
     return host, int(port)
 
 
 def _is_octet(octet: str) -> bool:
-    return octet.isdecimal() and int(octet) <= _MOST_OCTET
+    return octet.isdecimal() and int(octet) <= _MAX_OCTET
 
 
-def _texts_by_name(fields: Mapping[str, object], name: str) -> dict[str, str]:
+def _string_by_name(fields: Mapping[str, object], name: str) -> dict[str, str]:
     """Return a table of texts; an empty one when there is none."""
     found = fields.get(name, {})
     if not isinstance(found, dict):
         raise SettingsError(f'$.{name}: {found!r} is no table')
-    return {key: _text(found, key) for key in found}
+    return {key: _string(found, key) for key in found}
 
 
-def _figure(
+def _number(
     fields: Mapping[str, object],
     name: str,
-    usual: float,
-    least: float = 0,
+    default: float,
+    minimum: float = 0,
 ) -> float:
     """Return a number from `least` on; the `usual` one when there is none."""
-    found = fields.get(name, usual)
+    found = fields.get(name, default)
     if isinstance(found, bool) or not isinstance(found, (int, float)):
         raise SettingsError(f'$.{name}: {found!r} is no number')
-    if not least <= found <= _MOST_FIGURE:
-        raise SettingsError(f'$.{name}: {found} is not between {least} and {_MOST_FIGURE}')
+    if not minimum <= found <= _MAX_NUMBER:
+        raise SettingsError(f'$.{name}: {found} is not between {minimum} and {_MAX_NUMBER}')
     return float(found)
 
 
-def _whole(fields: Mapping[str, object], name: str, most: int, least: int) -> int:
+def _integer(fields: Mapping[str, object], name: str, maximum: int, minimum: int) -> int:
     """Return a whole number from `least` to `most`; the latter when there is none."""
-    found = fields.get(name, most)
+    found = fields.get(name, maximum)
     if isinstance(found, bool) or not isinstance(found, int):
         raise SettingsError(f'$.{name}: {found!r} is no whole number')
-    if not least <= found <= most:
-        raise SettingsError(f'$.{name}: {found} is not between {least} and {most}')
+    if not minimum <= found <= maximum:
+        raise SettingsError(f'$.{name}: {found} is not between {minimum} and {maximum}')
     return found
 
 
@@ -198,6 +198,6 @@
     found = fields.get(name)
     if isinstance(found, bool) or not isinstance(found, (int, float)):
         raise SettingsError(f'$.{name}: {found!r} is no number of seconds')
-    if not 0 < found <= _MOST_STOP_S:
-        raise SettingsError(f'$.{name}: {found} is not between 0 and {_MOST_STOP_S}')
+    if not 0 < found <= _MAX_STOP_S:
+        raise SettingsError(f'$.{name}: {found} is not between 0 and {_MAX_STOP_S}')
     return float(found)
--- a/src/bronzekeel/entry/sockets.py
+++ b/src/bronzekeel/entry/sockets.py
@@ -36,7 +36,7 @@
         """Call `callback` with the events that `sock` is ready for."""
 
     @abstractmethod
-    def forget(self, sock: socket) -> None:
+    def unwatch(self, sock: socket) -> None:
         """Stop to watch a socket; one that is not watched is fine."""
 
     @abstractmethod
--- a/src/bronzekeel/platform/client.py
+++ b/src/bronzekeel/platform/client.py
@@ -203,7 +203,7 @@
             method=method,
             body=body,
         )
-        connection.ask(call)
+        connection.start_call(call)
         try:
             reply = await replied
         except CancelledError:
--- a/src/bronzekeel/platform/objects.py
+++ b/src/bronzekeel/platform/objects.py
@@ -40,7 +40,7 @@
     whole_number,
 )
 from bronzekeel.core.routing.revisions import number_of, revision_of
-from bronzekeel.entry.ports import NO_HEADERS, StoreCalls
+from bronzekeel.entry.ports import NO_HEADERS, StoreFormat
 from bronzekeel.platform.bodies import BODY_FAULTS, decode_body
 from bronzekeel.platform.entries import read_entry
 from bronzekeel.platform.incarnations import incarnation_told
@@ -77,7 +77,7 @@
 )
 
 
-class PlatformStore(StoreCalls):
+class PlatformStore(StoreFormat):
     """Translate between the balancer's collections and the store's kinds."""
 
     def page_target(self, effect: ReadPage) -> str:
--- a/src/bronzekeel/platform/start.py
+++ b/src/bronzekeel/platform/start.py
@@ -3,7 +3,7 @@
 import sys
 from os import environ
 
-from bronzekeel.entry.packet_port import bound_packet_port
+from bronzekeel.entry.packet_port import bind_packet_port
 from bronzekeel.entry.settings import SettingsError, read_entry_settings
 
 
@@ -19,7 +19,7 @@
     """
     try:
         settings = read_entry_settings(path)
-        packet_port = bound_packet_port(settings.packets, early)
+        packet_port = bind_packet_port(settings.packets, early)
     except SettingsError as fault:
         return _refused(str(fault))
     except OSError as fault:
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -22,8 +22,8 @@
 from bronzekeel.core.routing.events import StopAsked
 from bronzekeel.entry.daemon import EntryBalancer
 from bronzekeel.entry.http_client import Call, HttpConnection
-from bronzekeel.entry.http_server import OK, Answer, HttpServer, bound_stream
-from bronzekeel.entry.lines import LINES_PER_KIND, MOST_WAITING_BYTES, LineLog
+from bronzekeel.entry.http_server import OK, Answer, HttpServer, bind_stream
+from bronzekeel.entry.lines import MAX_LINES_PER_KIND, MAX_BUFFERED_BYTES, LineLog
 from bronzekeel.entry.loop import Loop
 from bronzekeel.entry.settings import EntrySettings, SettingsError, read_entry_settings
 from bronzekeel.platform.calls import EVACUATIONS_KIND
@@ -121,7 +121,7 @@
 
         def is_written() -> bool:  # noqa: WPS430 (gathers what was read)
             with suppress(BlockingIOError):
-                written.extend(read_bytes(self.reading, MOST_WAITING_BYTES))
+                written.extend(read_bytes(self.reading, MAX_BUFFERED_BYTES))
             whole = written[: written.rfind(b'\n') + 1]
             events = {decode_json(line)['event'] for line in whole.splitlines()}
             return expected <= events
@@ -334,7 +334,7 @@
         around.put_text()
         balancer = around.start_balancer()
         await until(lambda: balancer.state.ready)
-        balancer.loop.call_at(0, lambda: balancer.take(StopAsked()))
+        balancer.loop.call_at(0, lambda: balancer.handle(StopAsked()))
         await until(lambda: balancer.state.stopping.asked)
         self.assertEqual(503, await status_of(balancer))
         await around.send(opening_from(around.caller), balancer)
@@ -448,9 +448,7 @@
         """
         loop = Loop()
         asked: list[str] = []
-        server = HttpServer(
-            loop, bound_stream((_LOOPBACK, 0)), lambda target: _noted(asked, target)
-        )
+        server = HttpServer(loop, bind_stream((_LOOPBACK, 0)), lambda target: _noted(asked, target))
         with socket() as stream:
             stream.connect((_LOOPBACK, server.port))
             loop.call_at(monotonic() + 0.05, lambda: stream.sendall(b'GET /vi'))
@@ -479,7 +477,7 @@
             connection = HttpConnection(loop, silent.getsockname())
             until_s = monotonic() + _PATIENCE_S
             for name in ('first', 'second'):
-                connection.ask(_call_noted(name, until_s, told))
+                connection.start_call(_call_noted(name, until_s, told))
             self._answer_second(loop, silent, told)
         connection.close()
         loop.close()
@@ -552,10 +550,10 @@
         lines.write(LogNumber.FLOW_REFUSED, {}, 2.5)
         lines.flush()
         written = [
-            decode_json(line) for line in read_bytes(reading, MOST_WAITING_BYTES).splitlines()
+            decode_json(line) for line in read_bytes(reading, MAX_BUFFERED_BYTES).splitlines()
         ]
-        self.assertEqual(LINES_PER_KIND + 2, len(written))
-        self.assertEqual(100 - LINES_PER_KIND, written[-1]['left_out'])
+        self.assertEqual(MAX_LINES_PER_KIND + 2, len(written))
+        self.assertEqual(100 - MAX_LINES_PER_KIND, written[-1]['left_out'])
 
     def test_a_reader_that_sleeps_does_not_block(self) -> None:
         """Symptom: a balancer stands still since nobody reads its logs.
@@ -566,10 +564,10 @@
         _, writing = pipe()
         lines = LineLog('a1', writing)
         for second in range(400):
-            for _ in range(LINES_PER_KIND):
+            for _ in range(MAX_LINES_PER_KIND):
                 lines.write(LogNumber.FLOW_PLACED, {'flow': 'x' * 100}, second * 2)
             lines.flush()
-        self.assertLessEqual(lines.waiting_bytes, 2 * MOST_WAITING_BYTES)
+        self.assertLessEqual(lines.buffered_bytes, 2 * MAX_BUFFERED_BYTES)
 
 
 class EntrySettingsTest(TestCase):
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -387,13 +387,13 @@
         """Suspended hosts and stopped processes are noticed, planned waits are not."""
         clocks = {'steady': 10, 'counting': 110}
         detector = PauseDetector(lambda: clocks['steady'], lambda: clocks['counting'])
-        detector.plan(5)
+        detector.start_wait(5)
         clocks.update(steady=15, counting=115)
         self.assertEqual(0, detector.paused_s())
-        detector.plan(0.1)
+        detector.start_wait(0.1)
         clocks.update(counting=119)
         self.assertEqual(4, detector.paused_s())
-        detector.plan(0.1)
+        detector.start_wait(0.1)
         clocks.update(steady=19, counting=123)
         self.assertAlmostEqual(3.9, detector.paused_s())
 
--- a/tests/test_peer_ports.py
+++ b/tests/test_peer_ports.py
@@ -4,7 +4,7 @@
 from socket import socket
 from unittest import TestCase
 
-from bronzekeel.entry.port_pair import BIND_TRIES, bind_pair
+from bronzekeel.entry.port_pair import MAX_BIND_ATTEMPTS, bind_pair
 
 
 _LOOPBACK = '127.0.0.1'
@@ -25,7 +25,7 @@
             other.bind((_LOOPBACK, 0))
             other.listen()
             taken = other.getsockname()[1]
-            datagrams, calls = bind_pair(_LOOPBACK, (taken, *repeat(0, BIND_TRIES)))
+            datagrams, calls = bind_pair(_LOOPBACK, (taken, *repeat(0, MAX_BIND_ATTEMPTS)))
         self.assertEqual(datagrams.getsockname()[1], calls.getsockname()[1])
         self.assertNotEqual(taken, calls.getsockname()[1])
         datagrams.close()
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -27,8 +27,8 @@
     decode_view,
     encode_heartbeat,
     encode_view,
-    packed,
-    unpacked,
+    compress_body,
+    decompress_body,
 )
 from bronzekeel.platform.objects import PlatformStore
 from bronzekeel.platform.packets import PlatformPackets
@@ -477,9 +477,9 @@
         for number, listed in enumerate(entries):
             listed.address = (f'10.0.{number >> 8}.{number & 255}', 80)
         body = encode_view(View(None, 1, entries, [], 1))
-        sent = packed(body)
+        sent = compress_body(body)
         self.assertLess(len(sent), 3000 * 25)
-        self.assertEqual(body, unpacked(sent))
+        self.assertEqual(body, decompress_body(sent))
         back = decode_view(body).entries
         self.assertEqual([item.address for item in entries], [item.address for item in back])
 
@@ -488,14 +488,14 @@
     def test_what_was_not_packed_is_a_fault(self, raw: bytes) -> None:
         """Other bytes, a cut body, and one that would fill the memory."""
         with self.assertRaises(MessageError):
-            unpacked(raw)
+            decompress_body(raw)
         with self.assertRaises(MessageError):
-            unpacked(packed(raw)[:-1])
+            decompress_body(compress_body(raw)[:-1])
 
     def test_a_body_that_would_fill_the_memory(self) -> None:
         """A few bytes may stand for gigabytes."""
         with self.assertRaises(MessageError):
-            unpacked(packed(bytes(20_000_000)))
+            decompress_body(compress_body(bytes(20_000_000)))
 
     @_DERANDOMIZED
     @given(st.binary(max_size=100) | _ANYTHING.map(lambda made: encode_json(made).encode()))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,8 +14,8 @@
 from bronzekeel.core.routing.holding import HOLD_S, MOST_HELD, HeldPackets
 from bronzekeel.core.routing.reducer import STALE_PAUSE_S, reduce
 from bronzekeel.core.routing.state import RoutingState
-from bronzekeel.entry.early_port import bound_early
-from bronzekeel.entry.packet_port import bound_packet_port
+from bronzekeel.entry.early_port import bind_early
+from bronzekeel.entry.packet_port import bind_packet_port
 from bronzekeel.entry.packets import PacketSocket
 from bronzekeel.entry.loop import Loop
 from bronzekeel.platform.packets import PlatformPackets
@@ -89,7 +89,7 @@
         with _bound() as upstream, _bound() as caller:
             packets = _packets_of(loop, state)
             caller.sendto(opening_from(caller), (_LOOPBACK, packets.port))
-            packets.take_batch()
+            packets.receive_batch()
             listed = entry(1)
             listed.address = upstream.getsockname()
             reduce(state, page(Collection.TEXT, text(1, route(_SERVICE_KEY, PORTAL))), 0)
@@ -117,27 +117,27 @@
         """Guards against packets that are lost for the first half of a start."""
         with _bound() as free:
             address = free.getsockname()
-        early = bound_early(['start.py', f'{address[0]}:{address[1]}'])
+        early = bind_early(['start.py', f'{address[0]}:{address[1]}'])
         with _bound() as caller:
             caller.sendto(b'opening', address)
-        with bound_packet_port(address, early) as port:
+        with bind_packet_port(address, early) as port:
             self.assertEqual(early, port.fileno())
             self.assertEqual(b'opening', port.recv(4096))
             self.assertFalse(port.getblocking())
 
     def test_the_settings_decide_where_packets_are_taken(self) -> None:
         """Guards against a host that listens where its settings do not say."""
-        early = bound_early(['start.py', f'{_LOOPBACK}:0'])
+        early = bind_early(['start.py', f'{_LOOPBACK}:0'])
         with _bound() as free:
             address = free.getsockname()
-        with bound_packet_port(address, early) as port:
+        with bind_packet_port(address, early) as port:
             self.assertEqual(address, port.getsockname())
 
     def test_a_start_without_an_address_binds_later(self) -> None:
         """Guards against hosts that do not start from an older deploy file or a wrong word."""
         for words in ([], ['start.py'], ['start.py', ''], ['start.py', '127.0.0.1:x']):
-            self.assertIsNone(bound_early(words))
-        self.assertIsNone(bound_early(['start.py', '127.0.0.1:99999']))
+            self.assertIsNone(bind_early(words))
+        self.assertIsNone(bind_early(['start.py', '127.0.0.1:99999']))
 
     def test_it_loads_next_to_nothing(self) -> None:
         """Guards against a port that is bound after a quarter of the imports."""
@@ -182,7 +182,7 @@
             for number in range(4):
                 caller.sendto(bytes(31 + number), (_LOOPBACK, packets.port))
                 if number == 1:
-                    packets.take_batch()
+                    packets.receive_batch()
             packets.drop_waiting()
         self.assertEqual(4, packets.count_by_fate['stale'])
         packets.close()
@@ -190,7 +190,7 @@
 
 
 def _bound() -> socket:
-    return bound_packet_port((_LOOPBACK, 0))
+    return bind_packet_port((_LOOPBACK, 0))
 
 
 def _packets_of(loop: Loop, state: RoutingState) -> PacketSocket:
