--- a/deploy/archive_modules.py
+++ b/deploy/archive_modules.py
@@ -1,7 +1,7 @@
-"""Write the archive that ``deploy/start.py`` loads its modules from; a step of the build.
+"""Write the archive from which ``deploy/start.py`` loads its modules; a step of the build.
 
-It runs without ``site``, as the start does, and archives what the imports of a start bring in.
-A start needs none of ``typing`` but a few names.
+The script runs without ``site``, as the start does, and archives the modules that the imports of a
+start load.  A start needs only a few names of ``typing``, which ``annotation_names`` replaces.
 """
 
 import sys
@@ -9,12 +9,12 @@
 
 known = frozenset(sys.modules)
 
-from bronzekeel.platform import annotation_names  # noqa: E402 (what is known is noted before)
+from bronzekeel.platform import annotation_names  # noqa: E402 (after `known` is recorded)
 
 
 sys.modules['typing'] = annotation_names
 
-import bronzekeel.entry.daemon  # noqa: E402, F401 (what is known is noted before)
+import bronzekeel.entry.daemon  # noqa: E402, F401 (after `known` is recorded)
 import bronzekeel.platform.objects  # noqa: E402, F401 (likewise)
 import bronzekeel.platform.packets  # noqa: E402, F401 (likewise)
 import bronzekeel.platform.start  # noqa: E402, F401 (likewise)
@@ -23,7 +23,7 @@
 module_by_name = {name: sys.modules[name] for name in frozenset(sys.modules) - known}
 sys.modules.pop('typing')
 
-from pathlib import Path  # noqa: E402 (a start does not need it)
+from pathlib import Path  # noqa: E402 (not needed at a start, so not archived)
 
 from bronzekeel.platform.archive_writer import write_archive  # noqa: E402 (likewise)
 
--- a/src/bronzekeel/entry/__init__.py
+++ b/src/bronzekeel/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Run the lean daemon that steers by connection ids."""
+"""Daemon of the balancer that steers packets by connection ids."""
--- a/src/bronzekeel/entry/caller_fields.py
+++ b/src/bronzekeel/entry/caller_fields.py
@@ -1,4 +1,4 @@
-"""Write and read words on the callers of services that are short, in base 64."""
+"""Encode and decode reports on the callers of overloaded services, as base64 text."""
 
 from base64 import b64decode, b64encode
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 def encode_callers(
     report_by_service: Mapping[str, CallersWord],
 ) -> dict[str, list[tuple[str, str]]]:
-    """Return the field for words on callers; none while nothing is short."""
+    """Return the heartbeat field with reports on callers; no field if there are no reports."""
     if not report_by_service:
         return {}
     encoded = [
@@ -26,7 +26,10 @@
 
 
 def decode_callers(fields: list[Any]) -> dict[str, CallersWord]:
-    """Return the words of a field.  Raises ValueError."""
+    """Return the reports on callers by service.
+
+    Entries beyond ``MOST_SERVICES`` are ignored.  Raises ValueError if a report is malformed.
+    """
     return {
         str(service): unpack_word(b64decode(report, validate=True))
         for service, report in fields[:MOST_SERVICES]
--- a/src/bronzekeel/entry/count_fields.py
+++ b/src/bronzekeel/entry/count_fields.py
@@ -1,4 +1,4 @@
-"""Write and read counts of answers as a short text: eight bytes a count, in base 64."""
+"""Encode and decode counts of answers: eight bytes per count, as base64 text."""
 
 from base64 import b64decode, b64encode
 from collections.abc import Mapping
@@ -10,15 +10,15 @@
 
 _HEAD = Struct('!I')
 
-#: Short number, start, answers, and their means in parts.
+#: Short number and start of the upstream, number of answers, and their sum in parts of a mean.
 _COUNT = Struct('!IBBH')
 
-#: Parts of a mean that are told.  Source: 1,023 means fit in two bytes.
+#: Resolution of sums, in parts of a mean: up to 1,023 means fit into two bytes.
 _PARTS_PER_MEAN = 64
 
 
 def encode_counts(report: ToldCounts) -> dict[str, str]:
-    """Return counts as fields of a message; without pending requests their field is absent."""
+    """Return the message fields for counts; `pending` is omitted if no requests are pending."""
     fields = {'answers': _encode_counts(_HEAD.pack(report.told_ms), report.counts)}
     if report.pending:
         fields['pending'] = _encode_counts(b'', report.pending)
@@ -26,7 +26,10 @@
 
 
 def decode_counts(fields: Mapping[str, Any]) -> ToldCounts | None:
-    """Return the counts in the fields of a message, None if absent.  Raises ValueError."""
+    """Return the counts in the fields of a message, or None if the message has none.
+
+    Raises ValueError if the fields are malformed.
+    """
     if fields.get('answers') is None:
         return None
     raw = b64decode(str(fields['answers']), validate=True)
@@ -47,7 +50,7 @@
 
 def _decode_counts(raw: bytes) -> tuple[AnswerCount, ...]:
     if len(raw) % _COUNT.size:
-        raise ValueError(f'{len(raw)} bytes are no counts of answers')
+        raise ValueError(f'{len(raw)} bytes are not a whole number of counts of answers')
     return tuple(
         AnswerCount(number, start, answers, parts / _PARTS_PER_MEAN)
         for number, start, answers, parts in _COUNT.iter_unpack(raw)
--- a/src/bronzekeel/entry/daemon.py
+++ b/src/bronzekeel/entry/daemon.py
@@ -1,4 +1,4 @@
-"""Wire sockets and decisions into one running balancer."""
+"""Balancer daemon: connects sockets, timers and signals to the reducer."""
 
 from collections.abc import Callable, Mapping
 from gc import enable, freeze
@@ -70,12 +70,12 @@
     {BROKEN_FLOWS: LeastBusy, IMBALANCE: EqualWork},
 )
 
-#: Ticks between two looks at whether the settings file has changed.
+#: Ticks between two checks of the settings file for changes.
 _SETTINGS_CHECK_TICKS = 10
 
 
 class EntryBalancer:
-    """Own the state of one balancer and everything that touches it."""
+    """One balancer: its state, its sockets, and the loop that runs them."""
 
     def __init__(
         self,
@@ -85,9 +85,10 @@
         stream: int = _STDOUT,
         packet_port: socket | None = None,
     ) -> None:
-        """Bind all sockets; nothing is asked of the store before ``start``.
+        """Bind all sockets.  Calls to the store begin with ``start``.
 
-        A `packet_port` that was bound before is used.
+        Log lines go to the file descriptor `stream`.  A `packet_port` that is already bound is
+        used in place of a new socket.  Raises OSError if a port is taken.
         """
         self.loop = Loop()
         me = PeerAddress(settings.name, settings.data_centre, settings.peers)
@@ -140,17 +141,17 @@
 
     @property
     def handled_effects(self) -> frozenset[type[Effect]]:
-        """Kinds of effects that are carried out."""
+        """Classes of the effects that have a handler."""
         return frozenset(self._handlers)
 
     @property
     def store_calls(self) -> int:
-        """Number of calls made to the store."""
+        """Number of calls made to the store since the start."""
         connections = self._connection_by_collection.values()
         return sum(connection.calls for connection in connections)
 
     def start(self) -> None:
-        """Ask the store for everything and begin to tick."""
+        """Start reading the store, and start the periodic tick."""
         self._log(
             LogNumber.STARTED,
             {'packets': self.packets.port, 'processor_s': round(process_time(), 4)},
@@ -159,7 +160,10 @@
         self._tick()
 
     def handle(self, event: Event) -> None:
-        """Reduce one event; a fault in one must not end the balancer."""
+        """Apply an event to the state and carry out the effects.
+
+        An exception in the reducer is logged and must not stop the balancer.
+        """
         now = monotonic()
         try:
             effects = reduce(self.state, event, now)
@@ -175,7 +179,7 @@
         self.packets.resume()
 
     def close(self) -> None:
-        """Free all sockets."""
+        """Flush the log and close all sockets."""
         self._lines.flush()
         self.packets.close()
         self.readiness.close()
@@ -203,7 +207,7 @@
         deadline_at: float,
         read: Callable[[str, int, bytes, Mapping[str, str]], Event],
     ) -> None:
-        """Make a call whose answer is taken as the event that `read` makes of it."""
+        """Call the store; `read` turns the answer into the event to handle."""
         self._connection_by_collection[collection].start_call(
             Call(
                 target,
@@ -236,7 +240,7 @@
         return metrics_of(
             self.state,
             monotonic(),
-            self.packets.count_by_fate,
+            self.packets.count_by_outcome,
             self.store_calls,
             self._lines.left_out,
         )
@@ -252,7 +256,10 @@
 
 
 class _Signals:
-    """Turn signals and a changed settings file into events."""
+    """Turns signals and changes of the settings file into events.
+
+    Signal handlers only set flags; ``poll`` handles them on the loop.
+    """
 
     def __init__(self, balancer: EntryBalancer, path: str) -> None:
         self._balancer = balancer
@@ -266,7 +273,7 @@
         signal(SIGHUP, self._on_reload)
 
     def poll(self) -> None:
-        """Take what has come since the last look; look again a tick later."""
+        """Handle what has occurred since the last poll, and schedule the next one."""
         self._balancer.loop.call_at(monotonic() + TICK_S, self.poll)
         if self._stop_requested:
             self._stop_requested = False
@@ -296,7 +303,7 @@
 
 
 def _file_stamp(path: str) -> tuple[int, int]:
-    """Return what changes when a file is written; zeroes while it cannot be read."""
+    """Return the modification time and size of a file, zeros if it cannot be read."""
     try:
         status = stat(path)
     except OSError:
@@ -311,10 +318,10 @@
     packet_format: PacketFormat,
     store_format: StoreFormat,
 ) -> None:
-    """Run one balancer with the settings read from `path` until it is told to stop.
+    """Run one balancer with the settings read from `path` until it is asked to stop.
 
-    What exists after the start stays: it is left out of garbage collections.
-    Raises OSError when a port is taken.
+    Objects that exist after the start live as long as the process, so they are excluded from
+    garbage collection.  Raises OSError if a port is taken.
     """
     balancer = EntryBalancer(settings, packet_format, store_format, packet_port=packet_port)
     signals = _Signals(balancer, path)
--- a/src/bronzekeel/entry/decision_log.py
+++ b/src/bronzekeel/entry/decision_log.py
@@ -1,4 +1,4 @@
-"""Write the decisions that touch flows as log lines."""
+"""Log lines for placed, refused and reset flows."""
 
 from types import MappingProxyType
 
@@ -22,15 +22,15 @@
 
 
 class LineDecisionLog(DecisionLog):
-    """Write a line for each decision, within the log's bounds."""
+    """Writes a log line for each decision, within the rate limit of the log."""
 
     def __init__(self, lines: LineLog, state: RoutingState) -> None:
-        """Write to `lines`; `state` tells how old the inputs are."""
+        """Write to `lines`; `state` gives the generation of the text in force."""
         self._lines = lines
         self._state = state
 
     def note(self, decision: Decision, now: float) -> None:
-        """Write one decision with what decided it."""
+        """Write a decision with the load of the upstream and pool that it was based on."""
         number = _NUMBER_BY_OUTCOME[decision.outcome]
         if not self._lines.admits(number, now):
             return
@@ -62,7 +62,7 @@
 
 
 def _caller_fields(pool: Pool, flow: bytes, now: float) -> dict[str, object]:
-    """Return what the caller of a flow was given and its share, if shares are known."""
+    """Return the requests served to the caller of a flow and its share, if shares are known."""
     shares = pool.callers
     if shares is None or shares.level == NO_LEVEL:
         return {}
--- a/src/bronzekeel/entry/early_port.py
+++ b/src/bronzekeel/entry/early_port.py
@@ -1,26 +1,27 @@
-"""Bind the port of callers' packets as the first thing of all.
+"""Bind the port for callers' packets before anything else is imported.
 
-What goes wrong without it: after all hosts lost power the fabric sends to hosts that start.  A
-packet that meets no socket is lost; its caller repeats it after 0.2 s and then after 0.4 s more, so
-whoever sent one more than 0.2 s before the port was bound waits for 0.6 s.  The standard library's
-``socket`` and all that reads settings take a quarter of a start; this takes ``_socket``, the part
-of it that the interpreter brings compiled.
+After a power failure of all hosts the fabric sends packets to hosts that are still starting.  A
+packet that arrives before the port is bound is lost.  Its caller retransmits it after 0.2 s and
+again 0.4 s later, so a caller that sent its packet more than 0.2 s before the port was bound waits
+for 0.6 s.  Importing ``socket`` and the modules that read the settings takes a quarter of the
+start-up time, so this module uses only the built-in ``_socket``.
 """
 
 from _socket import AF_INET, SO_RCVBUF, SOCK_DGRAM, SOL_SOCKET, socket
 
 
-#: Bytes that the kernel may hold for us.  Source: two tenths of a second of a
-#: busy host's packets, the time that a start of Python may take on a slow one.
+#: Size of the kernel's receive buffer: the packets of 0.2 s on a busy host, which is how long
+#: Python may take to start on a slow one.
 RECEIVE_BUFFER_BYTES = 1024 * 1024
 
 _BIND_ERRORS = (IndexError, OSError, OverflowError, ValueError)
 
 
 def bind_early(arguments: list[str]) -> int | None:
-    """Return a descriptor bound to the address in a program's first word after its name.
+    """Return the descriptor of a socket bound to the address in the first argument after the name.
 
-    Without one, or when it cannot be bound, the settings say later what is wrong.
+    Returns None if the address is missing, malformed or cannot be bound; reading the settings and
+    binding their address then reports the error.
     """
     try:
         host, port = arguments[1].rsplit(':', 1)
--- a/src/bronzekeel/entry/http_client.py
+++ b/src/bronzekeel/entry/http_client.py
@@ -1,4 +1,4 @@
-"""Call the store, or a peer, over one kept connection, one call at a time."""
+"""HTTP client with one persistent connection, for calls to the store and to peers."""
 
 from collections.abc import Callable, Mapping
 from errno import EINPROGRESS
@@ -24,27 +24,26 @@
 from bronzekeel.entry.sockets import Deadline, SocketLoop
 
 
-#: Seconds of silence after which the kernel asks whether the peer is there,
-#: and between such questions.  Source: a connection that fell silent must be
-#: given up within the four seconds for which the users excuse it.
+#: Idle time before the first TCP keepalive probe, and interval between probes.  A dead connection
+#: must be closed within the four seconds that users tolerate.
 _KEEPALIVE_INTERVAL_S = 1
 
-#: Unanswered questions after which the connection is closed.
+#: Unanswered keepalive probes after which the kernel closes the connection.
 _KEEPALIVE_PROBES = 2
 
-#: Milliseconds for which sent bytes may stay unconfirmed.
+#: Time for which sent bytes may stay unacknowledged before the kernel closes the connection.
 _UNACKNOWLEDGED_MS = 2000
 
 _CHUNK_BYTES = 65536
 
 
 class Reply:
-    """Hold the answer to a call; names of headers are in lower case."""
+    """The response to a call; header names are in lower case."""
 
     __slots__ = ('body', 'header_by_name', 'status')
 
     def __init__(self, status: int, body: bytes, header_by_name: Mapping[str, str]) -> None:
-        """Keep the parts of the answer."""
+        """Initialise a response with its status, body and headers."""
         self.status = status
         self.body = body
         self.header_by_name = header_by_name
@@ -55,7 +54,7 @@
 
 
 class Call:
-    """Hold one call: what is asked, by when, and who is told."""
+    """A request with its deadline and the callbacks for its outcome."""
 
     __slots__ = ('answered', 'body', 'deadline_at', 'failed', 'method', 'target')
 
@@ -68,7 +67,10 @@
         method: str = 'GET',
         body: bytes = b'',
     ) -> None:
-        """Ask for `target`; the answer must be complete at `until`."""
+        """Request `target`; the response must be complete by `deadline_at` (monotonic clock).
+
+        Then `answered` is called with the response, or `failed` with the reason of the failure.
+        """
         self.method = method
         self.target = target
         self.body = body
@@ -78,13 +80,13 @@
 
 
 class HttpConnection:
-    """Own one connection that is opened anew when it is lost.
+    """A persistent connection that is reopened after a failure and carries one call at a time.
 
-    ``calls`` counts what was sent.
+    `calls` counts the calls started.
     """
 
     def __init__(self, loop: SocketLoop, address: tuple[str, int]) -> None:
-        """Connect to `address` with the first call."""
+        """Use the server at `address`; the first call opens the connection."""
         self.calls = 0
         self._loop = loop
         self._address = address
@@ -99,7 +101,7 @@
         self._complete = False
 
     def start_call(self, call: Call) -> None:
-        """Make a call; one in progress is given up without a word."""
+        """Start a call; a call in progress is cancelled without calling back."""
         if self._call is not None:
             self.close()
         self.calls += 1
@@ -115,7 +117,7 @@
             self._fail(str(error))
 
     def close(self) -> None:
-        """Close the connection; a call in progress is given up without a word."""
+        """Close the connection; a call in progress is cancelled without calling back."""
         if self._deadline is not None:
             self._deadline.cancel()
         if self._socket is not None:
@@ -125,15 +127,15 @@
         self._call = None
 
     def on_header(self, name: bytes, header: bytes) -> None:
-        """Take a header of the answer (called by the parser)."""
+        """Add a header of the response (called by the parser)."""
         self._header_by_name[name.decode('latin-1').lower()] = header.decode('latin-1')
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the answer (called by the parser)."""
+        """Add a part of the body (called by the parser)."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole (called by the parser)."""
+        """Mark the response as complete (called by the parser)."""
         self._complete = True
 
     def _encode(self, call: Call) -> bytes:
@@ -170,7 +172,7 @@
             return
         error_number = self._socket.getsockopt(SOL_SOCKET, SO_ERROR)
         if error_number:
-            raise ConnectionError(error_number, 'not connected')
+            raise ConnectionError(error_number, 'connection failed')
         self._connected = True
 
     def _send(self) -> None:
@@ -187,7 +189,7 @@
             return
         chunk = self._socket.recv(_CHUNK_BYTES)
         if not chunk:
-            raise ConnectionError('closed by the store')
+            raise ConnectionError('connection closed by the server')
         self._parser.feed_data(chunk)
         if self._complete:
             self._finish()
@@ -212,7 +214,7 @@
 
     def _on_timeout(self) -> None:
         if self._call is not None and monotonic() >= self._call.deadline_at:
-            self._fail('no answer in time')
+            self._fail('no response before the deadline')
 
     def _fail(self, problem: str) -> None:
         call = self._call
--- a/src/bronzekeel/entry/http_server.py
+++ b/src/bronzekeel/entry/http_server.py
@@ -1,4 +1,4 @@
-"""Answer GET requests over HTTP: the fabric's probes and peers' questions."""
+"""HTTP server for readiness probes of the fabric and for requests of peers."""
 
 from collections.abc import Callable
 from selectors import EVENT_READ, EVENT_WRITE
@@ -17,23 +17,23 @@
 _BACKLOG = 64
 _CHUNK_BYTES = 4096
 
-#: Connections that are held at once.  Source: the fabric has one or two, and
-#: all peers of a data centre may ask at the same moment (``MOST_PEERS``).
+#: Maximum number of open connections.  The fabric uses one or two, and all peers of a data centre
+#: may connect at the same time (``MOST_PEERS``).
 _MAX_CONNECTIONS = 64
 
 
 class Answer:
-    """Hold the answer to one request."""
+    """A response to one request."""
 
     __slots__ = ('body', 'status')
 
     def __init__(self, status: int, body: bytes = b'') -> None:
-        """Answer with `status` and `body`."""
+        """Initialise a response with `status` and `body`."""
         self.status = status
         self.body = body
 
     def encode(self) -> bytes:
-        """Return the answer as it goes over the wire."""
+        """Return the response as HTTP/1.1 bytes."""
         head = f'HTTP/1.1 {self.status} -\r\nContent-Length: {len(self.body)}\r\n\r\n'
         return head.encode() + self.body
 
@@ -42,9 +42,9 @@
 
 
 def bind_stream(address: tuple[str, int]) -> socket:
-    """Return a socket that is to take connections at `address`.
+    """Return a stream socket bound to `address`, not listening yet.
 
-    Raises OSError when the port is taken or the address is not this host's.
+    Raises OSError if the port is taken or the address does not belong to this host.
     """
     bound = socket(AF_INET, SOCK_STREAM)
     bound.setsockopt(SOL_SOCKET, SO_REUSEADDR, 1)
@@ -53,10 +53,10 @@
 
 
 class HttpServer:
-    """Own one listening port."""
+    """A server on one listening socket."""
 
     def __init__(self, loop: Loop, bound: socket, handle_request: _RequestHandler) -> None:
-        """Listen on a `bound` socket; ``answer_to`` is asked for the answer to each target."""
+        """Listen on a `bound` socket; `handle_request` returns the response to a target."""
         self._loop = loop
         self._handle_request = handle_request
         self._connections: set[_Connection] = set()
@@ -67,16 +67,16 @@
 
     @property
     def port(self) -> int:
-        """Port that the socket is bound to."""
+        """Port number of the listening socket."""
         return self._socket.getsockname()[1]
 
     @property
     def sending(self) -> int:
-        """Number of connections whose answers are not yet sent."""
+        """Number of connections with response bytes still to send."""
         return sum(connection.is_sending for connection in self._connections)
 
     def close(self) -> None:
-        """Free the port and close all connections."""
+        """Close the listening socket and all connections."""
         self._loop.unwatch(self._socket)
         self._socket.close()
         for connection in list(self._connections):
@@ -97,7 +97,7 @@
 
 
 class _Connection:
-    """Serve one connection, one request after the other."""
+    """An accepted connection, which serves its requests in order."""
 
     def __init__(
         self,
@@ -117,23 +117,23 @@
 
     @property
     def is_sending(self) -> bool:
-        """Whether a part of an answer is not yet sent."""
+        """Whether response bytes are still to be sent."""
         return bool(self._unsent)
 
     def on_message_begin(self) -> None:
-        """Begin a request (called by the parser)."""
+        """Reset the target for a new request (called by the parser)."""
         self._target = b''
 
     def on_url(self, url: bytes) -> None:
-        """Take the target, which may come in pieces (called by the parser)."""
+        """Append a part of the target, which may arrive in several (called by the parser)."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Answer a request that is whole (called by the parser)."""
+        """Queue the response to a complete request (called by the parser)."""
         self._unsent += self._handle_request(self._target.decode('latin-1')).encode()
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection and remove it from the server."""
         self._loop.unwatch(self._socket)
         self._socket.close()
         self._on_close(self)
@@ -148,7 +148,7 @@
             self.close()
 
     def _receive(self) -> bool:
-        """Read and parse; return whether the peer still sends."""
+        """Read and parse bytes; return False if the client has closed the connection."""
         chunk = self._socket.recv(_CHUNK_BYTES)
         if chunk:
             self._parser.feed_data(chunk)
--- a/src/bronzekeel/entry/initial_state.py
+++ b/src/bronzekeel/entry/initial_state.py
@@ -1,4 +1,4 @@
-"""Make the state of a balancer that starts from its settings."""
+"""Initial state of a balancer, built from its settings."""
 
 from bronzekeel.core.routing.cold_starts import ColdStarts
 from bronzekeel.core.routing.demand_control import DemandControl
@@ -9,7 +9,7 @@
 
 
 def initial_state(me: PeerAddress, settings: EntrySettings) -> RoutingState:
-    """Return the state of the balancer that peers know as `me`; it knows nothing yet."""
+    """Return the state of the balancer `me` before it has received any view or text."""
     peers = PeerTable(me, settings.seeds)
     cold_starts = ColdStarts(
         peers,
--- a/src/bronzekeel/entry/lines.py
+++ b/src/bronzekeel/entry/lines.py
@@ -1,10 +1,9 @@
-"""Write numbered log lines to standard output, bounded and never waiting.
+"""Rate-limited, non-blocking log of numbered events as JSON lines.
 
-What goes wrong without the bounds: a burst or a fault makes thousands of lines
-a second, and writing them takes the processor from the packets that they tell
-of; or nobody reads the pipe, and the write blocks the balancer.  So each kind of
-line has a share per second, what exceeds it is counted, and what the pipe
-does not take is left out and counted too.
+A burst or an error can produce thousands of lines per second, and writing them would take
+processor time from the packets that they are about.  A blocking write would stop the balancer when
+nobody reads the pipe.  So each kind of line has a quota per second, and lines beyond it or beyond
+what the pipe accepts are dropped and counted.
 """
 
 from collections.abc import Callable
@@ -16,21 +15,21 @@
 from bronzekeel.core.log_numbers import LogNumber
 
 
-#: Lines of one kind in a second.  Source: 20 lines take about 0.4 ms of
-#: processor time to make; ten kinds at once stay below a hundredth of a core.
+#: Maximum number of lines of one kind per second.  20 lines take about 0.4 ms of processor time, so
+#: ten kinds at once use less than 1% of a core.
 MAX_LINES_PER_KIND = 20
 
-#: Bytes that wait for a reader at most.
+#: Size of the buffer above which lines are dropped.
 MAX_BUFFERED_BYTES = 65536
 
 _QUOTA_PERIOD_S = 1.0
 
 
 class LineLog:
-    """Collect lines and write them in one piece a tick; count those `left_out`."""
+    """Buffers lines until ``flush`` writes them; `left_out` counts the dropped ones."""
 
     def __init__(self, host: str, stream: int, clock: Callable[[], float] = time) -> None:
-        """Write to the file descriptor `stream`; `clock` gives the time of day."""
+        """Write to the file descriptor `stream`; `clock` returns the time of day."""
         self._host = host
         self._stream = stream
         self._clock = clock
@@ -44,11 +43,11 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that wait for the reader."""
+        """Number of bytes in the buffer."""
         return self._buffered_bytes
 
     def write(self, number: int, fields: dict[str, object], now: float) -> None:
-        """Take one line; `now` is the steady clock."""
+        """Add a line to the buffer, or drop it; `now` is the time of the monotonic clock."""
         if now >= self._refill_at:
             self._refill_at = now + _QUOTA_PERIOD_S
             self._quota_by_number.clear()
@@ -60,14 +59,14 @@
         self._append(self._encode(number, fields, now))
 
     def admits(self, number: int, now: float) -> bool:
-        """Whether a line of this kind would be written; count it if not."""
+        """Return whether the quota allows a line of this kind; count a dropped line if not."""
         if now >= self._refill_at or self._quota_by_number.get(number, 1) > 0:
             return True
         self._count_left_out(number)
         return False
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write as much of the buffer as the stream accepts; discard it if the stream fails."""
         if not self._buffer:
             return
         content = b''.join(self._buffer)
--- a/src/bronzekeel/entry/load_fields.py
+++ b/src/bronzekeel/entry/load_fields.py
@@ -1,6 +1,6 @@
-"""Write and read what balancers tell each other of load that moves.
+"""Encode and decode the heartbeat fields for demand control across data centres.
 
-The fields are left out where they have nothing to tell.
+Fields without content are omitted.
 """
 
 from typing import Any
@@ -12,16 +12,16 @@
 #: Fields that list data centres.
 _CENTRES = ('hears', 'unheard')
 
-#: Data centres that a field lists at most.  Source: ten times those of docs/CAPACITY.md.
+#: Maximum number of data centres in a field: ten times the number in docs/CAPACITY.md.
 _MAX_CENTRES = 60
 
-#: Requests a second of one host or data centre at most.  Source: a thousand times what all are
-#: designed for; a figure beyond it is a mistake.
+#: Maximum rate of one host or data centre, in requests per second.  It is a thousand times the
+#: rate that all data centres together are designed for; a larger figure is an error.
 _MAX_RATE = 280_000_000
 
 
 def encode_load(heartbeat: Heartbeat) -> dict[str, Any]:
-    """Return the fields of a heartbeat that tell of load that moves."""
+    """Return the fields of a heartbeat that report demand and the reachability of data centres."""
     fields: dict[str, Any] = {}
     if heartbeat.asked_by_service is not None:
         fields['asked'] = [
@@ -36,21 +36,21 @@
 
 
 def decode_demand(listed: list[Any] | None) -> dict[str, Asked] | None:
-    """Return what is asked by service, None if it was not told."""
+    """Return the demand by service, or None if the heartbeat does not report it."""
     if listed is None:
         return None
-    return {str(service): _demand_in(rate, lacking) for service, rate, lacking in listed}
+    return {str(service): _demand_in(rate, unserved) for service, rate, unserved in listed}
 
 
 def decode_centres(name: str, listed: list[Any]) -> tuple[str, ...]:
-    """Return the data centres that the field `name` lists."""
+    """Return the data centres in the field `name`; those beyond the maximum are ignored."""
     if not isinstance(listed, list):
-        raise TypeError(f'{name} is no list')
+        raise TypeError(f'{name} is not a list')
     return tuple(label(name, centre) for centre in listed[:_MAX_CENTRES])
 
 
-def _demand_in(rate: Any, lacking: Any) -> Asked:
-    demand = Asked(float(rate), int(lacking))
+def _demand_in(rate: Any, unserved: Any) -> Asked:
+    demand = Asked(float(rate), int(unserved))
     if not 0 <= demand.rate <= _MAX_RATE or not 0 <= demand.lacking <= _MAX_RATE:
-        raise ValueError(f'{rate} and {lacking} are no figures to reckon with')
+        raise ValueError(f'rate {rate} or unserved requests {unserved} are out of range')
     return demand
--- a/src/bronzekeel/entry/loop.py
+++ b/src/bronzekeel/entry/loop.py
@@ -1,8 +1,8 @@
-"""Wait for sockets and deadlines in one thread.
+"""Single-threaded event loop for sockets and deadlines.
 
-``asyncio`` takes 0.06 to 0.09 s of processor time to import, which on a fifth
-of a core is most of the time between a start and the first forwarded packet
-(`bronzekeel bench start`).  ``selectors`` takes a tenth of that.
+Importing ``asyncio`` takes 0.06 to 0.09 s of processor time.  On a fifth of a core that is most of
+the time from the start to the first forwarded packet (`bronzekeel bench start`).  Importing
+``selectors`` takes a tenth of that.
 """
 
 from collections.abc import Callable
@@ -14,23 +14,22 @@
 from bronzekeel.entry.sockets import Deadline, SocketCallback, SocketLoop
 
 
-#: Seconds between two rounds beyond the planned wait that make a pause.
-#: Source: the longest work of one round, a large text read on the smallest
-#: host, takes a tenth of it.
+#: Delay of an iteration beyond its planned wait that counts as a pause: ten times the longest
+#: iteration, in which the smallest host parses a large text.
 PAUSE_S = 0.5
 
 
 def boottime() -> float:
-    """Return the seconds of a clock that counts suspensions too."""
+    """Return the time of a clock that includes the time spent suspended, in seconds."""
     return clock_gettime(CLOCK_BOOTTIME)
 
 
 class PauseDetector:
-    """Tell when the process or its host stood still.
+    """Detects that the process was stopped or its host suspended.
 
-    What goes wrong without it: a host that wakes believes its old view to be
-    current, since its steady clock did not count a suspension, or its word was
-    valid for longer than it slept; it then refuses what is in force by now.
+    Without this, a host that resumes would trust a stale view: the monotonic clock does not count a
+    suspension, and a view may be valid for longer than a short pause.  The host would then refuse
+    what has come into force in the meantime.
     """
 
     def __init__(
@@ -38,18 +37,18 @@
         monotonic_clock: Callable[[], float] = monotonic,
         boottime_clock: Callable[[], float] = boottime,
     ) -> None:
-        """Compare `steady` with `counting`, which counts suspensions too."""
+        """Compare `monotonic_clock` with `boottime_clock`, which includes suspensions."""
         self._monotonic_clock = monotonic_clock
         self._boottime_clock = boottime_clock
         self._wake_expected_at = monotonic_clock()
         self._clock_offset_s = boottime_clock() - self._wake_expected_at
 
     def start_wait(self, wait_s: float | None) -> None:
-        """Note that the next round is due in `wait_s` seconds at the latest."""
+        """Start a wait of at most `wait_s` seconds; None counts as zero."""
         self._wake_expected_at = self._monotonic_clock() + (wait_s or 0)
 
     def paused_s(self) -> float:
-        """Return the seconds that were slept beyond the plan, zero if it was no pause."""
+        """Return the seconds beyond the planned wait, zero unless they exceed `PAUSE_S`."""
         now = self._monotonic_clock()
         offset = self._boottime_clock() - now
         overslept_s = max(now - self._wake_expected_at, 0) + max(offset - self._clock_offset_s, 0)
@@ -58,13 +57,13 @@
 
 
 class Loop(SocketLoop):
-    """Call back for ready sockets and for deadlines that have passed.
+    """Event loop that calls back for ready sockets and for expired deadlines.
 
-    After a pause `on_pause` is called with its length before anything else.
+    After a pause `on_pause` is called with its length in seconds before any other callback.
     """
 
     def __init__(self) -> None:
-        """Start with nothing to wait for."""
+        """Initialise a loop without sockets and deadlines."""
         self.on_pause: Callable[[float], None] | None = None
         self._selector = DefaultSelector()
         self._deadlines: list[Deadline] = []
@@ -73,29 +72,29 @@
 
     @property
     def running(self) -> bool:
-        """Whether it serves."""
+        """Whether ``run`` continues after the current iteration."""
         return self._running
 
     def watch(self, sock: socket, mask: int, callback: SocketCallback) -> None:
-        """Call `callback` with the events that `sock` is ready for."""
+        """Call `callback` with the event mask whenever `sock` is ready for an event in `mask`."""
         if sock.fileno() in self._selector.get_map():
             self._selector.modify(sock, mask, callback)
             return
         self._selector.register(sock, mask, callback)
 
     def unwatch(self, sock: socket) -> None:
-        """Stop to watch a socket; one that is not watched is fine."""
+        """Stop watching a socket; does nothing if it is not watched."""
         if sock.fileno() in self._selector.get_map():
             self._selector.unregister(sock)
 
     def call_at(self, at: float, call: Callable[[], None]) -> Deadline:
-        """Make a call at a moment of the steady clock."""
+        """Schedule a call at a time of the monotonic clock."""
         deadline = Deadline(at, call)
         heappush(self._deadlines, deadline)
         return deadline
 
     def run(self) -> None:
-        """Serve until ``stop``."""
+        """Run callbacks until ``stop`` is called."""
         self._running = True
         while self._running:
             wait_s = self._wait_s()
@@ -107,11 +106,11 @@
             self._call_due(monotonic())
 
     def stop(self) -> None:
-        """Return from ``run`` after the current round."""
+        """Make ``run`` return after the current iteration."""
         self._running = False
 
     def close(self) -> None:
-        """Free the selector."""
+        """Close the selector."""
         self._selector.close()
 
     def _check_pause(self) -> None:
--- a/src/bronzekeel/entry/metrics.py
+++ b/src/bronzekeel/entry/metrics.py
@@ -1,7 +1,7 @@
-"""Write counters, gauges and histograms in the text format of Prometheus.
+"""Metrics of a balancer in the Prometheus text format.
 
-The format takes a few lines; the library that the other daemon uses takes 0.1 s of
-processor time to import, for which the smallest hosts would forward nothing.
+The format needs a few lines of code.  The client library that the other daemon uses takes 0.1 s of
+processor time to import, during which the smallest hosts would not forward packets.
 """
 
 from collections.abc import Callable
@@ -13,45 +13,55 @@
 
 _POOL_METRICS: tuple[tuple[str, str, str, Callable[[Pool], float]], ...] = (
     ('requests_in_progress', 'gauge', 'Requests in progress by service.', lambda pool: pool.busy),
-    ('requests_waiting', 'gauge', 'Requests that wait for room.', lambda pool: pool.waiting),
+    (
+        'requests_waiting',
+        'gauge',
+        'Requests that wait for free capacity.',
+        lambda pool: pool.waiting,
+    ),
     (
         'requests_waiting_open',
         'gauge',
-        'Requests on open flows that wait for room.',
+        'Requests on open flows that wait for free capacity.',
         lambda pool: pool.waiting_open,
     ),
     (
         'callers_above_share',
         'gauge',
-        'Callers whose openings are refused at once.',
+        'Callers above their share, whose opening packets are refused immediately.',
         lambda pool: pool.callers.above if pool.callers else 0,
     ),
     (
         'requests_limit',
         'gauge',
-        'Requests in progress from which others wait.',
+        'Limit of requests in progress, at which further requests wait.',
         lambda pool: pool.limit,
     ),
-    ('flows_refused_total', 'counter', 'Flows that found no room.', lambda pool: pool.refused),
+    (
+        'flows_refused_total',
+        'counter',
+        'Flows refused for lack of free capacity.',
+        lambda pool: pool.refused,
+    ),
 )
 
 
 class MetricsPage:
-    """Collect lines of one page."""
+    """Builder for one page of metrics."""
 
     def __init__(self) -> None:
-        """Start with an empty page."""
+        """Initialise an empty page."""
         self._lines: list[str] = []
 
     def add(self, name: str, kind: str, help_text: str, samples: dict[str, float]) -> None:
-        """Add a metric with its samples by label value; an empty value has no label."""
+        """Add a metric with samples by the value of their label `kind`; '' adds no label."""
         self._add_head(name, kind, help_text)
         for value, number in samples.items():
             label = f'{{kind="{value}"}}' if value else ''
             self._lines.append(f'{name}{label} {number}')
 
     def add_histogram(self, name: str, help_text: str, histogram: Histogram) -> None:
-        """Add a histogram of seconds."""
+        """Add a histogram of durations in seconds."""
         self._add_head(name, 'histogram', help_text)
         total = 0
         for bound, count in zip((*BOUNDS_S, '+Inf'), histogram.counts, strict=True):
@@ -61,7 +71,7 @@
         self._lines.append(f'{name}_count {total}')
 
     def encode(self) -> bytes:
-        """Return the page."""
+        """Return the page as bytes."""
         return '\n'.join((*self._lines, '')).encode()
 
     def _add_head(self, name: str, kind: str, help_text: str) -> None:
@@ -72,14 +82,14 @@
 def metrics_of(
     state: RoutingState,
     now: float,
-    count_by_fate: dict[str, int],
+    count_by_outcome: dict[str, int],
     store_calls: int,
     lines_left_out: int,
 ) -> bytes:
-    """Return a balancer's metrics."""
+    """Return the metrics page of a balancer."""
     page = MetricsPage()
     record = state.store_record
-    page.add('bronzekeel_packets_total', 'counter', 'Packets by fate.', {**count_by_fate})
+    page.add('bronzekeel_packets_total', 'counter', 'Packets by outcome.', {**count_by_outcome})
     page.add('bronzekeel_store_calls_total', 'counter', 'Calls to the store.', {'': store_calls})
     page.add(
         'bronzekeel_objects_unreadable_total',
@@ -90,19 +100,19 @@
     page.add(
         'bronzekeel_store_histories_lost_total',
         'counter',
-        'Watches that the store could not go on with.',
+        'Watches that the store could not continue because their history was gone.',
         {'': record.histories_lost},
     )
     page.add(
         'bronzekeel_texts_refused_total',
         'counter',
-        'Texts that were told and not put in force, since a newer one is.',
+        'Texts received but not applied because a newer one is in force.',
         {'': record.texts_refused},
     )
     page.add(
         'bronzekeel_log_lines_left_out_total',
         'counter',
-        'Log lines beyond the bound of their kind.',
+        'Log lines dropped because of the rate limit of their kind or a full buffer.',
         {'': lines_left_out},
     )
     page.add('bronzekeel_state', 'gauge', 'State of this balancer.', _state_gauges(state, now))
@@ -113,31 +123,31 @@
     page.add(
         'bronzekeel_learned_speed',
         'gauge',
-        'Speeds of upstreams that differ from the mean of their service.',
+        'Learned speeds of upstreams that differ from the mean of their service.',
         _speed_range(state.demand.capacities.learned_speeds),
     )
     page.add(
         'bronzekeel_flows_sent_elsewhere_total',
         'counter',
-        'Flows sent to other data centres where demand is controlled, by reason.',
+        'Flows of demand-controlled services sent to other data centres, by reason.',
         {**state.demand.moving.departures.flows_by_reason},
     )
     page.add(
         'bronzekeel_requests_allowed_elsewhere',
         'gauge',
-        'Requests that may be in progress in other data centres, for flows without room at home.',
+        'Allowed requests in progress in remote data centres for flows without local capacity.',
         _remote_allowances(state),
     )
     page.add_histogram(
         'bronzekeel_answer_seconds',
-        'From the last bytes of a request to the acknowledgement of its answer.',
+        'Time from the last bytes of a request to the acknowledgement of its answer.',
         state.flows.answers,
     )
     return page.encode()
 
 
 def _remote_allowances(state: RoutingState) -> dict[str, float]:
-    """Return the allowances in force of this balancer, by service."""
+    """Return the allowances of this balancer in remote data centres, summed by service."""
     allowed_by_service: dict[str, float] = {}
     local_centre = state.peers.me.data_centre
     for pool in state.directory.pools_elsewhere(local_centre).values():
--- a/src/bronzekeel/entry/packet_port.py
+++ b/src/bronzekeel/entry/packet_port.py
@@ -1,9 +1,8 @@
-"""Bind the port of callers' packets, before anything else is loaded.
+"""Bind the port for callers' packets before the rest of the program is loaded.
 
-What goes wrong without it: loading the rest of a balancer takes a tenth of a
-second and more on a small host.  After all hosts lost power the fabric sends to
-them meanwhile, and a packet that meets no socket is lost until its caller sends
-it again.  What meets this socket waits in the kernel.
+Loading the rest takes 0.1 s or more on a small host.  After a power failure of all hosts the fabric
+sends packets in the meantime.  A packet that arrives before the port is bound is lost until its
+caller retransmits it; once the port is bound, packets wait in the kernel.
 """
 
 from socket import AF_INET, SO_RCVBUF, SOCK_DGRAM, SOL_SOCKET, socket
@@ -12,10 +11,10 @@
 
 
 def bind_packet_port(address: tuple[str, int], early_descriptor: int | None = None) -> socket:
-    """Return a socket that takes datagrams at `address`.
+    """Return a non-blocking datagram socket bound to `address`.
 
-    A descriptor that was bound `early` is used if that is its address.  Raises OSError when
-    the port is taken or the address is not this host's.
+    The socket of `early_descriptor` is reused if it has this address, and closed otherwise.  Raises
+    OSError if the port is taken or the address does not belong to this host.
     """
     if early_descriptor is not None:
         reused = socket(AF_INET, SOCK_DGRAM, fileno=early_descriptor)
--- a/src/bronzekeel/entry/packets.py
+++ b/src/bronzekeel/entry/packets.py
@@ -1,4 +1,4 @@
-"""Receive packets, ask for their verdicts, and send them on their path."""
+"""Data path: receives packets, applies the steering verdict, and forwards them."""
 
 from collections.abc import Callable
 from selectors import EVENT_READ
@@ -15,7 +15,7 @@
 from bronzekeel.entry.ports import PacketFormat
 
 
-#: Datagrams taken before probes and the store get their turn.
+#: Maximum number of datagrams read before other sockets and deadlines are served.
 _BATCH_DATAGRAMS = 64
 _MAX_DATAGRAM_BYTES = 2048
 _DELIVERED = 'delivered'
@@ -23,15 +23,15 @@
 _STALE = 'stale'
 _LINK_FULL = 'no_room_on_link'
 
-#: Flows whose path is kept at most; with more all are looked up anew.
-#: Source: as many as are remembered (``MOST_FLOWS``).
+#: Maximum number of cached paths, the same as of flows (``MOST_FLOWS``).  The cache is cleared when
+#: it exceeds the limit.
 _MAX_PATHS = MOST_FLOWS
 
 _LogBadPacket = Callable[[str, bytes], None]
 
 
 class _CachedPath:
-    """Hold where ordinary packets of one flow go."""
+    """The cached path for ordinary packets of one flow."""
 
     __slots__ = ('address', 'flow', 'pool', 'prefix')
 
@@ -43,13 +43,12 @@
 
 
 class PacketSocket:
-    """Own the UDP socket for packets of flows.
+    """The UDP socket for packets of flows.
 
-    Most packets are ordinary ones of flows that were seen before.  Their path is
-    kept until the state's epoch changes: a packet takes 4.1 us of processor
-    time by it and 9.2 us by a decision (`bench forward`, median of 300 rounds).
-    `count_by_fate` tells what became of all packets.  Those that come before
-    the state is ready are held until ``release_held``.
+    Most packets are ordinary ones of known flows.  Their path is cached until the state's epoch
+    changes: forwarding on a cached path takes 4.1 us of processor time, a steering decision 9.2 us
+    (`bench forward`, median of 300 rounds).  `count_by_outcome` counts all packets by outcome.
+    Packets that arrive before the state is ready are held until ``release_held``.
     """
 
     def __init__(
@@ -62,9 +61,9 @@
         clock: Callable[[], float] = monotonic,
         link: LinkQueue | None = None,
     ) -> None:
-        """Start to take packets of a `bound` socket; `steering` decides.
+        """Start to receive packets on a `bound` socket and steer them by `steering`.
 
-        With a `link` datagrams leave at its rate.
+        With a `link` datagrams are sent at its rate; without one they are sent immediately.
         """
         self._link = link
         self._clock = clock
@@ -88,8 +87,8 @@
         loop.watch(self._socket, EVENT_READ, self.receive_batch)
 
     @property
-    def count_by_fate(self) -> dict[str, int]:
-        """Packets by what became of them."""
+    def count_by_outcome(self) -> dict[str, int]:
+        """Number of packets by outcome."""
         counts = dict(self._count_by_fate)
         counts[_DELIVERED] = counts.get(_DELIVERED, 0) + self._forwarded_by_path
         if self._link is not None:
@@ -98,16 +97,16 @@
 
     @property
     def port(self) -> int:
-        """Port that the socket is bound to."""
+        """Port number of the socket."""
         return self._socket.getsockname()[1]
 
     def close(self) -> None:
-        """Free the socket."""
+        """Close the socket."""
         self._loop.unwatch(self._socket)
         self._socket.close()
 
     def receive_batch(self, mask: int = EVENT_READ) -> None:
-        """Take the packets that wait, up to a batch."""
+        """Receive and process the packets that wait in the kernel, up to one batch."""
         now = self._clock()
         self.last_packet_at = now
         if self._state.epoch != self._epoch or len(self._path_by_key) > _MAX_PATHS:
@@ -118,7 +117,7 @@
         self.resume()
 
     def resume(self) -> None:
-        """Send on or refuse the requests that wait no longer."""
+        """Forward or refuse the requests whose wait has ended."""
         if not self._state.waiting:
             return
         for packet, verdict in self._steering.resume(self._clock()):
@@ -129,7 +128,7 @@
             self._loop.call_at(deadline_at, self.resume)
 
     def release_held(self) -> None:
-        """Decide on the packets that came before the state was ready."""
+        """Process the packets that arrived before the state was ready."""
         if not self._held or not self._state.ready:
             return
         now = self._clock()
@@ -137,7 +136,7 @@
             self._process(raw, now)
 
     def drop_waiting(self) -> None:
-        """Drop and count the packets that wait in the kernel, here, and for the link."""
+        """Drop and count the packets in the kernel, among the held ones and in the link queue."""
         if self._link is not None:
             self._count(_STALE, self._link.drop())
         self._count(_STALE, self._held.drop())
@@ -164,7 +163,7 @@
         return True
 
     def _forward_ordinary(self, raw: bytes, now: float) -> bool:
-        """Send an ordinary packet on its kept path; return whether it has one."""
+        """Forward an ordinary packet on its cached path; return False if that is not possible."""
         if len(raw) < self._head_bytes:
             return False
         payload_bytes, key, flags, sequence, acknowledged = self._positions(raw)
@@ -214,7 +213,7 @@
         self._path_by_key[key] = _CachedPath(prefix, upstream, verdict.flow)
 
     def _transmit(self, key: bytes, raw: bytes, address: tuple[str, int], now: float) -> None:
-        """Send a datagram now, or when the link has room for it."""
+        """Send a datagram now, or queue it until the link has capacity."""
         link = self._link
         if link is None or link.passes(len(raw), now):
             self._send(raw, address)
@@ -225,7 +224,7 @@
             self._loop.call_at(link.next_at, self._send_queued)
 
     def _send_queued(self) -> None:
-        """Send what the link has room for, and come again while something waits."""
+        """Send the queued datagrams that are due, and reschedule while any remain."""
         link = self._link
         if link is None:
             return
@@ -237,7 +236,7 @@
             self._loop.call_at(link.next_at, self._send_queued)
 
     def _send(self, raw: bytes, address: tuple[str, int]) -> None:
-        """Send a datagram; one that the kernel refuses is lost like any other."""
+        """Send a datagram; one that the kernel rejects is counted and lost."""
         try:
             self._socket.sendto(raw, address)
         except OSError as error:
@@ -247,5 +246,5 @@
         self._count('send_error')
         self._log_bad_packet(f'send: {error}', raw)
 
-    def _count(self, fate: str, packets: int = 1) -> None:
-        self._count_by_fate[fate] = self._count_by_fate.get(fate, 0) + packets
+    def _count(self, outcome: str, packets: int = 1) -> None:
+        self._count_by_fate[outcome] = self._count_by_fate.get(outcome, 0) + packets
--- a/src/bronzekeel/entry/peer_messages.py
+++ b/src/bronzekeel/entry/peer_messages.py
@@ -1,7 +1,7 @@
-"""Write and read what balancers tell each other, as JSON.
+"""Encode and decode messages between balancers as JSON.
 
-A field that is not there or is of the wrong kind makes the whole message
-unreadable: a peer of another version must not be half understood.
+A missing field or one of the wrong type makes the whole message unreadable, so that a message of
+another version is never applied in part.
 """
 
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 from json import loads as decode_json
 from typing import Any
 from zlib import compress, decompressobj
-from zlib import error as CompressionError  # noqa: N812 (a class in spite of its name)
+from zlib import error as CompressionError  # noqa: N812 (it is a class)
 
 from bronzekeel.core.routing.connection_ids import seal_of
 from bronzekeel.core.routing.field_checks import (
@@ -41,7 +41,7 @@
 )
 
 
-#: What a message of the wrong shape raises while it is read.
+#: Exceptions that decoding a malformed message can raise.
 _FORMAT_ERRORS = (
     KeyError,
     TypeError,
@@ -52,26 +52,27 @@
     RecursionError,
 )
 
-#: Level of compression.  Source: 6 ms of processor time for 590 KB; higher ones save a tenth.
+#: zlib level: 6 ms of processor time for 590 KB; higher levels make the body only 10% smaller.
 _COMPRESSION_LEVEL = 1
 
-#: Bytes of a body at most.  Source: five times 27,000 upstreams of 92 bytes and 9,200 routes of 21.
+#: Maximum size of a decompressed body: five times the size of 27,000 upstreams of 92 bytes and
+#: 9,200 routes of 21 bytes.
 _MAX_BODY_BYTES = 16_000_000
 
 _COMPACT_SEPARATORS = (',', ':')
 
-#: Bytes of a route's address and port.
+#: Size of a route key, an IPv4 address and a port.
 _ROUTE_KEY_BYTES = 6
 _INFINITY = float('inf')
 
-#: Largest number of an upstream: 64 bits stand before packets.
+#: Largest number of an upstream, which is written as 64 bits in front of packets.
 _MAX_UPSTREAM_NUMBER = 0xFFFFFFFFFFFFFFFF
 
-#: What routes have in common that are told together: services with weights, priority, seconds
-#: to the time limit, homes, seconds of the latency objective.
+#: Properties that the routes of a group have in common: services with weights, priority, time limit
+#: in seconds, home regions, latency objective in seconds.
 _RouteGroup = tuple[tuple[tuple[str, int], ...], int, float, tuple[str, ...], float]
 
-#: Fields of an entry in the order in which they are told; the revision follows them.
+#: Fields of an entry in the order in which they are sent; the revision follows them.
 _ENTRY_FIELDS = (
     'name',
     'number',
@@ -88,11 +89,11 @@
 
 
 class MessageError(ValueError):
-    """Tell that a peer's message is unreadable; compare the peers' versions."""
+    """Raised for an unreadable message of a peer; the peers' versions may differ."""
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
-    """Return the datagram of a heartbeat."""
+    """Return a heartbeat as a datagram."""
     return _encode_json(
         {
             'from': _encode_peer(heartbeat.sender),
@@ -124,7 +125,7 @@
 
 
 def decode_heartbeat(raw: bytes) -> Heartbeat:
-    """Return the heartbeat of a datagram.  Raises MessageError."""
+    """Return the heartbeat in a datagram.  Raises MessageError."""
     try:
         fields = decode_json(raw)
         flags = dict(zip(_FLAGS, map(bool, fields['flags']), strict=True))
@@ -160,7 +161,7 @@
 
 
 def encode_view(view: View) -> bytes:
-    """Return the body of a view."""
+    """Return a view as an uncompressed body."""
     return _encode_json(
         {
             'text': None if view.text is None else _encode_text(view.text),
@@ -183,7 +184,7 @@
 
 
 def decode_view(raw: bytes) -> View:
-    """Return the view of a body.  Raises MessageError."""
+    """Return the view in an uncompressed body.  Raises MessageError."""
     try:
         fields = decode_json(raw)
         text = fields['text']
@@ -201,24 +202,24 @@
 
 
 def compress_body(body: bytes) -> bytes:
-    """Return a body as it goes over the wire.
+    """Return a body compressed for sending.
 
-    What goes wrong without it: a view of three thousand upstreams is 590 KB, a link of 20 Mbit/s
-    takes longer for two of them than their askers wait, and hosts that start together get
-    none.  Packed, with fields by their places, it is 72 KB.
+    A view of 3,000 upstreams is 590 KB uncompressed.  Sending two of them over a 20 Mbit/s link
+    takes longer than the requesting peers wait, so hosts that start together would receive none.
+    Compressed, with fields by position, it is 72 KB.
     """
     return compress(body, _COMPRESSION_LEVEL)
 
 
 def decompress_body(raw: bytes) -> bytes:
-    """Return the body that ``packed`` made.  Raises MessageError."""
+    """Return the body that `compress_body` compressed.  Raises MessageError."""
     reader = decompressobj()
     try:
         body = reader.decompress(raw, _MAX_BODY_BYTES)
     except CompressionError as error:
         raise MessageError(f'body unreadable: {error}') from error
     if not reader.eof:
-        raise MessageError(f'body is cut, or larger than {_MAX_BODY_BYTES} bytes')
+        raise MessageError(f'body is truncated or larger than {_MAX_BODY_BYTES} bytes')
     return body
 
 
@@ -266,19 +267,18 @@
 
 
 def _decode_number(field: Any) -> float:
-    """Return a figure that can be reckoned with: zero or more, and no infinity."""
-    figure = float(field)
-    if not 0 <= figure < _INFINITY:
-        raise ValueError(f'{figure} is no figure to reckon with')
-    return figure
+    """Return a finite number that is not negative.  Raises ValueError for any other."""
+    number = float(field)
+    if not 0 <= number < _INFINITY:
+        raise ValueError(f'{number} is not a finite number of zero or more')
+    return number
 
 
 def _encode_text(text: RoutingText) -> dict[str, Any]:
-    """Return a text with its routes grouped by where they lead and how urgent they are.
+    """Return the fields of a text, with routes grouped by their common properties.
 
-    What goes wrong with a route an object each: a text of two thousand routes
-    is 95 KB, and a data centre of thirty hosts with links of 10 Mbit/s takes
-    seconds to pass it on.  Grouped it is a quarter of that.
+    With one object per route, a text of 2,000 routes is 95 KB and takes seconds to spread through a
+    data centre of 30 hosts with 10 Mbit/s links.  Grouped, it is a quarter of that size.
     """
     keys_by_group: dict[_RouteGroup, list[str]] = {}
     for route in text.route_by_key.values():
@@ -338,7 +338,7 @@
 
 
 def _encode_entry(entry: UpstreamEntry) -> list[object]:
-    """Return an entry by the places of its fields: names would be half of a view."""
+    """Return the fields of an entry by position; field names would be half of a view."""
     fields = [getattr(entry, name) for name in _ENTRY_FIELDS]
     return [*fields, encode_revision(entry.revision)]
 
--- a/src/bronzekeel/entry/peers.py
+++ b/src/bronzekeel/entry/peers.py
@@ -1,9 +1,8 @@
 """Exchange heartbeats and views with other balancers.
 
-Heartbeats are datagrams: a lost one is replaced by the next.  Views are asked
-for over HTTP, with the client and the server that the store and the fabric
-already need.  gRPC, which the other way of steering uses between processes,
-takes 0.2 s of processor time to import.
+Heartbeats are datagrams; the next one makes up for a lost one.  Views are requested over HTTP, with
+the client that calls the store and the server that answers the fabric's probes.  gRPC, which the
+other steering mode uses between processes, takes 0.2 s of processor time to import.
 """
 
 from collections.abc import Callable, Mapping
@@ -37,16 +36,16 @@
 from bronzekeel.entry.port_pair import MAX_BIND_ATTEMPTS, bind_pair
 
 
-#: Views that are sent at once; who asks beyond that is refused and asks another
-#: peer at its next heartbeat, which by then has the view.  Source: with two at a
-#: time the hosts that know more than double in each round, and a link that is
-#: shared by more passes its time limit for all of them.
+#: Maximum number of views sent at the same time.  A refused peer asks another one, which has the
+#: view by then, at the next heartbeat.  With two at a time the number of hosts that have the view
+#: more than doubles in each round; with more sharing the link, all of them would time out.
 MAX_CONCURRENT_VIEWS = 2
 
 _VIEW_PATH = '/view/'
 _REVISION_COUNT = 3
 
-#: Digits of a text's order at most: a generation, an incarnation and a number of 64 bits each.
+#: Maximum number of digits of a text order, which consists of a generation, an incarnation and a
+#: number of 64 bits each.
 _MAX_DIGITS = 58
 _BATCH_DATAGRAMS = 64
 _MAX_DATAGRAM_BYTES = 8192
@@ -57,7 +56,7 @@
 
 
 class PeerSockets:
-    """Own the port that peers talk to, for datagrams and for HTTP."""
+    """The port for messages of peers, over UDP and over HTTP."""
 
     def __init__(
         self,
@@ -68,9 +67,10 @@
         log_bad_packet: _LogBadPacket,
         pages: Mapping[str, Callable[[], bytes]],
     ) -> None:
-        """Bind `address`; peers' questions are answered by `view_since`.
+        """Bind `address` for datagrams and streams.  Raises OSError if that is not possible.
 
-        `pages` are served beside, by their path.
+        Received messages are passed to `emit`, and `view_since` returns the view for a peer's
+        request.  `pages` are further pages by path.
         """
         self._pages = pages
         self._loop = loop
@@ -86,11 +86,11 @@
 
     @property
     def port(self) -> int:
-        """Port that both sockets are bound to."""
+        """Port number of both sockets."""
         return self._server.port
 
     def close(self) -> None:
-        """Free all sockets."""
+        """Close all sockets."""
         self._loop.unwatch(self._socket)
         self._socket.close()
         self._server.close()
@@ -98,7 +98,7 @@
             self._view_connection.close()
 
     def send(self, effect: SendHeartbeat) -> None:
-        """Send a heartbeat; one that the kernel refuses is lost like any other."""
+        """Send a heartbeat; one that the kernel rejects is logged and lost."""
         raw = encode_heartbeat(effect.heartbeat)
         for address in effect.addresses:
             try:
@@ -107,7 +107,7 @@
                 self._log_bad_packet(f'heartbeat: {error}', raw)
 
     def fetch(self, effect: FetchView) -> None:
-        """Ask a peer for its view; an older question is given up."""
+        """Request the view of a peer; a request in progress is cancelled."""
         if self._view_connection is not None:
             self._view_connection.close()
         address = effect.address
--- a/src/bronzekeel/entry/port_pair.py
+++ b/src/bronzekeel/entry/port_pair.py
@@ -1,24 +1,23 @@
-"""Bind one port for datagrams and for streams."""
+"""Bind the same port number for datagrams and for streams."""
 
 from collections.abc import Iterable
 from socket import AF_INET, SO_REUSEADDR, SOCK_DGRAM, SOCK_STREAM, SOL_SOCKET, socket
 
 
-#: Tries to find a port that is free for datagrams and for calls.  Source: a
-#: crowded host has a tenth of its ports in use; twenty tries all fail then
-#: once in 10**20 starts.
+#: Maximum number of attempts to find a port that is free for datagrams and for streams.  On a host
+#: with a tenth of its ports in use, 20 attempts all fail once in 10**20 starts.
 MAX_BIND_ATTEMPTS = 20
 
 
 def bind_pair(address: str, ports: Iterable[int]) -> tuple[socket, socket]:
-    """Return a datagram and a stream socket on the same port.
+    """Return a datagram socket and a stream socket bound to the same port.
 
-    What goes wrong with one try: port 0 gives a port that is free for
-    datagrams, and another process has it for streams.  One notices by an
-    "address already in use" though any port would do; so each of `ports` is
-    tried in turn.  Raises OSError when none is free for both.
+    For port 0 the kernel picks a port that is free for datagrams, but another process may use it
+    for streams.  With a single attempt binding would fail with "address already in use" although
+    any port would do, so each of `ports` is tried in turn.  Raises OSError if none is free for
+    both.
     """
-    error = OSError('no port to try')
+    error = OSError('no ports to bind')
     for port in ports:
         datagrams = socket(AF_INET, SOCK_DGRAM)
         streams = socket(AF_INET, SOCK_STREAM)
--- a/src/bronzekeel/entry/ports.py
+++ b/src/bronzekeel/entry/ports.py
@@ -1,6 +1,6 @@
-"""Define what the daemon needs of the platform that it runs on.
+"""Interfaces between the daemon and the platform that it runs on.
 
-An implementation translates names, formats and calls, and decides nothing.
+Implementations translate names, formats and calls; they make no decisions.
 """
 
 from abc import ABC, abstractmethod
@@ -15,20 +15,19 @@
 Address = tuple[str, int]
 Datagram = tuple[bytes, Address]
 
-#: Headers of an answer that has none.
+#: Headers of a response without headers.
 NO_HEADERS: Mapping[str, str] = MappingProxyType({})
 
 
-#: Payload length, what names flow and id, flags, sequence, acknowledgement.
+#: Payload length, key of the flow and connection id, flags, sequence, acknowledgement.
 Positions = tuple[int, bytes, int, int, int]
 
 
 class PacketFormat(ABC):
-    """Read and write datagrams.
+    """Parser and serialiser for datagrams.
 
-    Most packets are ordinary: their head is `head_bytes` long and has
-    `ordinary_flags`; ``positions`` reads it in one call, and ``read`` is for
-    all others.
+    Most packets are ordinary: they have a head of `head_bytes` with `ordinary_flags`, which
+    ``positions`` parses in one call.  All other packets are parsed by ``read``.
     """
 
     head_bytes: int
@@ -37,26 +36,26 @@
 
     @abstractmethod
     def read(self, raw: bytes) -> FlowPacket | str:
-        """Return the packet of a caller's datagram, or the kind of its fault."""
+        """Return the packet in a datagram of a caller, or the kind of error if it is malformed."""
 
     @abstractmethod
     def prefix(self, upstream: Upstream) -> bytes:
-        """Return what stands before every packet for an upstream."""
+        """Return the bytes that precede each packet to an upstream."""
 
     @abstractmethod
     def delivery(self, packet: FlowPacket, upstream: Upstream, connection_id: int) -> Datagram:
-        """Return the datagram that brings a packet to an upstream.
+        """Return the datagram that delivers a packet to an upstream.
 
-        A `connection_id` other than zero is written into the packet.
+        A non-zero `connection_id` is written into the packet.
         """
 
     @abstractmethod
     def reset(self, packet: FlowPacket) -> Datagram:
-        """Return the datagram that resets the packet's flow at its caller."""
+        """Return the datagram that resets the flow of a packet at its caller."""
 
 
 class StoreFormat(ABC):
-    """Spell the calls to the platform's object store and read their answers."""
+    """Format of calls to the platform's object store and of its responses."""
 
     @abstractmethod
     def page_target(self, effect: ReadPage) -> str:
@@ -64,7 +63,7 @@
 
     @abstractmethod
     def watch_target(self, effect: WatchChanges) -> str:
-        """Return the HTTP target that waits for changes."""
+        """Return the HTTP target that waits for changes (a watch)."""
 
     @abstractmethod
     def read_page(
@@ -74,7 +73,7 @@
         body: bytes,
         header_by_name: Mapping[str, str] = NO_HEADERS,
     ) -> Event:
-        """Return what the answer to a page tells; names of headers are in lower case."""
+        """Return the event for the response to a page; header names are in lower case."""
 
     @abstractmethod
     def read_changes(
@@ -84,4 +83,4 @@
         body: bytes,
         header_by_name: Mapping[str, str] = NO_HEADERS,
     ) -> Event:
-        """Return what the answer to a watch tells; names of headers are in lower case."""
+        """Return the event for the response to a watch; header names are in lower case."""
--- a/src/bronzekeel/entry/revision_fields.py
+++ b/src/bronzekeel/entry/revision_fields.py
@@ -1,6 +1,6 @@
-"""Write and read revisions in what balancers tell each other, in their parts.
+"""Encode and decode revisions in messages between balancers, split into their parts.
 
-As one number a revision has twenty digits, which is dear in heartbeats.
+As a single number a revision has twenty digits, which is too long for heartbeats.
 """
 
 from typing import Any
@@ -17,12 +17,12 @@
 
 
 def encode_revision(revision: int) -> tuple[int, int]:
-    """Return the parts of a revision."""
+    """Return the incarnation and the number of a revision."""
     return incarnation_of(revision), number_of(revision)
 
 
 def decode_revision(incarnation: Any, number: Any) -> int:
-    """Return the revision that has these parts.  Raises FieldError."""
+    """Return the revision with this incarnation and number.  Raises FieldError."""
     return revision_of(
         whole_number('incarnation', incarnation, most=MOST_INCARNATION),
         whole_number('revision', number),
@@ -30,13 +30,13 @@
 
 
 def encode_text_order(text_order: int) -> tuple[int, tuple[int, int]]:
-    """Return the parts of a text's order."""
+    """Return the generation and the encoded revision of a text order."""
     generation = generation_in(text_order)
     return generation, encode_revision(revision_in(text_order))
 
 
 def decode_text_order(generation: Any, revision: list[Any]) -> int:
-    """Return the order that has these parts.  Raises FieldError or TypeError."""
+    """Return the text order with these parts.  Raises FieldError or TypeError."""
     return text_order_of(
         whole_number('generation', generation),
         decode_revision(*revision),
--- a/src/bronzekeel/entry/settings.py
+++ b/src/bronzekeel/entry/settings.py
@@ -1,7 +1,7 @@
-"""Read the settings of a balancer that steers by connection ids.
+"""Settings of a balancer that steers by connection ids, read from a JSON file.
 
-Own settings are JSON.  Fields that are not known are left alone, since a newer
-platform may add some; a field of ours that is wrong ends the start with one line.
+Unknown fields are ignored because a newer platform may add some.  An invalid value of a known field
+is reported to the operator in one line, and the balancer does not start.
 """
 
 from collections.abc import Mapping
@@ -12,10 +12,10 @@
 from bronzekeel.core.routing.demand_control import DemandControlMode
 
 
-#: Value of the setting `steering` that chooses this daemon.
+#: Value of the setting `steering` that selects this daemon.
 STEERING = 'connection_ids'
 
-#: Values of the setting `weighs`: few broken flows, or equal work for equal upstreams.
+#: Values of the setting `weighs`: minimise broken flows, or balance work across equal upstreams.
 BROKEN_FLOWS = 'broken_flows'
 IMBALANCE = 'imbalance'
 
@@ -28,21 +28,22 @@
 
 
 class SettingsError(ValueError):
-    """Tell what is wrong with the settings: file, place, problem, remedy."""
+    """Raised for invalid settings; the message names the file, the field and the remedy."""
 
 
 class EntrySettings:
-    """Hold all settings of one balancer.
-
-    `packets`, `peers`, `readiness` and `store` are addresses; `seeds` are
-    those of some peers.  Peers are told `peers_advertised` in place of `peers` where it is
-    set.  `readiness_path` is what the fabric's probes ask for;
-    `stop_within_s` bounds a planned stop.  `weighs` says what placement puts first.
-    `region_by_data_centre` says where upstreams of routes with homes may be.  Cold upstreams
-    together get at most `cold_overage` times the stated requests a second, and `cold_slack` more.
-    `demand_control` says whether requests are placed by learned capacity and shared among
-    callers; `caller_bits` leading bits of an address make one caller.  `link_mbps` is the
-    rate of the host's link in Mbit/s; at zero packets leave at once.
+    """The settings of one balancer.
+
+    `packets`, `peers`, `readiness` and `store` are addresses; `seeds` are the addresses of some
+    peers.  If set, `peers_advertised` is announced to peers in place of `peers`.  `readiness_path`
+    is the target of the fabric's probes.  `stop_within_s` is the maximum duration of a planned
+    stop.  `weighs` is the primary objective of placement.  `region_by_data_centre` determines
+    where upstreams of routes with home regions may be.  All balancers together send an upstream
+    during its cold start at most `cold_overage` times its configured rate plus `cold_slack`
+    requests per second.  `demand_control` determines whether requests are placed by learned
+    capacity and shared among callers.  Addresses with the same `caller_bits` leading bits count as
+    one caller.  `link_mbps` is the rate of the host's link in Mbit/s; with zero, packets are sent
+    without queueing.
     """
 
     __slots__ = (
@@ -66,7 +67,7 @@
     )
 
     def __init__(self, fields: Mapping[str, object]) -> None:
-        """Check and keep the fields.  Raises SettingsError."""
+        """Validate the fields of a settings object.  Raises SettingsError."""
         self.name = _string(fields, 'name')
         self.data_centre = _string(fields, 'data_centre')
         self.packets = _address(fields, 'packets')
@@ -91,9 +92,9 @@
 
 
 def read_entry_settings(path: str) -> EntrySettings:
-    """Return the settings in a file.
+    """Return the settings in the file at `path`.
 
-    Raises SettingsError with one line for the operator.
+    Raises SettingsError with a message of one line for the operator.
     """
     fields = _read_object(path)
     try:
@@ -111,19 +112,19 @@
     except (JSONDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(f'{path}: $: {error}; write the settings as JSON') from error
     if not isinstance(fields, dict):
-        raise SettingsError(f'{path}: $: no JSON object; write the settings as one object')
+        raise SettingsError(f'{path}: $: not a JSON object; write the settings as one object')
     return fields
 
 
 def _string(fields: Mapping[str, object], name: str) -> str:
     found = fields.get(name)
     if not isinstance(found, str) or not found:
-        raise SettingsError(f'$.{name}: {found!r} is no text')
+        raise SettingsError(f'$.{name}: {found!r} is not a non-empty string')
     return found
 
 
 def _one_of(fields: Mapping[str, object], name: str, allowed: tuple[str, ...]) -> str:
-    """Return a text that is one of `known`; the first when there is none."""
+    """Return a string that is one of `allowed`, by default the first."""
     found = fields.get(name, allowed[0])
     if not isinstance(found, str) or found not in allowed:
         choices = ' or '.join(allowed)
@@ -134,7 +135,7 @@
 def _addresses(fields: Mapping[str, object], name: str) -> tuple[tuple[str, int], ...]:
     listed = fields.get(name)
     if not isinstance(listed, list):
-        raise SettingsError(f'$.{name}: {listed!r} is no list of addresses')
+        raise SettingsError(f'$.{name}: {listed!r} is not a list of addresses')
     return tuple(_parse_address(found, f'{name}[{index}]') for index, found in enumerate(listed))
 
 
@@ -148,12 +149,12 @@
 
 def _parse_address(found: object, name: str) -> tuple[str, int]:
     if not isinstance(found, str):
-        raise SettingsError(f'$.{name}: {found!r} is no text')
+        raise SettingsError(f'$.{name}: {found!r} is not a string')
     host, _, port = found.rpartition(':')
     octets = host.split('.')
     is_ip = len(octets) == _OCTET_COUNT and all(_is_octet(octet) for octet in octets)
     if not is_ip or not port.isdecimal() or int(port) > _MAX_PORT:
-        raise SettingsError(f'$.{name}: {found!r} is no IPv4 number with a port')
+        raise SettingsError(f'$.{name}: {found!r} is not an IPv4 address with a port')
     return host, int(port)
 
 
@@ -162,10 +163,10 @@
 
 
 def _string_by_name(fields: Mapping[str, object], name: str) -> dict[str, str]:
-    """Return a table of texts; an empty one when there is none."""
+    """Return an object with string values, by default an empty one."""
     found = fields.get(name, {})
     if not isinstance(found, dict):
-        raise SettingsError(f'$.{name}: {found!r} is no table')
+        raise SettingsError(f'$.{name}: {found!r} is not an object')
     return {key: _string(found, key) for key in found}
 
 
@@ -175,20 +176,20 @@
     default: float,
     minimum: float = 0,
 ) -> float:
-    """Return a number from `least` on; the `usual` one when there is none."""
+    """Return a number of at least `minimum`, by default `default`."""
     found = fields.get(name, default)
     if isinstance(found, bool) or not isinstance(found, (int, float)):
-        raise SettingsError(f'$.{name}: {found!r} is no number')
+        raise SettingsError(f'$.{name}: {found!r} is not a number')
     if not minimum <= found <= _MAX_NUMBER:
         raise SettingsError(f'$.{name}: {found} is not between {minimum} and {_MAX_NUMBER}')
     return float(found)
 
 
 def _integer(fields: Mapping[str, object], name: str, maximum: int, minimum: int) -> int:
-    """Return a whole number from `least` to `most`; the latter when there is none."""
+    """Return an integer from `minimum` to `maximum`, by default `maximum`."""
     found = fields.get(name, maximum)
     if isinstance(found, bool) or not isinstance(found, int):
-        raise SettingsError(f'$.{name}: {found!r} is no whole number')
+        raise SettingsError(f'$.{name}: {found!r} is not an integer')
     if not minimum <= found <= maximum:
         raise SettingsError(f'$.{name}: {found} is not between {minimum} and {maximum}')
     return found
@@ -197,7 +198,7 @@
 def _seconds(fields: Mapping[str, object], name: str) -> float:
     found = fields.get(name)
     if isinstance(found, bool) or not isinstance(found, (int, float)):
-        raise SettingsError(f'$.{name}: {found!r} is no number of seconds')
+        raise SettingsError(f'$.{name}: {found!r} is not a number of seconds')
     if not 0 < found <= _MAX_STOP_S:
         raise SettingsError(f'$.{name}: {found} is not between 0 and {_MAX_STOP_S}')
     return float(found)
--- a/src/bronzekeel/entry/sockets.py
+++ b/src/bronzekeel/entry/sockets.py
@@ -1,4 +1,4 @@
-"""Define what sockets' owners need of the loop that they live in."""
+"""Interface between socket owners and the event loop that they run on."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -9,36 +9,39 @@
 
 
 class Deadline:
-    """Hold one call that is due at a moment of the steady clock."""
+    """A call scheduled at a time of the monotonic clock."""
 
     __slots__ = ('at', 'call', 'cancelled')
 
     def __init__(self, at: float, call: Callable[[], None]) -> None:
-        """Call `call` at `at`."""
+        """Initialise a deadline that runs `call` at `at`."""
         self.at = at
         self.call = call
         self.cancelled = False
 
     def __lt__(self, other: 'Deadline') -> bool:
-        """Order by time."""
+        """Order deadlines by time."""
         return self.at < other.at
 
     def cancel(self) -> None:
-        """Never make the call."""
+        """Cancel the call."""
         self.cancelled = True
 
 
 class SocketLoop(ABC):
-    """Call back for ready sockets and for deadlines that have passed."""
+    """Event loop that calls back for ready sockets and for expired deadlines."""
 
     @abstractmethod
     def watch(self, sock: socket, mask: int, callback: SocketCallback) -> None:
-        """Call `callback` with the events that `sock` is ready for."""
+        """Call `callback` with the event mask whenever `sock` is ready for an event in `mask`.
+
+        A socket that is watched already gets the new mask and callback.
+        """
 
     @abstractmethod
     def unwatch(self, sock: socket) -> None:
-        """Stop to watch a socket; one that is not watched is fine."""
+        """Stop watching a socket; does nothing if it is not watched."""
 
     @abstractmethod
     def call_at(self, at: float, call: Callable[[], None]) -> Deadline:
-        """Make a call at a moment of the steady clock."""
+        """Schedule a call at a time of the monotonic clock."""
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -324,7 +324,7 @@
         await around.send(opening_from(around.caller), balancer)
         opened = await around.taken(around.upstream)
         self.assertEqual(bytes.fromhex('000000000000002a'), opened[:8])
-        counts = balancer.packets.count_by_fate
+        counts = balancer.packets.count_by_outcome
         self.assertEqual(2, counts['truncated'])
         self.assertEqual(1, counts['wrong_length'])
         self.assertEqual(200, await status_of(balancer))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -184,7 +184,7 @@
                 if number == 1:
                     packets.receive_batch()
             packets.drop_waiting()
-        self.assertEqual(4, packets.count_by_fate['stale'])
+        self.assertEqual(4, packets.count_by_outcome['stale'])
         packets.close()
         loop.close()
 
