--- a/src/bronzekeel/entry/count_fields.py
+++ b/src/bronzekeel/entry/count_fields.py
@@ -19,9 +19,9 @@
 
 def encode_counts(report: ToldCounts) -> dict[str, str]:
     """Return the message fields for counts; `pending` is omitted if no requests are pending."""
-    fields = {'answers': _encode_counts(_HEAD.pack(report.told_ms), report.counts)}
+    fields = {'answers': _encode_records(_HEAD.pack(report.told_ms), report.counts)}
     if report.pending:
-        fields['pending'] = _encode_counts(b'', report.pending)
+        fields['pending'] = _encode_records(b'', report.pending)
     return fields
 
 
@@ -37,10 +37,10 @@
         raise ValueError(f'counts of answers are too short: {len(raw)} bytes')
     told_ms = _HEAD.unpack_from(raw)[0]
     pending = b64decode(str(fields.get('pending', '')), validate=True)
-    return ToldCounts(told_ms, _decode_counts(raw[_HEAD.size :]), _decode_counts(pending))
+    return ToldCounts(told_ms, _decode_records(raw[_HEAD.size :]), _decode_records(pending))
 
 
-def _encode_counts(head: bytes, counts: tuple[AnswerCount, ...]) -> str:
+def _encode_records(head: bytes, counts: tuple[AnswerCount, ...]) -> str:
     packed = [head]
     for count in counts:
         parts = round(count.means * _PARTS_PER_MEAN)
@@ -48,7 +48,7 @@
     return b64encode(b''.join(packed)).decode()
 
 
-def _decode_counts(raw: bytes) -> tuple[AnswerCount, ...]:
+def _decode_records(raw: bytes) -> tuple[AnswerCount, ...]:
     if len(raw) % _COUNT.size:
         raise ValueError(f'{len(raw)} bytes are not a whole number of counts of answers')
     return tuple(
--- a/src/bronzekeel/entry/packets.py
+++ b/src/bronzekeel/entry/packets.py
@@ -67,9 +67,9 @@
         """
         self._link = link
         self._clock = clock
-        self._count_by_fate: dict[str, int] = {}
+        self._count_by_outcome: dict[str, int] = {}
         self._forwarded_by_path = 0
-        self._resumed_at: float = 0
+        self._resume_at: float = 0
         self.last_packet_at: float = 0
         self._format = packet_format
         self._steering = steering
@@ -89,7 +89,7 @@
     @property
     def count_by_outcome(self) -> dict[str, int]:
         """Number of packets by outcome."""
-        counts = dict(self._count_by_fate)
+        counts = dict(self._count_by_outcome)
         counts[_DELIVERED] = counts.get(_DELIVERED, 0) + self._forwarded_by_path
         if self._link is not None:
             counts[_LINK_FULL] = self._link.lost
@@ -123,8 +123,8 @@
         for packet, verdict in self._steering.resume(self._clock()):
             self._carry_out(packet, verdict)
         deadline_at = self._state.waiting.next_end
-        if deadline_at is not None and deadline_at != self._resumed_at:
-            self._resumed_at = deadline_at
+        if deadline_at is not None and deadline_at != self._resume_at:
+            self._resume_at = deadline_at
             self._loop.call_at(deadline_at, self.resume)
 
     def release_held(self) -> None:
@@ -218,9 +218,9 @@
         if link is None or link.passes(len(raw), now):
             self._send(raw, address)
             return
-        was_waiting = len(link)
+        queued_before = len(link)
         link.add(Outgoing(key, raw, address))
-        if not was_waiting:
+        if not queued_before:
             self._loop.call_at(link.next_at, self._send_queued)
 
     def _send_queued(self) -> None:
@@ -247,4 +247,4 @@
         self._log_bad_packet(f'send: {error}', raw)
 
     def _count(self, outcome: str, packets: int = 1) -> None:
-        self._count_by_fate[outcome] = self._count_by_fate.get(outcome, 0) + packets
+        self._count_by_outcome[outcome] = self._count_by_outcome.get(outcome, 0) + packets
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -1,4 +1,4 @@
-"""Test one lean balancer over real sockets on loopback, with stand-ins around it."""
+"""Test one balancer over real sockets on loopback, with a stand-in for the store."""
 
 from asyncio import run, sleep
 from asyncio import to_thread as in_thread
@@ -41,14 +41,14 @@
 
 
 def settings_for(store_port: int, **changed: Any) -> dict[str, Any]:
-    """Return the settings of a balancer on loopback."""
+    """Return the settings of a balancer on loopback, with one unknown field."""
     fields = {'stop_within_s': 2, 'a_field_of_a_later_version': True, **changed}
     name = fields.pop('name', 'edge-1')
     return loopback_settings(name, store_port, **fields)
 
 
 def opening_from(caller: socket) -> bytes:
-    """Return an opening packet of the flow of a caller's socket."""
+    """Return the opening packet of a flow from the socket `caller`."""
     host, port = caller.getsockname()
     return b''.join(
         (
@@ -68,25 +68,25 @@
     return bytes(map(int, address.split('.')))
 
 
-class Around:
-    """Hold a balancer in a thread of its own, its store, an upstream and a caller."""
+class BalancerFixture:
+    """Balancers, each in a thread of its own, with a store, an upstream and a caller."""
 
     def __init__(self) -> None:
-        """Prepare all sockets."""
+        """Open the sockets of upstream and caller, and a pipe for log lines."""
         self.store = PlatformStandIn()
         self.upstream = _udp()
         self.caller = _udp()
         self.balancers: list[EntryBalancer] = []
-        reading, writing = pipe()
-        self.reading = reading
-        self._writing = writing
+        read_end, write_end = pipe()
+        self.read_end = read_end
+        self._write_end = write_end
         self._threads: list[Thread] = []
 
     def start_balancer(self, **changed: Any) -> EntryBalancer:
-        """Start a balancer; it ends with ``close``."""
+        """Start a balancer in a thread; leaving the fixture stops it."""
         settings = EntrySettings(settings_for(self.store.port, **changed))
         packet_format = PlatformPackets(self.caller.getsockname()[1])
-        balancer = EntryBalancer(settings, packet_format, PlatformStore(), self._writing)
+        balancer = EntryBalancer(settings, packet_format, PlatformStore(), self._write_end)
         balancer.start()
         thread = Thread(target=balancer.loop.run)
         thread.start()
@@ -95,46 +95,46 @@
         return balancer
 
     def put_upstream(self) -> None:
-        """Write the upstream's entry."""
+        """Write the entry of the upstream to the store."""
         self.store.put_upstream(42, 'portal', self.upstream.getsockname(), 'dc-a')
 
     def put_text(self, version: int = 1) -> None:
-        """Write the operators' text with the portal's route."""
+        """Write a text with a route to the service `portal` to the store."""
         self.store.put_text(version, {_SERVICE: 'portal'})
 
     async def send(self, raw: bytes, balancer: EntryBalancer) -> None:
-        """Send a datagram to a balancer as the fabric would."""
+        """Send a datagram to a balancer in place of the fabric."""
         self.caller.sendto(raw, (_LOOPBACK, balancer.packets.port))
         await sleep(0)
 
-    async def taken(self, sock: socket) -> bytes:
-        """Return the next datagram that arrives at a socket."""
+    async def receive(self, sock: socket) -> bytes:
+        """Return the next datagram received on a socket."""
         return await in_thread(sock.recv, 4096)
 
     async def wait_for_events(self, expected: set[int]) -> None:
-        """Wait until the log has a line of each of these events.
+        """Wait until the log contains a line for each of these events.
 
-        What a balancer believes shows a tick before the lines about it are written.
+        The balancer's state changes up to a tick before the log lines about it are written.
         """
-        set_blocking(self.reading, False)
-        written = bytearray()
+        set_blocking(self.read_end, False)
+        output = bytearray()
 
-        def is_written() -> bool:  # noqa: WPS430 (gathers what was read)
+        def has_events() -> bool:  # noqa: WPS430 (collects the output)
             with suppress(BlockingIOError):
-                written.extend(read_bytes(self.reading, MAX_BUFFERED_BYTES))
-            whole = written[: written.rfind(b'\n') + 1]
+                output.extend(read_bytes(self.read_end, MAX_BUFFERED_BYTES))
+            whole = output[: output.rfind(b'\n') + 1]
             events = {decode_json(line)['event'] for line in whole.splitlines()}
             return expected <= events
 
-        await until(is_written)
+        await wait_until(has_events)
 
     async def __aenter__(self) -> Self:
         """Start the store."""
         await self.store.open()
         return self
 
-    async def __aexit__(self, *fault: object) -> None:
-        """End everything."""
+    async def __aexit__(self, *exception: object) -> None:
+        """Stop the balancers and close all sockets."""
         for balancer, thread in zip(self.balancers, self._threads, strict=True):
             balancer.loop.stop()
             await in_thread(thread.join)
@@ -145,29 +145,29 @@
 
 
 def _udp() -> socket:
-    made = socket(AF_INET, SOCK_DGRAM)
-    made.bind((_LOOPBACK, 0))
-    made.settimeout(_PATIENCE_S)
-    return made
-
-
-async def until(holds: Callable[[], bool]) -> None:
-    """Wait until a condition holds, with much patience."""
-    give_up_at = monotonic() + _PATIENCE_S
-    while not holds():
-        if monotonic() > give_up_at:
-            raise AssertionError('waited in vain')
+    sock = socket(AF_INET, SOCK_DGRAM)
+    sock.bind((_LOOPBACK, 0))
+    sock.settimeout(_PATIENCE_S)
+    return sock
+
+
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait until `condition` returns True; fail after `_PATIENCE_S`."""
+    deadline_at = monotonic() + _PATIENCE_S
+    while not condition():
+        if monotonic() > deadline_at:
+            raise AssertionError('the condition was not met in time')
         await sleep(0.02)
 
 
 def _generation_of(balancer: EntryBalancer) -> int:
-    """Return the generation in force, zero when none is."""
+    """Return the generation of the text in force, zero if there is none."""
     in_force = balancer.state.text
     return in_force.generation if in_force else 0
 
 
 async def status_of(balancer: EntryBalancer, path: str = '/ready') -> int:
-    """Probe a balancer as the fabric would."""
+    """Return the status of a readiness probe."""
     async with ClientSession() as session:
         url = f'http://{_LOOPBACK}:{balancer.readiness.port}{path}'
         async with session.get(url) as reply:
@@ -175,15 +175,15 @@
 
 
 async def metrics_of(balancer: EntryBalancer) -> list[str]:
-    """Return the lines of a balancer's metrics."""
+    """Return the lines of the metrics page of a balancer."""
     async with ClientSession() as session:
         url = f'http://{_LOOPBACK}:{balancer.peers.port}/metrics'
         async with session.get(url) as reply:
             return (await reply.text()).splitlines()
 
 
-class _Full(Admission):
-    """Leave no room for anything."""
+class _NoCapacity(Admission):
+    """Admission that sets the limit of each pool to zero."""
 
     def __init__(self, balancer: EntryBalancer) -> None:
         state = balancer.state
@@ -195,102 +195,102 @@
 
 
 class EntryDaemonTest(TestCase):
-    """Run a balancer against stand-ins."""
+    """Run balancers against a stand-in for the store."""
 
-    def test_a_flow_is_opened_while_the_store_goes_and_comes(self) -> None:
-        """The path from a caller to an upstream, with an outage of the store in between."""
-        self._with(self._open_flows)
+    def test_flows_survive_a_store_outage(self) -> None:
+        """A flow is opened, and continues during and after an outage of the store."""
+        self._run_scenario(self._forward_through_store_outage)
 
-    def test_a_fresh_host_takes_no_traffic_before_it_knows(self) -> None:
-        """Symptom: callers are refused by a host that has just started.
+    def test_a_host_without_a_view_is_not_ready(self) -> None:
+        """Guards against refused callers on a host that starts while the store is down.
 
-        Sequence: a host starts while the store is down.
-        Cause: being ready as soon as the sockets are bound.
+        It occurs if a balancer reports ready as soon as its sockets are bound.
         """
-        self._with(self._start_in_the_dark)
+        self._run_scenario(self._start_without_store)
 
-    def test_bad_input_on_every_socket_stops_nothing(self) -> None:
-        """Random bytes to the packet, peer and probe ports are counted and logged."""
-        self._with(self._send_rubbish)
+    def test_malformed_input_on_every_socket_is_survived(self) -> None:
+        """Malformed input to the packet, peer and probe ports is counted; forwarding goes on."""
+        self._run_scenario(self._send_malformed_input)
 
-    def test_a_stop_refuses_probes_and_forwards_on(self) -> None:
-        """Symptom: a planned stop drops packets that are under way.
+    def test_a_stopping_balancer_fails_probes_but_forwards(self) -> None:
+        """Guards against packets lost in a planned stop.
 
-        Sequence: SIGTERM; the fabric probes twice and sends on meanwhile.
-        Cause: ending at once.
+        The fabric keeps sending until its probes have failed twice, so packets are lost if the
+        process exits immediately after SIGTERM.
         """
-        self._with(self._stop)
+        self._run_scenario(self._stop_gracefully)
 
-    def test_a_peer_tells_one_that_the_store_refuses(self) -> None:
-        """Symptom: a restarted host is of no use while the store turns it away.
+    def test_a_host_without_store_learns_from_a_peer(self) -> None:
+        """Guards against a restarted host that is not ready while the store is unavailable.
 
-        Sequence: one host knows everything; another starts and can't read.
-        Cause: a host that can learn only from the store.
+        It occurs if a host can get its view only from the store and not from a peer.
         """
-        self._with(self._learn_from_a_peer)
+        self._run_scenario(self._learn_from_peer)
 
-    def test_a_flow_that_finds_no_room_is_refused(self) -> None:
-        """Symptom: callers wait for ever while upstreams are full.
+    def test_a_flow_without_free_capacity_is_refused(self) -> None:
+        """Guards against callers that wait forever while all upstreams are full.
 
-        Sequence: there is no room; no packet comes that would let the balancer look again.
-        Cause: ending waits only when something else happens.
+        It occurs if waits are only ended when another packet arrives, and none does.
         """
-        self._with(self._refuse_for_want_of_room)
+        self._run_scenario(self._refuse_without_capacity)
 
-    def test_an_evacuation_is_followed_and_taken_back(self) -> None:
-        """Symptom: an evacuated data centre gets new flows.
+    def test_an_evacuation_is_applied_and_ended(self) -> None:
+        """Guards against new flows in an evacuated data centre.
 
-        Sequence: operators write an entry for the only data centre, and remove it.
-        Cause: the entry is not read, or not by the process that runs.
+        It occurs if the running process does not read the evacuation entry that operators write.
+        Removing the entry ends the evacuation.
         """
-        self._with(self._evacuate)
+        self._run_scenario(self._evacuate_and_restore)
 
-    def test_another_incarnation_of_the_store_is_told(self) -> None:
-        """The store came back from a copy: log and metrics say so."""
-        self._with(self._hear_another_incarnation)
+    def test_another_incarnation_of_the_store_is_reported(self) -> None:
+        """A store that was restored from a copy is reported in the log and in metrics."""
+        self._run_scenario(self._change_incarnation)
 
-    def test_a_text_of_a_restored_store_is_taken(self) -> None:
-        """A host left out what operators wrote after their store had come back from a copy.
+    def test_a_text_of_a_restored_store_is_applied(self) -> None:
+        """Guards against ignoring texts written after the store was restored from a copy.
 
-        Its line said: text_older, generation 20, revision 16, in_force 18.
+        Such a text can have a lower revision than the one in force.  A host rejected one with the
+        log line `text_older`, generation 20, revision 16, in_force 18.
         """
-        self._with(self._follow_a_restored_store)
+        self._run_scenario(self._follow_restored_store)
 
-    def test_metrics_are_served_beside_the_peers_questions(self) -> None:
-        """Counters, gauges and the histogram of answers, in the usual text format."""
-        self._with(self._read_metrics)
+    def test_metrics_are_served_on_the_peer_port(self) -> None:
+        """The page has counters, gauges and the histogram of answers in the Prometheus format."""
+        self._run_scenario(self._read_metrics)
 
     def test_every_effect_has_a_handler(self) -> None:
-        """Whatever the decisions ask for is carried out."""
-        self._with(self._compare_effects)
+        """The daemon handles each class of effect that the reducer can return."""
+        self._run_scenario(self._compare_effects)
 
-    def _with(self, act: Callable[[Around], Awaitable[None]]) -> None:
-        run(self._play(act))
+    def _run_scenario(self, scenario: Callable[[BalancerFixture], Awaitable[None]]) -> None:
+        run(self._run_in_fixture(scenario))
 
-    async def _play(self, act: Callable[[Around], Awaitable[None]]) -> None:
-        async with Around() as around:
-            await act(around)
+    async def _run_in_fixture(self, scenario: Callable[[BalancerFixture], Awaitable[None]]) -> None:
+        async with BalancerFixture() as fixture:
+            await scenario(fixture)
 
-    async def _open_flows(self, around: Around) -> None:
-        around.put_upstream()
-        around.put_text()
-        balancer = around.start_balancer()
-        await until(lambda: balancer.state.ready)
+    async def _forward_through_store_outage(self, fixture: BalancerFixture) -> None:
+        fixture.put_upstream()
+        fixture.put_text()
+        balancer = fixture.start_balancer()
+        await wait_until(lambda: balancer.state.ready)
         self.assertEqual(200, await status_of(balancer))
         self.assertEqual(404, await status_of(balancer, '/elsewhere'))
-        await around.send(opening_from(around.caller), balancer)
-        opened = await around.taken(around.upstream)
+        await fixture.send(opening_from(fixture.caller), balancer)
+        opened = await fixture.receive(fixture.upstream)
         self.assertEqual(bytes.fromhex('000000000000002a'), opened[:8])
         self.assertNotEqual(bytes(4), opened[26:30])
-        await around.store.switch(down=True)
-        await until(lambda: balancer.state.is_lost)
+        await fixture.store.switch(down=True)
+        await wait_until(lambda: balancer.state.is_lost)
         data = b''.join((opened[8:30], b'\x80', opened[31:]))
-        await around.send(data, balancer)
-        self.assertEqual(data, (await around.taken(around.upstream))[8:])
-        around.put_text(2)
-        await around.store.switch(down=False)
-        await until(lambda: balancer.state.text is not None and balancer.state.text.generation == 2)
-        await around.wait_for_events(
+        await fixture.send(data, balancer)
+        self.assertEqual(data, (await fixture.receive(fixture.upstream))[8:])
+        fixture.put_text(2)
+        await fixture.store.switch(down=False)
+        await wait_until(
+            lambda: balancer.state.text is not None and balancer.state.text.generation == 2
+        )
+        await fixture.wait_for_events(
             {
                 LogNumber.STARTED,
                 LogNumber.READY,
@@ -300,155 +300,159 @@
             },
         )
 
-    async def _start_in_the_dark(self, around: Around) -> None:
-        around.put_upstream()
-        around.put_text()
-        await around.store.switch(down=True)
-        balancer = around.start_balancer()
-        await until(lambda: balancer.state.is_lost)
+    async def _start_without_store(self, fixture: BalancerFixture) -> None:
+        fixture.put_upstream()
+        fixture.put_text()
+        await fixture.store.switch(down=True)
+        balancer = fixture.start_balancer()
+        await wait_until(lambda: balancer.state.is_lost)
         self.assertEqual(503, await status_of(balancer))
-        await around.store.switch(down=False)
-        await until(lambda: balancer.state.ready)
+        await fixture.store.switch(down=False)
+        await wait_until(lambda: balancer.state.ready)
         self.assertEqual(200, await status_of(balancer))
 
-    async def _send_rubbish(self, around: Around) -> None:
-        around.put_upstream()
-        around.put_text()
-        balancer = around.start_balancer()
-        await until(lambda: balancer.state.ready)
+    async def _send_malformed_input(self, fixture: BalancerFixture) -> None:
+        fixture.put_upstream()
+        fixture.put_text()
+        balancer = fixture.start_balancer()
+        await wait_until(lambda: balancer.state.ready)
         for port in (balancer.packets.port, balancer.peers.port):
             for raw in (b'', b'x', bytes(31), bytes(2000)):
-                around.caller.sendto(raw, (_LOOPBACK, port))
+                fixture.caller.sendto(raw, (_LOOPBACK, port))
         for port in (balancer.readiness.port, balancer.peers.port):
             await in_thread(_send_stream, port)
-        await around.send(opening_from(around.caller), balancer)
-        opened = await around.taken(around.upstream)
+        await fixture.send(opening_from(fixture.caller), balancer)
+        opened = await fixture.receive(fixture.upstream)
         self.assertEqual(bytes.fromhex('000000000000002a'), opened[:8])
         counts = balancer.packets.count_by_outcome
         self.assertEqual(2, counts['truncated'])
         self.assertEqual(1, counts['wrong_length'])
         self.assertEqual(200, await status_of(balancer))
 
-    async def _stop(self, around: Around) -> None:
-        around.put_upstream()
-        around.put_text()
-        balancer = around.start_balancer()
-        await until(lambda: balancer.state.ready)
+    async def _stop_gracefully(self, fixture: BalancerFixture) -> None:
+        fixture.put_upstream()
+        fixture.put_text()
+        balancer = fixture.start_balancer()
+        await wait_until(lambda: balancer.state.ready)
         balancer.loop.call_at(0, lambda: balancer.handle(StopAsked()))
-        await until(lambda: balancer.state.stopping.asked)
+        await wait_until(lambda: balancer.state.stopping.asked)
         self.assertEqual(503, await status_of(balancer))
-        await around.send(opening_from(around.caller), balancer)
-        self.assertTrue(await around.taken(around.upstream))
+        await fixture.send(opening_from(fixture.caller), balancer)
+        self.assertTrue(await fixture.receive(fixture.upstream))
         self.assertEqual(503, await status_of(balancer))
-        await until(lambda: not balancer.loop.running)
-
-    async def _learn_from_a_peer(self, around: Around) -> None:
-        around.put_upstream()
-        around.put_text()
-        first = around.start_balancer()
-        await until(lambda: first.state.ready)
-        await around.store.switch(down=True)
+        await wait_until(lambda: not balancer.loop.running)
+
+    async def _learn_from_peer(self, fixture: BalancerFixture) -> None:
+        fixture.put_upstream()
+        fixture.put_text()
+        first = fixture.start_balancer()
+        await wait_until(lambda: first.state.ready)
+        await fixture.store.switch(down=True)
         seed = f'{_LOOPBACK}:{first.peers.port}'
-        second = around.start_balancer(name='edge-2', seeds=[seed])
-        await until(lambda: second.state.ready)
-        await around.send(opening_from(around.caller), second)
-        self.assertTrue(await around.taken(around.upstream))
-
-    async def _refuse_for_want_of_room(self, around: Around) -> None:
-        around.put_upstream()
-        around.put_text()
-        balancer = around.start_balancer()
-        await until(lambda: balancer.state.ready)
-        balancer.loop.call_at(0, lambda: setattr(balancer.state, 'admission', _Full(balancer)))
-        await until(lambda: isinstance(balancer.state.admission, _Full))
-        await until(lambda: not balancer.state.directory.pools_of('dc-a')[0].has_room)
-        await around.send(opening_from(around.caller), balancer)
-        refusal = await around.taken(around.caller)
+        second = fixture.start_balancer(name='edge-2', seeds=[seed])
+        await wait_until(lambda: second.state.ready)
+        await fixture.send(opening_from(fixture.caller), second)
+        self.assertTrue(await fixture.receive(fixture.upstream))
+
+    async def _refuse_without_capacity(self, fixture: BalancerFixture) -> None:
+        fixture.put_upstream()
+        fixture.put_text()
+        balancer = fixture.start_balancer()
+        await wait_until(lambda: balancer.state.ready)
+        balancer.loop.call_at(
+            0, lambda: setattr(balancer.state, 'admission', _NoCapacity(balancer))
+        )
+        await wait_until(lambda: isinstance(balancer.state.admission, _NoCapacity))
+        await wait_until(lambda: not balancer.state.directory.pools_of('dc-a')[0].has_room)
+        await fixture.send(opening_from(fixture.caller), balancer)
+        refusal = await fixture.receive(fixture.caller)
         self.assertEqual(_RESET, refusal[22])
-        await around.wait_for_events({LogNumber.FLOW_REFUSED})
+        await fixture.wait_for_events({LogNumber.FLOW_REFUSED})
         metrics = await metrics_of(balancer)
         self.assertIn('bronzekeel_flows_refused_total{kind="portal"} 1', metrics)
         self.assertIn('bronzekeel_packets_total{kind="overloaded"} 1', metrics)
         self.assertIn('bronzekeel_requests_waiting{kind="portal"} 0', metrics)
 
-    async def _evacuate(self, around: Around) -> None:
-        around.put_text()
-        around.put_upstream()
-        balancer = around.start_balancer(link_mbps=100)
-        await until(lambda: balancer.state.is_current(monotonic()))
-        around.store.put_object(EVACUATIONS_KIND, 'dc-a', {})
-        await around.store.tell()
-        await around.wait_for_events({LogNumber.EVACUATED})
-        await around.send(opening_from(around.caller), balancer)
-        refused = await around.taken(around.caller)
+    async def _evacuate_and_restore(self, fixture: BalancerFixture) -> None:
+        fixture.put_text()
+        fixture.put_upstream()
+        balancer = fixture.start_balancer(link_mbps=100)
+        await wait_until(lambda: balancer.state.is_current(monotonic()))
+        fixture.store.put_object(EVACUATIONS_KIND, 'dc-a', {})
+        await fixture.store.tell()
+        await fixture.wait_for_events({LogNumber.EVACUATED})
+        await fixture.send(opening_from(fixture.caller), balancer)
+        refused = await fixture.receive(fixture.caller)
         self.assertEqual(_RESET, refused[22])
-        around.store.remove_object(EVACUATIONS_KIND, 'dc-a')
-        await around.store.tell()
-        await around.wait_for_events({LogNumber.TAKEN_BACK})
-        await around.send(opening_from(around.caller), balancer)
-        delivered = await around.taken(around.upstream)
+        fixture.store.remove_object(EVACUATIONS_KIND, 'dc-a')
+        await fixture.store.tell()
+        await fixture.wait_for_events({LogNumber.TAKEN_BACK})
+        await fixture.send(opening_from(fixture.caller), balancer)
+        delivered = await fixture.receive(fixture.upstream)
         self.assertEqual(42, int.from_bytes(delivered[:8], 'big'))
 
-    async def _hear_another_incarnation(self, around: Around) -> None:
-        around.put_upstream()
-        around.put_text()
-        balancer = around.start_balancer()
-        await until(lambda: balancer.state.is_current(monotonic()))
+    async def _change_incarnation(self, fixture: BalancerFixture) -> None:
+        fixture.put_upstream()
+        fixture.put_text()
+        balancer = fixture.start_balancer()
+        await wait_until(lambda: balancer.state.is_current(monotonic()))
         self.assertIn('bronzekeel_state{kind="store_incarnation"} 1', await metrics_of(balancer))
-        around.store.incarnation = 2
-        around.put_text(2)
-        await around.store.tell()
-        await around.wait_for_events({LogNumber.STORE_RESTORED, LogNumber.TEXT_IN_FORCE})
+        fixture.store.incarnation = 2
+        fixture.put_text(2)
+        await fixture.store.tell()
+        await fixture.wait_for_events({LogNumber.STORE_RESTORED, LogNumber.TEXT_IN_FORCE})
         self.assertIn('bronzekeel_state{kind="store_incarnation"} 2', await metrics_of(balancer))
 
-    async def _follow_a_restored_store(self, around: Around) -> None:
-        around.put_upstream()
-        around.put_text()
-        balancer = around.start_balancer()
-        await until(lambda: balancer.state.is_current(monotonic()))
-        copy = copy_of(around.store)
+    async def _follow_restored_store(self, fixture: BalancerFixture) -> None:
+        fixture.put_upstream()
+        fixture.put_text()
+        balancer = fixture.start_balancer()
+        await wait_until(lambda: balancer.state.is_current(monotonic()))
+        copy = copy_of(fixture.store)
         for version in (2, 3, 4):
-            around.put_text(version)
-        await around.store.tell()
-        await until(lambda: _generation_of(balancer) == 4)
-        await around.store.switch(down=True)
-        restore(around.store, copy)
-        await around.store.switch(down=False)
+            fixture.put_text(version)
+        await fixture.store.tell()
+        await wait_until(lambda: _generation_of(balancer) == 4)
+        await fixture.store.switch(down=True)
+        restore(fixture.store, copy)
+        await fixture.store.switch(down=False)
         for version in (4, 5):
-            around.put_text(version)
-        await around.store.tell()
-        await until(lambda: _generation_of(balancer) == 5)
-        await until(lambda: balancer.state.is_direct(monotonic()))
-
-    async def _read_metrics(self, around: Around) -> None:
-        around.put_upstream()
-        around.put_text()
-        balancer = around.start_balancer()
-        await until(lambda: balancer.state.ready)
-        await around.send(opening_from(around.caller), balancer)
-        await around.taken(around.upstream)
+            fixture.put_text(version)
+        await fixture.store.tell()
+        await wait_until(lambda: _generation_of(balancer) == 5)
+        await wait_until(lambda: balancer.state.is_direct(monotonic()))
+
+    async def _read_metrics(self, fixture: BalancerFixture) -> None:
+        fixture.put_upstream()
+        fixture.put_text()
+        balancer = fixture.start_balancer()
+        await wait_until(lambda: balancer.state.ready)
+        await fixture.send(opening_from(fixture.caller), balancer)
+        await fixture.receive(fixture.upstream)
         lines = await metrics_of(balancer)
         self.assertIn('bronzekeel_packets_total{kind="delivered"} 1', lines)
         self.assertIn('bronzekeel_state{kind="ready"} 1', lines)
         self.assertIn('bronzekeel_answer_seconds_bucket{le="+Inf"} 0', lines)
 
-    async def _compare_effects(self, around: Around) -> None:
-        balancer = around.start_balancer()
+    async def _compare_effects(self, fixture: BalancerFixture) -> None:
+        balancer = fixture.start_balancer()
         self.assertEqual(set(Effect.__subclasses__()), balancer.handled_effects)
 
 
 class HttpServerTest(TestCase):
-    """Requests as they come over a network."""
+    """Requests that arrive in several segments."""
 
-    def test_a_target_that_comes_in_pieces_is_one(self) -> None:
-        """Symptom: a peer is told "not found" for the path that it always asks for.
+    def test_a_target_in_several_segments_is_joined(self) -> None:
+        """Guards against "not found" responses to valid targets.
 
-        Sequence: a request's first line is split over two segments.
-        Cause: taking the last piece of the target for the whole.
+        It occurs if a request line is split over two segments and only the last part of the target
+        is used.
         """
         loop = Loop()
-        asked: list[str] = []
-        server = HttpServer(loop, bind_stream((_LOOPBACK, 0)), lambda target: _noted(asked, target))
+        targets: list[str] = []
+        server = HttpServer(
+            loop, bind_stream((_LOOPBACK, 0)), lambda target: _record_target(targets, target)
+        )
         with socket() as stream:
             stream.connect((_LOOPBACK, server.port))
             loop.call_at(monotonic() + 0.05, lambda: stream.sendall(b'GET /vi'))
@@ -457,38 +461,38 @@
             loop.run()
         server.close()
         loop.close()
-        self.assertEqual(['/view/1/2'], asked)
+        self.assertEqual(['/view/1/2'], targets)
 
 
 class HttpConnectionTest(TestCase):
-    """Calls over one kept connection."""
+    """Calls over a persistent connection."""
 
-    def test_a_newer_call_gives_up_the_one_before(self) -> None:
-        """Symptom: a watch that was given up answers late, and is taken for the newer one.
+    def test_a_new_call_cancels_the_previous_one(self) -> None:
+        """Guards against taking the late response to a cancelled watch for that of a newer one.
 
-        Sequence: the store says nothing to a watch; it is made anew.
-        Cause: telling the outcome of a call that nobody waits for.
+        It occurs if a watch that got no response is replaced by a new one and the outcome of the
+        cancelled call is still reported.
         """
         loop = Loop()
-        told: list[str] = []
-        with socket() as silent:
-            silent.bind((_LOOPBACK, 0))
-            silent.listen()
-            connection = HttpConnection(loop, silent.getsockname())
-            until_s = monotonic() + _PATIENCE_S
+        outcomes: list[str] = []
+        with socket() as listener:
+            listener.bind((_LOOPBACK, 0))
+            listener.listen()
+            connection = HttpConnection(loop, listener.getsockname())
+            deadline_at = monotonic() + _PATIENCE_S
             for name in ('first', 'second'):
-                connection.start_call(_call_noted(name, until_s, told))
-            self._answer_second(loop, silent, told)
+                connection.start_call(_recording_call(name, deadline_at, outcomes))
+            self._answer_second(loop, listener, outcomes)
         connection.close()
         loop.close()
-        self.assertEqual(['second 200'], told)
+        self.assertEqual(['second 200'], outcomes)
 
-    def _answer_second(self, loop: Loop, silent: socket, told: list[str]) -> None:
-        """Answer each connection on which the second call comes."""
+    def _answer_second(self, loop: Loop, listener: socket, outcomes: list[str]) -> None:
+        """Accept connections and answer the second call; the first one gets no response."""
 
-        def serve() -> None:  # noqa: WPS430 (runs in a thread of its own)
-            while not told:
-                accepted, _ = silent.accept()
+        def serve() -> None:  # noqa: WPS430 (runs in its own thread)
+            while not outcomes:
+                accepted, _ = listener.accept()
                 accepted.settimeout(_PATIENCE_S)
                 if b'/second' in accepted.recv(4096):
                     accepted.sendall(b'HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n')
@@ -496,36 +500,36 @@
 
         thread = Thread(target=serve)
         thread.start()
-        give_up = loop.call_at(monotonic() + _PATIENCE_S, loop.stop)
-        self._stop_when_told(loop, told)
+        timeout = loop.call_at(monotonic() + _PATIENCE_S, loop.stop)
+        self._stop_on_outcome(loop, outcomes)
         loop.run()
-        give_up.cancel()
+        timeout.cancel()
         thread.join()
 
-    def _stop_when_told(self, loop: Loop, told: list[str]) -> None:
-        if told:
+    def _stop_on_outcome(self, loop: Loop, outcomes: list[str]) -> None:
+        if outcomes:
             loop.stop()
             return
-        loop.call_at(monotonic() + 0.01, lambda: self._stop_when_told(loop, told))
+        loop.call_at(monotonic() + 0.01, lambda: self._stop_on_outcome(loop, outcomes))
 
 
-def _call_noted(name: str, until_s: float, told: list[str]) -> Call:
-    """Return a call whose outcome goes to `told`."""
+def _recording_call(name: str, deadline_at: float, outcomes: list[str]) -> Call:
+    """Return a call that appends its outcome to `outcomes`."""
     return Call(
         f'/{name}',
-        until_s,
-        lambda reply: told.append(f'{name} {reply.status}'),
-        lambda problem: told.append(f'{name} failed'),
+        deadline_at,
+        lambda reply: outcomes.append(f'{name} {reply.status}'),
+        lambda problem: outcomes.append(f'{name} failed'),
     )
 
 
-def _noted(asked: list[str], target: str) -> Answer:
-    asked.append(target)
+def _record_target(targets: list[str], target: str) -> Answer:
+    targets.append(target)
     return Answer(OK)
 
 
 def _send_stream(port: int) -> None:
-    """Send what is no HTTP to a port; the balancer closes the connection."""
+    """Send bytes that are not HTTP to a port, and wait until the connection is closed."""
     with socket() as stream:
         stream.settimeout(_PATIENCE_S)
         stream.connect((_LOOPBACK, port))
@@ -534,35 +538,33 @@
 
 
 class LinesTest(TestCase):
-    """Logs are bounded and never wait."""
+    """The log is rate-limited and does not block."""
 
-    def test_lines_of_a_kind_are_bounded_and_counted(self) -> None:
-        """Symptom: a burst of one event takes the processor from the packets.
+    def test_lines_of_a_kind_are_rate_limited_and_counted(self) -> None:
+        """Guards against a burst of one event taking processor time from packets.
 
-        Sequence: a hundred refusals in one second.
-        Cause: a line for each without a bound.
+        It occurs if each of 100 refusals in one second is logged without a limit.
         """
-        reading, writing = pipe()
-        lines = LineLog('a1', writing)
+        read_end, write_end = pipe()
+        lines = LineLog('a1', write_end)
         for _ in range(100):
             lines.write(LogNumber.FLOW_REFUSED, {}, 1)
         lines.write(LogNumber.READY, {}, 1)
         lines.write(LogNumber.FLOW_REFUSED, {}, 2.5)
         lines.flush()
-        written = [
-            decode_json(line) for line in read_bytes(reading, MAX_BUFFERED_BYTES).splitlines()
+        output = [
+            decode_json(line) for line in read_bytes(read_end, MAX_BUFFERED_BYTES).splitlines()
         ]
-        self.assertEqual(MAX_LINES_PER_KIND + 2, len(written))
-        self.assertEqual(100 - MAX_LINES_PER_KIND, written[-1]['left_out'])
+        self.assertEqual(MAX_LINES_PER_KIND + 2, len(output))
+        self.assertEqual(100 - MAX_LINES_PER_KIND, output[-1]['left_out'])
 
-    def test_a_reader_that_sleeps_does_not_block(self) -> None:
-        """Symptom: a balancer stands still since nobody reads its logs.
+    def test_a_full_pipe_does_not_block(self) -> None:
+        """Guards against a balancer that blocks because nobody reads its log.
 
-        Sequence: the pipe is full.
-        Cause: writing until all is written.
+        It occurs if a write to a full pipe waits until all bytes are written.
         """
-        _, writing = pipe()
-        lines = LineLog('a1', writing)
+        _, write_end = pipe()
+        lines = LineLog('a1', write_end)
         for second in range(400):
             for _ in range(MAX_LINES_PER_KIND):
                 lines.write(LogNumber.FLOW_PLACED, {'flow': 'x' * 100}, second * 2)
@@ -571,15 +573,15 @@
 
 
 class EntrySettingsTest(TestCase):
-    """Settings are checked; a wrong one ends the start with its remedy."""
+    """Settings are validated; an error names the field or the remedy."""
 
-    def test_unknown_fields_are_left_alone(self) -> None:
-        """A newer platform may add fields."""
+    def test_unknown_fields_are_ignored(self) -> None:
+        """A newer platform may add fields, which must not prevent a start."""
         self.assertEqual('edge-1', EntrySettings(settings_for(1)).name)
 
-    def test_wrong_fields_are_refused_with_their_place(self) -> None:
-        """Each wrong field is named."""
-        wrong = (
+    def test_invalid_fields_are_named(self) -> None:
+        """The error message contains the path of the invalid field."""
+        invalid = (
             ('packets', 'here:80'),
             ('packets', '10.0.0.1:99999'),
             ('store', 7),
@@ -598,13 +600,13 @@
             ('link_mbps', -1),
             ('link_mbps', True),
         )
-        for name, found in wrong:
-            with self.subTest(name=name, found=found), self.assertRaises(SettingsError) as caught:
-                EntrySettings(settings_for(1, **{name: found}))
+        for name, bad in invalid:
+            with self.subTest(name=name, bad=bad), self.assertRaises(SettingsError) as caught:
+                EntrySettings(settings_for(1, **{name: bad}))
             self.assertIn(f'$.{name}', str(caught.exception))
 
-    def test_files_that_cannot_be_read(self) -> None:
-        """A missing file, no JSON and no object each have their remedy."""
+    def test_unreadable_files_are_reported(self) -> None:
+        """A missing file, invalid JSON and a non-object each have a remedy in the message."""
         with TemporaryDirectory() as folder:
             path = f'{folder}/settings.json'
             for content, remedy in (
@@ -612,8 +614,8 @@
                 ('[]', 'as one object'),
                 ('{}', 'correct it'),
             ):
-                with open(path, 'w', encoding='utf-8') as written:
-                    written.write(content)
+                with open(path, 'w', encoding='utf-8') as output:
+                    output.write(content)
                 with self.assertRaises(SettingsError) as caught:
                     read_entry_settings(path)
                 self.assertIn(remedy, str(caught.exception))
--- a/tests/test_entry_process.py
+++ b/tests/test_entry_process.py
@@ -1,4 +1,4 @@
-"""Test the lean balancer as a process, driven by signals and its settings file."""
+"""Test the balancer as a process that is controlled by signals and its settings file."""
 
 from asyncio import create_subprocess_exec, run
 from asyncio.subprocess import PIPE, Process
@@ -17,17 +17,17 @@
 
 
 class _Balancer:
-    """Hold a balancer's process and its settings file."""
+    """A balancer process and its settings file."""
 
     def __init__(self, folder: str) -> None:
         self.path = Path(folder) / 'settings.json'
         self.process: Process | None = None
 
     def write_settings(self, **changed: Any) -> None:
-        """Write the settings file in one piece."""
-        fresh = self.path.with_suffix('.new')
-        fresh.write_text(encode_json(settings_for(**changed)))
-        fresh.rename(self.path)
+        """Replace the settings file atomically."""
+        new_file = self.path.with_suffix('.new')
+        new_file.write_text(encode_json(settings_for(**changed)))
+        new_file.rename(self.path)
 
     async def start(self) -> None:
         """Start the process."""
@@ -42,13 +42,13 @@
             stderr=PIPE,
         )
 
-    def send(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Send a signal to the process."""
         if self.process is not None:
             self.process.send_signal(number)
 
-    async def line_of(self, number: LogNumber) -> dict[str, Any]:
-        """Return the next log line of an event; fail at the end of the log."""
+    async def next_line_of(self, number: LogNumber) -> dict[str, Any]:
+        """Return the next log line of an event; fail if the log ends before it."""
         if self.process is None or self.process.stdout is None:
             raise AssertionError('not started')
         while True:
@@ -59,30 +59,30 @@
             if line['event'] == number:
                 return line
 
-    async def ended(self) -> tuple[int, str]:
-        """Return the exit code and what was written to standard error."""
+    async def wait_for_exit(self) -> tuple[int, str]:
+        """Wait for the process to exit; return its exit code and standard error."""
         if self.process is None:
             raise AssertionError('not started')
-        _, complaint = await self.process.communicate()
-        return self.process.returncode or 0, complaint.decode()
+        _, error_output = await self.process.communicate()
+        return self.process.returncode or 0, error_output.decode()
 
 
 class EntryProcessTest(TestCase):
-    """Signals and files, as the platform uses them."""
+    """Signals and settings files as the platform uses them."""
 
-    def test_settings_are_taken_with_and_without_a_signal(self) -> None:
-        """Symptom: a changed setting is in force only after a restart, or ends the process.
+    def test_changed_settings_apply_with_and_without_a_signal(self) -> None:
+        """Guards against settings that need a restart, or an invalid one that ends the process.
 
-        Sequence: SIGHUP; a change without a signal; a wrong change; SIGTERM.
-        Cause: reading settings at the start only, or trusting them.
+        Settings are changed with SIGHUP, then without a signal, then to an invalid value, which
+        must be rejected; SIGTERM ends the process.
         """
-        run(self._play())
+        run(self._change_settings())
 
-    def test_a_wrong_setting_ends_the_start_with_one_line(self) -> None:
-        """The operator gets the place and the remedy, and exit code 1."""
-        run(self._start_wrongly())
+    def test_an_invalid_setting_ends_the_start_with_one_line(self) -> None:
+        """The message names the field and the remedy, and the exit code is 1."""
+        run(self._start_with_invalid_setting())
 
-    async def _play(self) -> None:
+    async def _change_settings(self) -> None:
         store = PlatformStandIn()
         await store.open()
         store.put_text(1, {})
@@ -90,29 +90,29 @@
             balancer = _Balancer(folder)
             balancer.write_settings(store_port=store.port)
             await balancer.start()
-            await balancer.line_of(LogNumber.READY)
+            await balancer.next_line_of(LogNumber.READY)
             balancer.write_settings(store_port=store.port, stop_within_s=3)
-            balancer.send(SIGHUP)
-            taken = await balancer.line_of(LogNumber.SETTINGS_TAKEN)
-            self.assertEqual(3, taken['stop_within_s'])
+            balancer.send_signal(SIGHUP)
+            applied = await balancer.next_line_of(LogNumber.SETTINGS_TAKEN)
+            self.assertEqual(3, applied['stop_within_s'])
             balancer.write_settings(store_port=store.port, stop_within_s=1)
-            taken = await balancer.line_of(LogNumber.SETTINGS_TAKEN)
-            self.assertEqual(1, taken['stop_within_s'])
+            applied = await balancer.next_line_of(LogNumber.SETTINGS_TAKEN)
+            self.assertEqual(1, applied['stop_within_s'])
             balancer.write_settings(store_port=store.port, stop_within_s='soon')
-            refused = await balancer.line_of(LogNumber.SETTINGS_REFUSED)
-            self.assertIn('$.stop_within_s', refused['problem'])
-            balancer.send(SIGTERM)
-            await balancer.line_of(LogNumber.STOPPED)
-            self.assertEqual((0, ''), await balancer.ended())
+            rejected = await balancer.next_line_of(LogNumber.SETTINGS_REFUSED)
+            self.assertIn('$.stop_within_s', rejected['problem'])
+            balancer.send_signal(SIGTERM)
+            await balancer.next_line_of(LogNumber.STOPPED)
+            self.assertEqual((0, ''), await balancer.wait_for_exit())
         await store.close()
 
-    async def _start_wrongly(self) -> None:
+    async def _start_with_invalid_setting(self) -> None:
         with TemporaryDirectory() as folder:
             balancer = _Balancer(folder)
             balancer.write_settings(store_port=1, packets='nowhere')
             await balancer.start()
-            code, complaint = await balancer.ended()
+            code, error_output = await balancer.wait_for_exit()
         self.assertEqual(1, code)
-        self.assertEqual(1, len(complaint.splitlines()))
-        self.assertIn('$.packets', complaint)
-        self.assertIn('docs/OPERATIONS.md', complaint)
+        self.assertEqual(1, len(error_output.splitlines()))
+        self.assertIn('$.packets', error_output)
+        self.assertIn('docs/OPERATIONS.md', error_output)
--- a/tests/test_peer_ports.py
+++ b/tests/test_peer_ports.py
@@ -1,4 +1,4 @@
-"""Test that a balancer finds a port for datagrams and calls."""
+"""Test that a balancer finds a port that is free for datagrams and for streams."""
 
 from itertools import repeat
 from socket import socket
@@ -11,31 +11,30 @@
 
 
 class BindPairTest(TestCase):
-    """Bind one port for two kinds of socket."""
+    """A datagram and a stream socket on the same port."""
 
-    def test_a_port_taken_for_streams_is_passed_over(self) -> None:
-        """Symptom: a balancer does not start: "address already in use" for port 0.
+    def test_a_port_in_use_for_streams_is_skipped(self) -> None:
+        """Guards against a start that fails with "address already in use" for port 0.
 
-        Sequence: the kernel gives a port that is free for datagrams; another
-        process has the same number for streams.
-        Cause: asking for any port once, and for its twin without a second try.  Any port may be
-        taken for streams too, so there are as many tries as a balancer makes.
+        The kernel picks a port that is free for datagrams, but another process may use it for
+        streams, so a single attempt can fail.  The other ports that the kernel picks in this test
+        may be in use for streams too, so it makes as many attempts as a balancer.
         """
         with socket() as other:
             other.bind((_LOOPBACK, 0))
             other.listen()
-            taken = other.getsockname()[1]
-            datagrams, calls = bind_pair(_LOOPBACK, (taken, *repeat(0, MAX_BIND_ATTEMPTS)))
-        self.assertEqual(datagrams.getsockname()[1], calls.getsockname()[1])
-        self.assertNotEqual(taken, calls.getsockname()[1])
+            used_port = other.getsockname()[1]
+            datagrams, streams = bind_pair(_LOOPBACK, (used_port, *repeat(0, MAX_BIND_ATTEMPTS)))
+        self.assertEqual(datagrams.getsockname()[1], streams.getsockname()[1])
+        self.assertNotEqual(used_port, streams.getsockname()[1])
         datagrams.close()
-        calls.close()
+        streams.close()
 
-    def test_a_fixed_port_that_is_taken_is_refused(self) -> None:
-        """A port that the settings name is tried as it is."""
+    def test_a_fixed_port_in_use_is_an_error(self) -> None:
+        """A port from the settings is not replaced by another one."""
         with socket() as other:
             other.bind((_LOOPBACK, 0))
             other.listen()
-            taken = other.getsockname()[1]
+            used_port = other.getsockname()[1]
             with self.assertRaises(OSError):
-                bind_pair(_LOOPBACK, (taken, taken))
+                bind_pair(_LOOPBACK, (used_port, used_port))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Test what becomes of packets that come while a balancer starts, or stands still."""
+"""Test the handling of packets that arrive while a balancer starts or is paused."""
 
 from asyncio import create_subprocess_exec, run
 from asyncio.subprocess import PIPE
@@ -37,13 +37,13 @@
 #: Address and port that `opening_from` writes into its packets.
 _SERVICE_KEY = bytes((198, 18, 0, 1, 32, 251))
 
-_LOADED_CODE = """
+_PLATFORM_START_CODE = """
 import sys
 import bronzekeel.platform.start
 print('bronzekeel.entry.daemon' in sys.modules)
 """
 
-_EARLY_CODE = """
+_EARLY_PORT_CODE = """
 import sys
 known = frozenset(sys.modules)
 import bronzekeel.entry.early_port
@@ -52,13 +52,12 @@
 
 
 class HeldPacketsTest(TestCase):
-    """Packets that come before a balancer knows where they go."""
+    """Packets that arrive before a balancer has a text and upstreams."""
 
-    def test_old_packets_are_let_go(self) -> None:
-        """Symptom: flows are opened that their callers gave up long ago.
+    def test_old_packets_are_dropped(self) -> None:
+        """Guards against opening flows that their callers have given up.
 
-        Sequence: a host waits for the store for seconds; then it knows.
-        Cause: holding packets without an end.
+        It occurs if packets are held without a time limit while a host waits for the store.
         """
         held = HeldPackets()
         held.hold(b'old', 1)
@@ -67,22 +66,20 @@
         self.assertEqual([b'new'], held.release(1.1 + HOLD_S))
         self.assertEqual(0, len(held))
 
-    def test_a_flood_is_bounded(self) -> None:
-        """Symptom: a host that has just started is killed for its memory.
+    def test_the_number_of_held_packets_is_limited(self) -> None:
+        """Guards against a starting host that runs out of memory.
 
-        Sequence: a flood of packets while the store does not answer.
-        Cause: holding all of them.
+        It occurs if all packets of a flood are held while the store does not respond.
         """
         held = HeldPackets()
         for _ in range(MOST_HELD + 1):
             held.hold(b'x', 1)
         self.assertEqual(MOST_HELD, len(held))
 
-    def test_a_packet_that_came_early_is_delivered(self) -> None:
-        """Symptom: after all hosts lost power callers wait for their next repeat.
+    def test_a_packet_held_during_a_start_is_delivered(self) -> None:
+        """Guards against callers that wait for a retransmission after a power failure of all hosts.
 
-        Sequence: a caller's packet meets a host that has not read the text yet.
-        Cause: dropping what cannot be decided on at once.
+        It occurs if a host that has not read the text yet drops packets instead of holding them.
         """
         loop = Loop()
         state = fresh_state()
@@ -102,21 +99,21 @@
         loop.close()
 
     def test_the_port_is_bound_before_the_rest_is_loaded(self) -> None:
-        """Symptom: packets are lost for as long as a host loads its program.
+        """Guards against packets lost while a host loads the program.
 
-        Sequence: all hosts start; the fabric sends to them all the same.
-        Cause: binding the port after all modules are imported.
+        If all hosts start, the fabric sends to them regardless, so packets are lost if the port is
+        bound only after all modules are imported.
         """
-        self.assertEqual('False', run(_output_of(_LOADED_CODE)))
+        self.assertEqual('False', run(_output_of(_PLATFORM_START_CODE)))
 
 
 class EarlyPortTest(TestCase):
-    """The port that is bound before anything is loaded."""
+    """The port that is bound before other modules are imported."""
 
-    def test_packets_before_the_settings_are_read_are_kept(self) -> None:
-        """Guards against packets that are lost for the first half of a start."""
-        with _bound() as free:
-            address = free.getsockname()
+    def test_packets_before_the_settings_are_read_are_delivered(self) -> None:
+        """Guards against packets lost in the first half of a start."""
+        with _bound() as free_socket:
+            address = free_socket.getsockname()
         early = bind_early(['start.py', f'{address[0]}:{address[1]}'])
         with _bound() as caller:
             caller.sendto(b'opening', address)
@@ -125,57 +122,56 @@
             self.assertEqual(b'opening', port.recv(4096))
             self.assertFalse(port.getblocking())
 
-    def test_the_settings_decide_where_packets_are_taken(self) -> None:
-        """Guards against a host that listens where its settings do not say."""
+    def test_the_address_in_the_settings_takes_precedence(self) -> None:
+        """Guards against a host that listens on an address other than that in its settings."""
         early = bind_early(['start.py', f'{_LOOPBACK}:0'])
-        with _bound() as free:
-            address = free.getsockname()
+        with _bound() as free_socket:
+            address = free_socket.getsockname()
         with bind_packet_port(address, early) as port:
             self.assertEqual(address, port.getsockname())
 
     def test_a_start_without_an_address_binds_later(self) -> None:
-        """Guards against hosts that do not start from an older deploy file or a wrong word."""
-        for words in ([], ['start.py'], ['start.py', ''], ['start.py', '127.0.0.1:x']):
-            self.assertIsNone(bind_early(words))
+        """Guards against a failed start with an older deploy file or an invalid argument."""
+        for arguments in ([], ['start.py'], ['start.py', ''], ['start.py', '127.0.0.1:x']):
+            self.assertIsNone(bind_early(arguments))
         self.assertIsNone(bind_early(['start.py', '127.0.0.1:99999']))
 
-    def test_it_loads_next_to_nothing(self) -> None:
-        """Guards against a port that is bound after a quarter of the imports."""
-        loaded = run(_output_of(_EARLY_CODE)).split()
+    def test_it_imports_few_modules(self) -> None:
+        """Guards against a port that is bound only after a quarter of the imports."""
+        loaded = run(_output_of(_EARLY_PORT_CODE)).split()
         self.assertNotIn('socket', loaded)
         self.assertNotIn('enum', loaded)
         self.assertNotIn('collections', loaded)
 
-    def test_the_deploy_file_names_the_address(self) -> None:
-        """Guards against a deploy file by which the port is bound late."""
+    def test_the_deploy_file_passes_the_address(self) -> None:
+        """Guards against a deploy file without the argument for early binding."""
         deploy = Path(__file__).resolve().parent.parent / 'deploy' / 'system.toml'
         role = decode_toml(deploy.read_text(encoding='utf-8'))['roles']['balancer']
         self.assertEqual('{{listenAddrs.datagramAddr}}', role['run'].split()[-1])
 
 
 class PauseTest(TestCase):
-    """Packets that waited while the process or its host stood still."""
+    """Packets that waited while the process or its host was paused."""
 
-    def test_a_long_pause_drops_what_waited(self) -> None:
-        """Symptom: upstreams hold flows that nobody uses.
+    def test_a_long_pause_drops_waiting_packets(self) -> None:
+        """Guards against upstreams with flows that nobody uses.
 
-        Sequence: a host is frozen for seconds and wakes.
-        Cause: passing on opening packets whose callers have given up.
+        It occurs if a host that was paused for seconds forwards opening packets whose callers have
+        given up.
         """
         kinds = [type(effect) for effect in reduce(ready_state(), Paused(STALE_PAUSE_S), 5)]
         self.assertIn(DropWaiting, kinds)
 
     def test_a_short_pause_drops_nothing(self) -> None:
-        """Symptom: a slow host loses all packets each time that it stalls.
+        """Guards against a slow host that loses all waiting packets in each short stall.
 
-        Sequence: a host stands still for less than callers keep trying.
-        Cause: dropping after every pause.
+        It occurs if packets are also dropped after pauses during which their callers still wait.
         """
         kinds = [type(effect) for effect in reduce(ready_state(), Paused(STALE_PAUSE_S / 2), 5)]
         self.assertNotIn(DropWaiting, kinds)
 
-    def test_what_waits_is_dropped_and_counted(self) -> None:
-        """Packets in the kernel and packets that are held both go."""
+    def test_dropped_packets_are_counted(self) -> None:
+        """Both held packets and packets in the kernel are dropped."""
         loop = Loop()
         packets = _packets_of(loop, fresh_state())
         with _bound() as caller:
@@ -194,7 +190,7 @@
 
 
 def _packets_of(loop: Loop, state: RoutingState) -> PacketSocket:
-    """Return a socket whose clock stands still."""
+    """Return a packet socket with a constant clock."""
     return PacketSocket(
         loop,
         _bound(),
@@ -207,5 +203,5 @@
 
 async def _output_of(code: str) -> str:
     process = await create_subprocess_exec(executable, '-c', code, stdout=PIPE)
-    written, _ = await process.communicate()
-    return written.decode().strip()
+    output, _ = await process.communicate()
+    return output.decode().strip()
