--- a/src/bronzekeel/entry/packet_port.py
+++ b/src/bronzekeel/entry/packet_port.py
@@ -1,30 +1,29 @@
-"""Bind the port of callers' packets, before anything else is loaded.
+"""Bind the port for callers' packets before the rest of the program is loaded.
 
-What goes wrong without it: loading the rest of a balancer takes a tenth of a
-second and more on a small host.  After all hosts lost power the fabric sends to
-them meanwhile, and a packet that meets no socket is lost until its caller sends
-it again.  What meets this socket waits in the kernel.
+Loading the rest takes 0.1 s or more on a small host.  After a power failure of all hosts the fabric
+sends packets in the meantime.  A packet that arrives before the port is bound is lost until its
+caller retransmits it; once the port is bound, packets wait in the kernel.
 """
 
 from socket import AF_INET, SO_RCVBUF, SOCK_DGRAM, SOL_SOCKET, socket
 
-from bronzekeel.entry.early_port import RECEIVE_BUFFER
+from bronzekeel.entry.early_port import RECEIVE_BUFFER_BYTES
 
 
-def bound_packet_port(address: tuple[str, int], early: int | None = None) -> socket:
-    """Return a socket that takes datagrams at `address`.
+def bind_packet_port(address: tuple[str, int], early_descriptor: int | None = None) -> socket:
+    """Return a non-blocking datagram socket bound to `address`.
 
-    A descriptor that was bound `early` is used if that is its address.  Raises OSError when
-    the port is taken or the address is not this host's.
+    The socket of `early_descriptor` is reused if it has this address, and closed otherwise.  Raises
+    OSError if the port is taken or the address does not belong to this host.
     """
-    if early is not None:
-        known = socket(AF_INET, SOCK_DGRAM, fileno=early)
-        known.setblocking(False)
-        if known.getsockname() == address:
-            return known
-        known.close()
+    if early_descriptor is not None:
+        reused = socket(AF_INET, SOCK_DGRAM, fileno=early_descriptor)
+        reused.setblocking(False)
+        if reused.getsockname() == address:
+            return reused
+        reused.close()
     bound = socket(AF_INET, SOCK_DGRAM)
-    bound.setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE_BUFFER)
+    bound.setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     bound.setblocking(False)
     bound.bind(address)
     return bound
