--- a/src/bronzekeel/entry/daemon.py
+++ b/src/bronzekeel/entry/daemon.py
@@ -29,7 +29,7 @@
     StopAsked,
     Ticked,
 )
-from bronzekeel.core.routing.link_queue import queue_before
+from bronzekeel.core.routing.link_queue import link_queue_for
 from bronzekeel.core.routing.messages import Known, PeerAddress, View
 from bronzekeel.core.routing.placement import EqualWork, LeastBusy, Placement
 from bronzekeel.core.routing.reducer import TICK_S, reduce
@@ -107,7 +107,7 @@
             packet_format,
             steering,
             self._log_bad_packet,
-            link=queue_before(settings.link_mbps),
+            link=link_queue_for(settings.link_mbps),
         )
         self.readiness = HttpServer(
             self.loop,
@@ -232,7 +232,7 @@
     def _handle_probe(self, target: str) -> Answer:
         if target != self._readiness_path:
             return Answer(NOT_FOUND)
-        ready = self.state.ready and not self.state.stopping.asked
+        ready = self.state.ready and not self.state.stopping.is_requested
         self.handle(ProbeAnswered(ready=ready))
         return Answer(OK if ready else UNAVAILABLE)
 
--- a/src/bronzekeel/entry/metrics.py
+++ b/src/bronzekeel/entry/metrics.py
@@ -159,7 +159,7 @@
 def _state_gauges(state: RoutingState, now: float) -> dict[str, float]:
     return {
         'ready': int(state.ready),
-        'stopping': int(state.stopping.asked),
+        'stopping': int(state.stopping.is_requested),
         'current': int(state.is_current(now)),
         'watching': int(state.is_direct(now)),
         'store_incarnation': state.store_record.incarnation or 0,
--- a/src/bronzekeel/entry/packets.py
+++ b/src/bronzekeel/entry/packets.py
@@ -5,9 +5,9 @@
 from socket import socket
 from time import monotonic
 
-from bronzekeel.core.routing.flows import MOST_FLOWS, Flow
+from bronzekeel.core.routing.flows import MAX_FLOWS, Flow
 from bronzekeel.core.routing.holding import HeldPackets
-from bronzekeel.core.routing.link_queue import LinkQueue, Outgoing
+from bronzekeel.core.routing.link_queue import LinkQueue, QueuedDatagram
 from bronzekeel.core.routing.model import FlowPacket, Upstream
 from bronzekeel.core.routing.steering import ConnectionIdSteering
 from bronzekeel.core.routing.verdicts import Deliver, Reset, Verdict, Wait
@@ -23,9 +23,9 @@
 _STALE = 'stale'
 _LINK_FULL = 'no_room_on_link'
 
-#: Maximum number of cached paths, the same as of flows (``MOST_FLOWS``).  The cache is cleared when
+#: Maximum number of cached paths, the same as of flows (``MAX_FLOWS``).  The cache is cleared when
 #: it exceeds the limit.
-_MAX_PATHS = MOST_FLOWS
+_MAX_PATHS = MAX_FLOWS
 
 _LogBadPacket = Callable[[str, bytes], None]
 
@@ -79,7 +79,7 @@
         self._head_bytes = packet_format.head_bytes
         self._ordinary_flags = packet_format.ordinary_flags
         self._positions = packet_format.positions
-        self._step = self._state.flows.step
+        self._step = self._state.flows.advance
         self._log_bad_packet = log_bad_packet
         self._loop = loop
         self._held = HeldPackets()
@@ -92,7 +92,7 @@
         counts = dict(self._count_by_outcome)
         counts[_DELIVERED] = counts.get(_DELIVERED, 0) + self._forwarded_by_path
         if self._link is not None:
-            counts[_LINK_FULL] = self._link.lost
+            counts[_LINK_FULL] = self._link.dropped
         return counts
 
     @property
@@ -215,11 +215,11 @@
     def _transmit(self, key: bytes, raw: bytes, address: tuple[str, int], now: float) -> None:
         """Send a datagram now, or queue it until the link has capacity."""
         link = self._link
-        if link is None or link.passes(len(raw), now):
+        if link is None or link.try_reserve(len(raw), now):
             self._send(raw, address)
             return
         queued_before = len(link)
-        link.add(Outgoing(key, raw, address))
+        link.add(QueuedDatagram(key, raw, address))
         if not queued_before:
             self._loop.call_at(link.next_at, self._send_queued)
 
@@ -228,10 +228,10 @@
         link = self._link
         if link is None:
             return
-        outgoing = link.take_due(self._clock())
+        outgoing = link.pop_due(self._clock())
         while outgoing is not None:
             self._send(outgoing.raw, outgoing.address)
-            outgoing = link.take_due(self._clock())
+            outgoing = link.pop_due(self._clock())
         if link:
             self._loop.call_at(link.next_at, self._send_queued)
 
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -335,7 +335,7 @@
         balancer = fixture.start_balancer()
         await wait_until(lambda: balancer.state.ready)
         balancer.loop.call_at(0, lambda: balancer.handle(StopAsked()))
-        await wait_until(lambda: balancer.state.stopping.asked)
+        await wait_until(lambda: balancer.state.stopping.is_requested)
         self.assertEqual(503, await status_of(balancer))
         await fixture.send(opening_from(fixture.caller), balancer)
         self.assertTrue(await fixture.receive(fixture.upstream))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,7 +11,7 @@
 from bronzekeel.core.routing.effects import DropWaiting
 from bronzekeel.core.routing.events import Paused
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.holding import HOLD_S, MOST_HELD, HeldPackets
+from bronzekeel.core.routing.holding import HOLD_S, MAX_HELD_PACKETS, HeldPackets
 from bronzekeel.core.routing.reducer import STALE_PAUSE_S, reduce
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.entry.early_port import bind_early
@@ -72,9 +72,9 @@
         It occurs if all packets of a flood are held while the store does not respond.
         """
         held = HeldPackets()
-        for _ in range(MOST_HELD + 1):
+        for _ in range(MAX_HELD_PACKETS + 1):
             held.hold(b'x', 1)
-        self.assertEqual(MOST_HELD, len(held))
+        self.assertEqual(MAX_HELD_PACKETS, len(held))
 
     def test_a_packet_held_during_a_start_is_delivered(self) -> None:
         """Guards against callers that wait for a retransmission after a power failure of all hosts.
