--- a/src/bronzekeel/bench/connection_id_path.py
+++ b/src/bronzekeel/bench/connection_id_path.py
@@ -2,7 +2,7 @@
 
 from selectors import EVENT_READ
 
-from bronzekeel.core.routing.connection_ids import seal_of, sealed
+from bronzekeel.core.routing.connection_ids import encode_connection_id, seal_of
 from bronzekeel.core.routing.decisions import NoDecisionLog
 from bronzekeel.core.routing.messages import PeerAddress
 from bronzekeel.core.routing.model import Route, RoutingText, ServiceShare, UpstreamEntry
@@ -64,7 +64,7 @@
                     (_LOOPBACK, 1024 + number),
                     _SERVICE,
                     _ACK,
-                    sealed(_NUMBER, seal),
+                    encode_connection_id(_NUMBER, seal),
                     sequence=number,
                     payload=b'x' * 64,
                 ),
--- a/src/bronzekeel/core/routing/connection_ids.py
+++ b/src/bronzekeel/core/routing/connection_ids.py
@@ -18,11 +18,11 @@
     return crc32(route_key)
 
 
-def sealed(short_number: int, seal: int) -> int:
+def encode_connection_id(short_number: int, seal: int) -> int:
     """Return the connection id of an upstream on a route."""
     return short_number ^ seal
 
 
-def opened(connection_id: int, seal: int) -> int:
+def decode_connection_id(connection_id: int, seal: int) -> int:
     """Return the short number of the upstream that an id names on a route."""
     return connection_id ^ seal
--- a/src/bronzekeel/core/routing/departures.py
+++ b/src/bronzekeel/core/routing/departures.py
@@ -8,15 +8,15 @@
 
 #: Seconds without such a flow after which sending elsewhere has ended.  Source: crowds last three
 #: seconds and more; with less, one crowd is told as several.
-ENDED_S = 3.0
+SENDING_ENDED_S = 3.0
 
 
 class Departure(StrEnum):
     """Say why a flow goes to another data centre."""
 
-    NO_ROOM = 'no_room'
+    NO_FREE_CAPACITY = 'no_room'
     ELSE_REFUSED = 'else_refused'
-    CROWD = 'crowd'
+    SURGE = 'crowd'
     NO_UPSTREAM = 'no_upstream'
 
 
@@ -50,7 +50,7 @@
         sending.flows += 1
         sending.sent_at = now
 
-    def look(self, now: float) -> list[Effect]:
+    def poll(self, now: float) -> list[Effect]:
         """Return the lines on services that began and ceased to send flows elsewhere."""
         effects: list[Effect] = [
             WriteLine(LogNumber.SENDING_ELSEWHERE, service=service, by=reason.value)
@@ -58,7 +58,7 @@
         ]
         self._begun.clear()
         for service, sending in list(self._sending_by_service.items()):
-            if now < sending.sent_at + ENDED_S:
+            if now < sending.sent_at + SENDING_ENDED_S:
                 continue
             self._sending_by_service.pop(service)
             ended = LogNumber.SENDING_ELSEWHERE_ENDED
--- a/src/bronzekeel/core/routing/flows.py
+++ b/src/bronzekeel/core/routing/flows.py
@@ -17,12 +17,12 @@
 #: Seconds after which a request in progress no longer counts as load when
 #: nothing shows its end.  Source: eight times the mean work of the users'
 #: longest kind of request.
-BUSY_S = 0.5
+BUSY_TIMEOUT_S = 0.5
 
 #: Flows that are remembered at most; beyond it one leaves for each that comes.
 #: Source: at the size of docs/CAPACITY.md a host has 6,970 flows; at about
 #: 300 bytes each, four times as many stay below 10 MB.
-MOST_FLOWS = 28_000
+MAX_FLOWS = 28_000
 
 #: Seconds for which an upstream gets no new flows after an opening packet that it left
 #: unanswered.  Source: an opening packet is repeated after 0.2 and 0.6 s; a repeat must find
@@ -34,23 +34,23 @@
 AVOID_FACTOR = 4
 
 #: Seconds that an upstream is avoided at most before it is tried again.
-MOST_AVOID_S = 4.0
+MAX_AVOID_S = 4.0
 
-_MOST_GROWTH = 3
+_MAX_GROWTH = 3
 
 #: Where the address and port of the route begin in a flow's key.
-_ROUTE_PLACE = 6
+_ROUTE_OFFSET = 6
 
 #: Flows that one call of ``expire`` looks at: some, and a share of all.
 #: Source: called each tenth of a second it has seen all after six seconds,
 #: well within the time that a silent flow is remembered.
-_SWEPT_FLOWS = 64
-_SWEEPS = 64
+_MIN_SWEPT_FLOWS = 64
+_SWEEP_DIVISOR = 64
 
 
 def avoid_s(unanswered: int) -> float:
     """Return the seconds without new flows after so many unanswered opening packets in a row."""
-    return min(AVOID_S * AVOID_FACTOR ** min(unanswered - 1, _MOST_GROWTH), MOST_AVOID_S)
+    return min(AVOID_S * AVOID_FACTOR ** min(unanswered - 1, _MAX_GROWTH), MAX_AVOID_S)
 
 
 class Flow:
@@ -66,7 +66,6 @@
     __slots__ = (
         'acknowledged',
         'answered',
-        'asked_at',
         'busy',
         'closed',
         'in_pool',
@@ -74,6 +73,7 @@
         'live',
         'opened_at',
         'repeats',
+        'requested_at',
         'seen_at',
         'sequence',
         'unanswered',
@@ -87,7 +87,7 @@
         self.upstream = upstream
         self.opened_at = now
         self.seen_at = now
-        self.asked_at: float = 0
+        self.requested_at: float = 0
         self.sequence = -1
         self.acknowledged = -1
         self.repeats = 0
@@ -99,12 +99,12 @@
 
 
 class FlowTable:
-    """Hold the flows that were seen of late.
+    """Hold the flows that were seen recently.
 
-    `answers` counts the times from requests to the acknowledgements of their
-    answers, `lengths` how many requests flows carry, `requests_by_service` the requests, new
-    flows too.  Some upstream answered an opening packet at `heard_at`, and one was found not to
-    at `silent_at`.
+    `answers` counts the times from requests to the acknowledgements of their answers, `lengths`
+    how many requests flows carry, and `requests_by_service` the requests, opening packets
+    included.  `last_answer_at` is when any upstream last answered an opening packet, and
+    `unresponsive_at` when one was last found to have left an opening packet unanswered.
     """
 
     def __init__(self, counts: AnswerCounts | None = None) -> None:
@@ -115,8 +115,8 @@
         self._opening_by_key: OrderedDict[bytes, Flow] = OrderedDict()
         self.answers = Histogram()
         self.lengths = FlowLengths()
-        self.heard_at: float = 0
-        self.silent_at: float = 0
+        self.last_answer_at: float = 0
+        self.unresponsive_at: float = 0
         self.requests_by_service: dict[str, int] = {}
 
     def __len__(self) -> int:
@@ -136,10 +136,10 @@
         self.lengths.note_opening(key)
         self._mark_busy(flow, now)
         self._opening_by_key[key] = flow
-        if len(self._by_key) > MOST_FLOWS:
+        if len(self._by_key) > MAX_FLOWS:
             self.drop(next(iter(self._by_key)))
 
-    def see(self, packet: FlowPacket, upstream: Upstream | None, now: float) -> Flow:
+    def note_packet(self, packet: FlowPacket, upstream: Upstream | None, now: float) -> Flow:
         """Note a packet of an open flow; return the flow."""
         flow = self._by_key.get(packet.flow)
         if flow is None or flow.upstream is not upstream:
@@ -151,16 +151,16 @@
         if not flow.answered:
             flow.answered = True
             self._opening_by_key.pop(flow.key, None)
-            self.heard_at = now
+            self.last_answer_at = now
             _note_answered(upstream, now)
         asks = packet.payload_bytes > 0 or packet.closes
-        self.step(flow, now, packet.sequence, packet.acknowledged, asks)
+        self.advance(flow, now, packet.sequence, packet.acknowledged, asks)
         if packet.closes:
             self._mark_idle(flow)
             _close(flow)
         return flow
 
-    def step(
+    def advance(
         self,
         flow: Flow,
         now: float,
@@ -194,7 +194,7 @@
             return
         flow.unanswered = True
         upstream.unanswered += 1
-        self.silent_at = now
+        self.unresponsive_at = now
         upstream.silent_until = now + avoid_s(upstream.unanswered)
         upstream.avoided_until = max(upstream.avoided_until, upstream.silent_until)
 
@@ -207,7 +207,7 @@
         self._mark_idle(flow)
         _close(flow)
 
-    def drop_of(self, upstream: Upstream) -> None:
+    def drop_upstream(self, upstream: Upstream) -> None:
         """Forget the flows of an upstream that no longer holds them."""
         held = [key for key, flow in self._by_key.items() if flow.upstream is upstream]
         for key in held:
@@ -239,17 +239,19 @@
             upstream = flow.upstream
             if upstream is None or not upstream.pool.controlled or flow.sequence < 0:
                 continue
-            pending.append(PendingRequest(upstream, flow.key[_ROUTE_PLACE:], flow.asked_at))
+            pending.append(PendingRequest(upstream, flow.key[_ROUTE_OFFSET:], flow.requested_at))
         return pending
 
     def expire(self, idle_s: float, now: float) -> None:
         """Forget silent flows, and requests whose end was not seen."""
         self.expire_openings(now)
-        for flow in _older(self._busy_by_key, now - BUSY_S):
+        for flow in _older(self._busy_by_key, now - BUSY_TIMEOUT_S):
             if flow.upstream is not None:
                 self._count(flow, flow.upstream, now)
             self._mark_idle(flow)
-        for _ in range(min(len(self._by_key), _SWEPT_FLOWS + len(self._by_key) // _SWEEPS)):
+        for _ in range(
+            min(len(self._by_key), _MIN_SWEPT_FLOWS + len(self._by_key) // _SWEEP_DIVISOR)
+        ):
             key = next(iter(self._by_key))
             if now < self._by_key[key].seen_at + idle_s:
                 self._by_key.move_to_end(key)
@@ -267,7 +269,7 @@
         return flow
 
     def _note_answer(self, flow: Flow, now: float) -> None:
-        self.answers.observe(now - flow.asked_at)
+        self.answers.observe(now - flow.requested_at)
         if flow.upstream is not None:
             flow.upstream.pool.answered += 1
             self._count(flow, flow.upstream, now)
@@ -276,10 +278,10 @@
     def _count(self, flow: Flow, upstream: Upstream, now: float) -> None:
         """Count an answer, or that none came for long; an opening packet asks for no work."""
         if upstream.pool.controlled and flow.sequence >= 0:
-            self._counts.note(upstream, flow.key[_ROUTE_PLACE:], flow.asked_at, now)
+            self._counts.note(upstream, flow.key[_ROUTE_OFFSET:], flow.requested_at, now)
 
     def _mark_busy(self, flow: Flow, now: float) -> None:
-        flow.asked_at = now
+        flow.requested_at = now
         self._busy_by_key[flow.key] = flow
         self._busy_by_key.move_to_end(flow.key)
         _enter_pool(flow)
@@ -302,11 +304,11 @@
             flow.upstream.busy_flows -= 1
 
 
-def _older(by_key: OrderedDict[bytes, Flow], asked_until: float) -> list[Flow]:
+def _older(by_key: OrderedDict[bytes, Flow], requested_until: float) -> list[Flow]:
     """Return the flows in front whose last request was asked until then."""
     older = []
     for flow in by_key.values():
-        if flow.asked_at > asked_until:
+        if flow.requested_at > requested_until:
             break
         older.append(flow)
     return older
--- a/src/bronzekeel/core/routing/heartbeats.py
+++ b/src/bronzekeel/core/routing/heartbeats.py
@@ -67,7 +67,7 @@
         unheard=tuple(sorted(state.demand.moving.unheard.names)),
         direct=state.is_direct(now),
         lost=state.is_lost,
-        stopping=state.stopping.asked,
+        stopping=state.stopping.is_requested,
     )
 
 
@@ -102,7 +102,7 @@
         evacuated=_told_evacuated(state),
         direct=state.is_direct(now),
         lost=state.is_lost,
-        stopping=state.stopping.asked,
+        stopping=state.stopping.is_requested,
     )
 
 
--- a/src/bronzekeel/core/routing/holding.py
+++ b/src/bronzekeel/core/routing/holding.py
@@ -17,7 +17,7 @@
 
 #: Packets that are held at most; beyond it the oldest leaves.  Source: what
 #: 10,000 packets a second bring in ``HOLD_S``, 5 MB at 1,231 bytes each.
-MOST_HELD = 4000
+MAX_HELD_PACKETS = 4000
 
 
 class HeldPackets:
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         """Start with none."""
-        self._held: deque[tuple[float, bytes]] = deque(maxlen=MOST_HELD)
+        self._held: deque[tuple[float, bytes]] = deque(maxlen=MAX_HELD_PACKETS)
 
     def __len__(self) -> int:
         """Return the number of packets that are held."""
--- a/src/bronzekeel/core/routing/link_queue.py
+++ b/src/bronzekeel/core/routing/link_queue.py
@@ -24,25 +24,25 @@
 LINK_SHARE = 0.95
 
 #: Bytes of head before each datagram on a link: Ethernet, IPv4 and UDP.
-HEAD_BYTES = 42
+HEADER_BYTES = 42
 
 #: Seconds by which a link may be ahead of its rate.  Source: one packet of a hundred Mbit/s; a
 #: timer of the system is about as exact.
-AHEAD_S = 0.0002
+MAX_AHEAD_S = 0.0002
 
 #: Seconds by which a datagram may leave late without a loss of rate.  Source: the timers of a
 #: busy host are late by that; the link was idle meanwhile.
-LATE_S = 0.001
+MAX_LATE_S = 0.001
 
 #: Seconds of the link's rate that wait at most; beyond them datagrams are lost, as they would be on
 #: the link.  Source: callers repeat after 0.2 s what was not acknowledged, and twice later; what
 #: waits longer is sent in vain.
-MOST_WAIT_S = 0.4
+MAX_QUEUE_S = 0.4
 
 Address = tuple[str, int]
 
 
-class Outgoing:
+class QueuedDatagram:
     """Hold a datagram of a flow that waits."""
 
     __slots__ = ('address', 'flow', 'raw')
@@ -62,20 +62,20 @@
         """Return the number of datagrams that wait."""
 
     @abstractmethod
-    def add(self, outgoing: Outgoing) -> bool:
+    def add(self, outgoing: QueuedDatagram) -> bool:
         """Take a datagram; return whether it is not one that waits already."""
 
     @abstractmethod
-    def take(self) -> Outgoing | None:
+    def take(self) -> QueuedDatagram | None:
         """Take out the next datagram, None if none waits."""
 
 
-class InTurn(SendingOrder):
+class FairQueueOrder(SendingOrder):
     """Let flows take turns, those that have just begun to wait first."""
 
     def __init__(self) -> None:
         """Start with none."""
-        self._waiting_by_flow: dict[bytes, deque[Outgoing]] = {}
+        self._waiting_by_flow: dict[bytes, deque[QueuedDatagram]] = {}
         self._new: deque[bytes] = deque()
         self._old: deque[bytes] = deque()
         self._count = 0
@@ -84,7 +84,7 @@
         """Return the number of datagrams that wait."""
         return self._count
 
-    def add(self, outgoing: Outgoing) -> bool:
+    def add(self, outgoing: QueuedDatagram) -> bool:
         """Take a datagram behind those of its flow; a repeat of one that waits is left out.
 
         A repeat is the same to the last byte.  What goes wrong with less: acknowledgements have
@@ -102,7 +102,7 @@
         self._count += 1
         return True
 
-    def take(self) -> Outgoing | None:
+    def take(self) -> QueuedDatagram | None:
         """Take out the next datagram, None if none waits."""
         turns = self._new or self._old
         if not turns:
@@ -123,9 +123,9 @@
 
     def __init__(self, link_mbps: float, order: SendingOrder) -> None:
         """Send at `LINK_SHARE` of a rate in Mbit/s; `order` says who goes first."""
-        self.lost = 0
+        self.dropped = 0
         self._bytes_per_s = link_mbps * _MEGA / _BITS * LINK_SHARE
-        self._most_bytes = self._bytes_per_s * MOST_WAIT_S
+        self._max_bytes = self._bytes_per_s * MAX_QUEUE_S
         self._order = order
         self._bytes = 0
         self._free_at: float = 0
@@ -137,26 +137,26 @@
     @property
     def next_at(self) -> float:
         """When the next datagram may leave."""
-        return self._free_at - AHEAD_S
+        return self._free_at - MAX_AHEAD_S
 
-    def passes(self, size: int, now: float) -> bool:
+    def try_reserve(self, size: int, now: float) -> bool:
         """Whether a datagram of `size` bytes may leave at once; take its time if so."""
-        if len(self._order) or now < self._free_at - AHEAD_S:
+        if len(self._order) or now < self._free_at - MAX_AHEAD_S:
             return False
         self._occupy(size, now)
         return True
 
-    def add(self, outgoing: Outgoing) -> None:
+    def add(self, outgoing: QueuedDatagram) -> None:
         """Let a datagram wait for its turn."""
-        if self._bytes + len(outgoing.raw) > self._most_bytes:
-            self.lost += 1
+        if self._bytes + len(outgoing.raw) > self._max_bytes:
+            self.dropped += 1
             return
         if self._order.add(outgoing):
             self._bytes += len(outgoing.raw)
 
-    def take_due(self, now: float) -> Outgoing | None:
+    def take_due(self, now: float) -> QueuedDatagram | None:
         """Take out the next datagram that may leave by now, None if none may."""
-        if now < self._free_at - AHEAD_S:
+        if now < self._free_at - MAX_AHEAD_S:
             return None
         outgoing = self._order.take()
         if outgoing is not None:
@@ -173,10 +173,10 @@
         return dropped
 
     def _occupy(self, size: int, now: float) -> None:
-        begins_at = max(self._free_at, now - LATE_S)
-        self._free_at = begins_at + (size + HEAD_BYTES) / self._bytes_per_s
+        begins_at = max(self._free_at, now - MAX_LATE_S)
+        self._free_at = begins_at + (size + HEADER_BYTES) / self._bytes_per_s
 
 
-def queue_before(link_mbps: float) -> LinkQueue | None:
+def link_queue_for(link_mbps: float) -> LinkQueue | None:
     """Return the queue before a link of a rate in Mbit/s, None if the rate is not known."""
-    return LinkQueue(link_mbps, InTurn()) if link_mbps else None
+    return LinkQueue(link_mbps, FairQueueOrder()) if link_mbps else None
--- a/src/bronzekeel/core/routing/load_moves.py
+++ b/src/bronzekeel/core/routing/load_moves.py
@@ -34,7 +34,7 @@
         moving.far_news.note(moving.full_services(), now)
         moving.unheard.note(centres_heard(state, now), now)
     moving.near_news.note(_near_levels(state, services), now)
-    return moving.departures.look(now)
+    return moving.departures.poll(now)
 
 
 def hasten_room(state: RoutingState, heartbeat: Heartbeat) -> None:
--- a/src/bronzekeel/core/routing/reducer.py
+++ b/src/bronzekeel/core/routing/reducer.py
@@ -87,9 +87,9 @@
 
 
 def _on_stop(state: RoutingState, event: StopAsked, now: float) -> list[Effect]:
-    if state.stopping.asked:
+    if state.stopping.is_requested:
         return []
-    state.stopping.ask(now)
+    state.stopping.begin(now)
     stopping = WriteLine(LogNumber.STOPPING, flows=len(state.flows))
     return [stopping, *announce_change(state, now)]
 
@@ -127,7 +127,7 @@
     effects.extend(end_evacuations(state, now))
     state.peers.forget_silent(now)
     state.shared_loads.note(state.directory, state.peers.busy_elsewhere(now))
-    effects.extend(_reckon_load(state, now))
+    effects.extend(_update_load(state, now))
     effects.extend(follow_on(state, now))
     effects.extend(ask_elsewhere(state, now))
     effects.extend(beat(state, now))
@@ -137,7 +137,7 @@
     return effects
 
 
-def _reckon_load(state: RoutingState, now: float) -> list[Effect]:
+def _update_load(state: RoutingState, now: float) -> list[Effect]:
     """Reckon capacities, where flows go, how many requests may begin, and callers' shares."""
     effects = learn_capacities(state, now)
     reckon_balance(state, now)
--- a/src/bronzekeel/core/routing/sharing.py
+++ b/src/bronzekeel/core/routing/sharing.py
@@ -54,7 +54,7 @@
 def beat(state: RoutingState, now: float) -> list[Effect]:
     """Send the heartbeats that are due."""
     effects: list[Effect] = []
-    news_at = max(state.flows.silent_at, state.demand.moving.near_news.changed_at)
+    news_at = max(state.flows.unresponsive_at, state.demand.moving.near_news.changed_at)
     if news_at > state.peers.told_at:
         state.peers.beat_soon()
     near = state.peers.due_neighbours(now)
@@ -186,11 +186,11 @@
         now,
     )
     if ahead is None or not state.ready:
-        state.told_elsewhere_at = None
+        state.remote_behind_since = None
         return []
-    if state.told_elsewhere_at is None:
-        state.told_elsewhere_at = now
-    if now < max(state.told_elsewhere_at + PATIENCE_S, state.fetch_until):
+    if state.remote_behind_since is None:
+        state.remote_behind_since = now
+    if now < max(state.remote_behind_since + PATIENCE_S, state.fetch_until):
         return []
     return [_fetch_from(state, ahead, now)]
 
@@ -287,7 +287,7 @@
     if state.directory.newest_revision > upstreams_revision:
         followers[Collection.UPSTREAMS].expect_news(now)
     told = known != (state.text_order, state.directory.newest_revision)
-    if told and state.told_elsewhere_at is not None:
+    if told and state.remote_behind_since is not None:
         return announce_change(state, now)
     return []
 
--- a/src/bronzekeel/core/routing/silence.py
+++ b/src/bronzekeel/core/routing/silence.py
@@ -36,7 +36,7 @@
     It says how many opening packets in a row nobody answered, its own and those it was told of.
     What it was only told it does not tell on: two hosts would remind each other without end.
     """
-    if now >= state.flows.heard_at + HEARD_S:
+    if now >= state.flows.last_answer_at + HEARD_S:
         return {}
     silent = [
         (upstream.silent_until, number, upstream.unanswered)
--- a/src/bronzekeel/core/routing/state.py
+++ b/src/bronzekeel/core/routing/state.py
@@ -31,14 +31,14 @@
 
 
 class RoutingState:
-    """Hold text, upstreams, flows, peers, and how fresh each is.
-
-    A view that was asked of a peer is awaited until `fetch_until`; a peer was
-    heard to know more than this balancer does at `behind_since`, and one of another
-    data centre at `told_elsewhere_at`; None when none does.  It `knows_missing` when a peer told it
-    which entries the store no longer has.  It was started at `started_at`.  `demand` has what is
-    learned and decided where demand is controlled, `store_record` what the store itself has
-    answered.
+    """Hold text, upstreams, flows and peers, and how fresh each of them is.
+
+    A view requested from a peer is awaited until `fetch_until`.  `behind_since` is when a peer of
+    the local data centre first announced a newer state than this balancer has,
+    `remote_behind_since` the same for a peer of a remote one; None when no peer is ahead.
+    `knows_missing` is set once a peer has reported which entries the store no longer has.
+    `started_at` is when the balancer started.  `demand` holds what is learned and decided where
+    demand is controlled, `store_record` what the store itself has answered.
     """
 
     __slots__ = (
@@ -57,13 +57,13 @@
         'peers',
         'ready',
         'relays',
+        'remote_behind_since',
         'room',
         'shared_loads',
         'started_at',
         'stopping',
         'store_record',
         'text',
-        'told_elsewhere_at',
         'waiting',
     )
 
@@ -114,7 +114,7 @@
         self.forget_at: float = 0
         self.fetch_until: float = 0
         self.behind_since: float | None = None
-        self.told_elsewhere_at: float | None = None
+        self.remote_behind_since: float | None = None
         self.store_record = StoreRecord()
         self.started_at: float = 0
 
--- a/src/bronzekeel/core/routing/steering.py
+++ b/src/bronzekeel/core/routing/steering.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from zlib import crc32
 
-from bronzekeel.core.routing.connection_ids import opened, sealed
+from bronzekeel.core.routing.connection_ids import decode_connection_id, encode_connection_id
 from bronzekeel.core.routing.flows import Flow
 from bronzekeel.core.routing.decisions import Decision, DecisionLog
 from bronzekeel.core.routing.departures import Departure
@@ -28,7 +28,7 @@
 #: repeat together, sends them to two upstreams, and both open the flow; the
 #: caller's packets then name whichever answered last.  Source: below the 0.2 s
 #: after which callers repeat, above the time that any link takes.
-COPY_GAP_S = 0.15
+DUPLICATE_WINDOW_S = 0.15
 
 #: Repeats after which a flow of an upstream that had announced its leaving,
 #: and then left, is reset.  Source: one repeat means 0.2 s without an answer.
@@ -84,17 +84,17 @@
         request = waiting.take_ended(now)
         while request is not None:
             if request.goes_on(now):
-                yield from self._go_on_in_turn(request, now)
+                yield from self._resume_above_limit(request, now)
             else:
                 for refused in request.packets:
-                    yield refused, self._refuse(refused, request, now)
+                    yield refused, self._end_wait(refused, request, now)
             request = waiting.take_ended(now)
         request = waiting.take_ready(now)
         while request is not None:
-            yield from self._go_on(request, now)
+            yield from self._resume_request(request, now)
             request = waiting.take_ready(now)
 
-    def _go_on_in_turn(
+    def _resume_above_limit(
         self,
         request: WaitingRequest,
         now: float,
@@ -102,11 +102,11 @@
         """Send a request on before there is room, and those that are more urgent before it."""
         urgent = self._state.waiting.take_more_urgent(request, now)
         while urgent is not None:
-            yield from self._go_on(urgent, now)
+            yield from self._resume_request(urgent, now)
             urgent = self._state.waiting.take_more_urgent(request, now)
-        yield from self._go_on(request, now)
+        yield from self._resume_request(request, now)
 
-    def _go_on(
+    def _resume_request(
         self,
         request: WaitingRequest,
         now: float,
@@ -114,7 +114,7 @@
         for packet in request.packets:
             yield packet, self._decide(packet, now, may_wait=False)
 
-    def _refuse(self, packet: FlowPacket, request: WaitingRequest, now: float) -> Verdict:
+    def _end_wait(self, packet: FlowPacket, request: WaitingRequest, now: float) -> Verdict:
         """Refuse a flow that found no room here or elsewhere, unless its repeat may be open.
 
         Openings wait longer where demand is controlled, so a repeat is dropped there: the packet
@@ -125,12 +125,12 @@
         repeats = packet.copy > 0 and request.pool.callers is not None
         if not request.opens or late or repeats or not packet.opens:
             return Discard(Reason.GIVEN_UP)
-        moved = self._instead_of_refusal(packet, now)
+        moved = self._remote_instead_of_refusal(packet, now)
         if moved is not None:
             return moved
-        return self._turn_away(packet, request.pool, Reason.OVERLOADED, now)
+        return self._refuse(packet, request.pool, Reason.OVERLOADED, now)
 
-    def _turn_away(self, packet: FlowPacket, pool: Pool, reason: Reason, now: float) -> Verdict:
+    def _refuse(self, packet: FlowPacket, pool: Pool, reason: Reason, now: float) -> Verdict:
         """Refuse a flow for want of room in a pool."""
         pool.refused += 1
         if pool.callers is not None:
@@ -144,12 +144,12 @@
             return Discard(Reason.NO_TEXT)
         route = text.route_by_key.get(packet.route)
         if route is None:
-            return self._without_route(packet, now)
+            return self._refuse_without_route(packet, now)
         if packet.opens:
             return self._open(packet, route, text, now, may_wait=may_wait)
         return self._continue(packet, route, now, may_wait=may_wait)
 
-    def _without_route(self, packet: FlowPacket, now: float) -> Verdict:
+    def _refuse_without_route(self, packet: FlowPacket, now: float) -> Verdict:
         """Refuse at once what no text allows, unless a newer text may.
 
         A host that is cut off from the store may miss the text that added the
@@ -169,34 +169,34 @@
         *,
         may_wait: bool,
     ) -> Verdict:
-        repeated = self._repeat(packet, route, now)
+        repeated = self._decide_repeat(packet, route, now)
         if repeated is not None:
             return repeated
-        service = _pick(route.shares, packet.flow)
+        service = _pick_service(route.shares, packet.flow)
         candidates = self._state.eligibility.of_service(service, route, text, now)
         upstream = self._placement.choose(candidates, now)
         if upstream is None:
-            return self._without_upstream(packet, now)
+            return self._refuse_without_upstream(packet, now)
         if may_wait and not upstream.pool.has_room:
-            elsewhere = self._instead_of_waiting(upstream, candidates, route, now)
+            elsewhere = self._remote_instead_of_waiting(upstream, candidates, route, now)
             if elsewhere is not None:
-                return self._place(packet, elsewhere, route, text, now, Departure.NO_ROOM)
-            sibling = self._at_sibling(route, service, text, now)
-            held = None if sibling else self._hold(packet, upstream.pool, route, now)
+                return self._place(packet, elsewhere, route, text, now, Departure.NO_FREE_CAPACITY)
+            sibling = self._choose_sibling(route, service, text, now)
+            held = None if sibling else self._refuse_or_queue(packet, upstream.pool, route, now)
             if held is not None:
                 return held
             upstream = sibling or upstream
-        crowded = self._state.balance.sends_away(service)
-        departure = Departure.CROWD if crowded else Departure.NO_UPSTREAM
+        surging = self._state.balance.sends_away(service)
+        departure = Departure.SURGE if surging else Departure.NO_UPSTREAM
         return self._place(packet, upstream, route, text, now, departure)
 
-    def _repeat(self, packet: FlowPacket, route: Route, now: float) -> Verdict | None:
+    def _decide_repeat(self, packet: FlowPacket, route: Route, now: float) -> Verdict | None:
         """Send a repeated opening packet where the first went, None if it is to go elsewhere."""
         flow = self._state.flows.find(packet.flow)
         if flow is None or flow.upstream is None or not _is_repeat(packet, flow, now):
             return None
-        if now < flow.opened_at + COPY_GAP_S or flow.answered:
-            return Deliver(flow.upstream, _id_of(flow.upstream, route))
+        if now < flow.opened_at + DUPLICATE_WINDOW_S or flow.answered:
+            return Deliver(flow.upstream, _connection_id_for(flow.upstream, route))
         self._state.flows.note_unanswered(flow, now)
         return None
 
@@ -216,9 +216,9 @@
             self._state.demand.moving.departures.note(upstream.entry.service, departure, now)
         self._state.eligibility.note_placed(upstream, text, now)
         self._decisions.note(Decision('placed', packet, upstream.entry.name, upstream), now)
-        return Deliver(upstream, _id_of(upstream, route))
+        return Deliver(upstream, _connection_id_for(upstream, route))
 
-    def _instead_of_waiting(
+    def _remote_instead_of_waiting(
         self,
         upstream: Upstream,
         candidates: list[Upstream],
@@ -237,24 +237,24 @@
             or self._state.flows.lengths.is_short(route.key)
             or self._state.demand.moving.is_full(service)
         )
-        return self._with_room_elsewhere(candidates, now) if may_cross else None
+        return self._choose_remote(candidates, now) if may_cross else None
 
-    def _instead_of_refusal(self, packet: FlowPacket, now: float) -> Verdict | None:
+    def _remote_instead_of_refusal(self, packet: FlowPacket, now: float) -> Verdict | None:
         """Open a flow elsewhere that waited at home in vain, None if nobody has room."""
         text = self._state.text
         route = text.route_by_key.get(packet.route) if text else None
         if text is None or route is None:
             return None
-        service = _pick(route.shares, packet.flow)
+        service = _pick_service(route.shares, packet.flow)
         if not self._state.controls_demand:
             return None
         candidates = self._state.eligibility.of_service(service, route, text, now)
-        upstream = self._with_room_elsewhere(candidates, now)
+        upstream = self._choose_remote(candidates, now)
         if upstream is None:
             return None
         return self._place(packet, upstream, route, text, now, Departure.ELSE_REFUSED)
 
-    def _with_room_elsewhere(self, candidates: list[Upstream], now: float) -> Upstream | None:
+    def _choose_remote(self, candidates: list[Upstream], now: float) -> Upstream | None:
         """Return an upstream of another data centre that has room, None if none has."""
         there = [
             upstream
@@ -263,7 +263,7 @@
         ]
         return self._placement.choose(there, now)
 
-    def _at_sibling(
+    def _choose_sibling(
         self,
         route: Route,
         service: str,
@@ -281,7 +281,7 @@
                 return chosen
         return None
 
-    def _hold(
+    def _refuse_or_queue(
         self,
         packet: FlowPacket,
         pool: Pool,
@@ -290,10 +290,10 @@
     ) -> Verdict | None:
         """Refuse an opening packet that finds no room, or let it wait; None lets it go on."""
         if _is_above_share(packet, pool, now):
-            return self._turn_away(packet, pool, Reason.ABOVE_SHARE, now)
-        return Wait() if self._waits(packet, pool, route, now) else None
+            return self._refuse(packet, pool, Reason.ABOVE_SHARE, now)
+        return Wait() if self._enqueue(packet, pool, route, now) else None
 
-    def _waits(self, packet: FlowPacket, pool: Pool, route: Route, now: float) -> bool:
+    def _enqueue(self, packet: FlowPacket, pool: Pool, route: Route, now: float) -> bool:
         """Let the request that `packet` begins wait if its pool has no room."""
         waiting = self._state.waiting
         if pool.has_room or waiting.is_full:
@@ -301,7 +301,7 @@
         waiting.add(packet, pool, route, now)
         return True
 
-    def _without_upstream(self, packet: FlowPacket, now: float) -> Verdict:
+    def _refuse_without_upstream(self, packet: FlowPacket, now: float) -> Verdict:
         if not self._state.is_current(now):
             return Discard(Reason.NO_UPSTREAM)
         self._decisions.note(Decision('refused', packet, Reason.NO_UPSTREAM), now)
@@ -317,14 +317,14 @@
     ) -> Verdict:
         if not packet.connection_id:
             return Discard(Reason.NO_CONNECTION_ID)
-        number = opened(packet.connection_id, route.seal)
+        number = decode_connection_id(packet.connection_id, route.seal)
         upstream = self._state.directory.by_number.get(number)
         if may_wait and upstream is not None and self._begins_request(packet, upstream):
-            if self._waits(packet, upstream.pool, route, now):
+            if self._enqueue(packet, upstream.pool, route, now):
                 return Wait()
-        flow = self._state.flows.see(packet, upstream, now)
+        flow = self._state.flows.note_packet(packet, upstream, now)
         if upstream is None:
-            return self._to_unknown(packet, flow, now)
+            return self._handle_unknown_upstream(packet, flow, now)
         if upstream.missing_at is None:
             return Deliver(upstream, flow=flow)
         if self._is_lost(upstream, flow, now):
@@ -341,7 +341,7 @@
             return False
         return not flow.busy and packet.sequence != flow.sequence
 
-    def _to_unknown(self, packet: FlowPacket, flow: Flow, now: float) -> Verdict:
+    def _handle_unknown_upstream(self, packet: FlowPacket, flow: Flow, now: float) -> Verdict:
         """Reset a flow whose upstream nobody lists, once that is sure.
 
         The entry may be on its way, so the listing must be settled and the
@@ -376,7 +376,7 @@
     The counter is believed first; a packet without one that follows at once is
     a duplicate made on the way.
     """
-    return packet.copy > 0 or now < flow.opened_at + COPY_GAP_S
+    return packet.copy > 0 or now < flow.opened_at + DUPLICATE_WINDOW_S
 
 
 def _is_above_share(packet: FlowPacket, pool: Pool, now: float) -> bool:
@@ -389,11 +389,11 @@
     return pool.callers.refuses(pool.callers.caller_of(packet.flow), now)
 
 
-def _id_of(upstream: Upstream, route: Route) -> int:
-    return sealed(upstream.entry.short_number, route.seal)
+def _connection_id_for(upstream: Upstream, route: Route) -> int:
+    return encode_connection_id(upstream.entry.short_number, route.seal)
 
 
-def _pick(shares: tuple[ServiceShare, ...], flow: bytes) -> str:
+def _pick_service(shares: tuple[ServiceShare, ...], flow: bytes) -> str:
     """Return the service that takes a flow, by the shares' weights."""
     if len(shares) == 1:
         return shares[0].service
--- a/src/bronzekeel/core/routing/stopping.py
+++ b/src/bronzekeel/core/routing/stopping.py
@@ -9,7 +9,7 @@
 
 #: Refused probes after which the fabric stops to send packets.
 #: Source: the users' fabric takes a host out after two misses.
-REFUSALS = 2
+MIN_REFUSALS = 2
 
 #: Seconds without a packet after which none is expected.
 #: Source: a busy host gets a packet each few milliseconds; three times the
@@ -24,34 +24,34 @@
 class Stopping:
     """Hold how far a planned stop is."""
 
-    __slots__ = ('asked_at', 'last_packet_at', 'refusals', 'within_s')
+    __slots__ = ('last_packet_at', 'refusals', 'requested_at', 'within_s')
 
     def __init__(self, within_s: float) -> None:
         """Allow `within_s` seconds from the request to the end."""
         self.within_s = within_s
-        self.asked_at: float | None = None
+        self.requested_at: float | None = None
         self.last_packet_at: float = 0
         self.refusals = 0
 
     @property
-    def asked(self) -> bool:
+    def is_requested(self) -> bool:
         """Whether a stop was asked for."""
-        return self.asked_at is not None
+        return self.requested_at is not None
 
-    def ask(self, now: float) -> None:
+    def begin(self, now: float) -> None:
         """Begin; a second request changes nothing."""
-        if self.asked_at is None:
-            self.asked_at = now
+        if self.requested_at is None:
+            self.requested_at = now
 
     def note_refusal(self) -> None:
         """Note that a probe was told that this balancer is not ready."""
-        if self.asked_at is not None:
+        if self.requested_at is not None:
             self.refusals += 1
 
     def is_done(self, now: float) -> bool:
         """Whether the process may end."""
-        if self.asked_at is None:
+        if self.requested_at is None:
             return False
-        if now >= self.asked_at + self.within_s * _USED:
+        if now >= self.requested_at + self.within_s * _USED:
             return True
-        return self.refusals >= REFUSALS and now >= self.last_packet_at + QUIET_S
+        return self.refusals >= MIN_REFUSALS and now >= self.last_packet_at + QUIET_S
--- a/src/bronzekeel/core/routing/taking.py
+++ b/src/bronzekeel/core/routing/taking.py
@@ -51,7 +51,7 @@
     if not state.directory.take(entry, now):
         return []
     if former is not None and state.directory.by_name[entry.name] is not former:
-        state.flows.drop_of(former)
+        state.flows.drop_upstream(former)
         return [
             WriteLine(
                 LogNumber.UPSTREAM_RESTARTED,
--- a/src/bronzekeel/entry/daemon.py
+++ b/src/bronzekeel/entry/daemon.py
@@ -29,7 +29,7 @@
     StopAsked,
     Ticked,
 )
-from bronzekeel.core.routing.link_queue import queue_before
+from bronzekeel.core.routing.link_queue import link_queue_for
 from bronzekeel.core.routing.messages import Known, PeerAddress, View
 from bronzekeel.core.routing.placement import EqualWork, LeastBusy, Placement
 from bronzekeel.core.routing.reducer import TICK_S, reduce
@@ -106,7 +106,7 @@
             packet_format,
             steering,
             self._note_bad_packet,
-            link=queue_before(settings.link_mbps),
+            link=link_queue_for(settings.link_mbps),
         )
         self.readiness = HttpServer(
             self.loop,
@@ -228,7 +228,7 @@
     def _answer_probe(self, target: str) -> Answer:
         if target != self._readiness_path:
             return Answer(NOT_FOUND)
-        ready = self.state.ready and not self.state.stopping.asked
+        ready = self.state.ready and not self.state.stopping.is_requested
         self.take(ProbeAnswered(ready=ready))
         return Answer(OK if ready else UNAVAILABLE)
 
--- a/src/bronzekeel/entry/metrics.py
+++ b/src/bronzekeel/entry/metrics.py
@@ -149,7 +149,7 @@
 def _gauges(state: RoutingState, now: float) -> dict[str, float]:
     return {
         'ready': int(state.ready),
-        'stopping': int(state.stopping.asked),
+        'stopping': int(state.stopping.is_requested),
         'current': int(state.is_current(now)),
         'watching': int(state.is_direct(now)),
         'store_incarnation': state.store_record.incarnation or 0,
--- a/src/bronzekeel/entry/packets.py
+++ b/src/bronzekeel/entry/packets.py
@@ -5,9 +5,9 @@
 from socket import socket
 from time import monotonic
 
-from bronzekeel.core.routing.flows import MOST_FLOWS, Flow
+from bronzekeel.core.routing.flows import MAX_FLOWS, Flow
 from bronzekeel.core.routing.holding import HeldPackets
-from bronzekeel.core.routing.link_queue import LinkQueue, Outgoing
+from bronzekeel.core.routing.link_queue import LinkQueue, QueuedDatagram
 from bronzekeel.core.routing.model import FlowPacket, Upstream
 from bronzekeel.core.routing.steering import ConnectionIdSteering
 from bronzekeel.core.routing.verdicts import Deliver, Reset, Verdict, Wait
@@ -24,8 +24,8 @@
 _NO_LINK = 'no_room_on_link'
 
 #: Flows whose path is kept at most; with more all are looked up anew.
-#: Source: as many as are remembered (``MOST_FLOWS``).
-_MOST_PATHS = MOST_FLOWS
+#: Source: as many as are remembered (``MAX_FLOWS``).
+_MOST_PATHS = MAX_FLOWS
 
 _Fault = Callable[[str, bytes], None]
 
@@ -80,7 +80,7 @@
         self._head_bytes = packet_format.head_bytes
         self._ordinary_flags = packet_format.ordinary_flags
         self._positions = packet_format.positions
-        self._step = self._state.flows.step
+        self._step = self._state.flows.advance
         self._note_fault = note_fault
         self._loop = loop
         self._held = HeldPackets()
@@ -93,7 +93,7 @@
         counts = dict(self._count_by_fate)
         counts[_DELIVERED] = counts.get(_DELIVERED, 0) + self._kept
         if self._link is not None:
-            counts[_NO_LINK] = self._link.lost
+            counts[_NO_LINK] = self._link.dropped
         return counts
 
     @property
@@ -216,11 +216,11 @@
     def _leave(self, key: bytes, raw: bytes, address: tuple[str, int], now: float) -> None:
         """Send a datagram now, or when the link has room for it."""
         link = self._link
-        if link is None or link.passes(len(raw), now):
+        if link is None or link.try_reserve(len(raw), now):
             self._send(raw, address)
             return
         waited = len(link)
-        link.add(Outgoing(key, raw, address))
+        link.add(QueuedDatagram(key, raw, address))
         if not waited:
             self._loop.call_at(link.next_at, self._send_due)
 
--- a/tests/routing_cases.py
+++ b/tests/routing_cases.py
@@ -28,7 +28,7 @@
 INTAKE = 'intake'
 PORTAL_KEY = bytes((198, 18, 0, 1, 1, 187))
 INTAKE_KEY = bytes((198, 18, 0, 2, 1, 187))
-HOME = 'dc-a'
+LOCAL_CENTRE = 'dc-a'
 _FIRST_PORT = 1024
 
 
@@ -39,7 +39,7 @@
     *,
     draining: bool = False,
     cold_s: float = 0,
-    data_centre: str = HOME,
+    data_centre: str = LOCAL_CENTRE,
     slots: int = 3,
 ) -> UpstreamEntry:
     """Return the entry of the upstream with a number."""
@@ -83,7 +83,7 @@
 
 def fresh_state(
     name: str = 'a1',
-    data_centre: str = HOME,
+    data_centre: str = LOCAL_CENTRE,
     admission_of: type[Admission] = RequestsPerSlot,
 ) -> RoutingState:
     """Return the state of a balancer that has just started."""
@@ -181,7 +181,7 @@
     number: int,
     *,
     draining: bool = False,
-    data_centre: str = HOME,
+    data_centre: str = LOCAL_CENTRE,
 ) -> str:
     """Write an upstream's entry; return its name."""
     name = entry(number).name
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -29,8 +29,8 @@
     OVERLOAD_S,
 )
 from tests.routing_cases import (
-    HOME,
     INTAKE,
+    LOCAL_CENTRE,
     PORTAL,
     PORTAL_KEY,
     acknowledging,
@@ -57,7 +57,7 @@
 
 def pool_of(state: RoutingState, service: str = PORTAL) -> Pool:
     """Return the pool of a service at home."""
-    return state.directory.pools_by_service[service][HOME]
+    return state.directory.pools_by_service[service][LOCAL_CENTRE]
 
 
 def resumed(chosen: ConnectionIdSteering, now: float) -> list[tuple[FlowPacket, Verdict]]:
@@ -438,7 +438,9 @@
     def test_flows_that_have_nowhere_else_to_go_are_limited_too(self) -> None:
         """A data centre without upstreams does not flood the others."""
         state = limited_state(entry(1, data_centre='dc-b'))
-        put_in_force(state.directory, HOME, [Allowance(PORTAL, 'dc-b', 2)], {PORTAL: 0.5}, {PORTAL})
+        put_in_force(
+            state.directory, LOCAL_CENTRE, [Allowance(PORTAL, 'dc-b', 2)], {PORTAL: 0.5}, {PORTAL}
+        )
         chosen = steering(state)
         self.assertEqual(entry(1).name, delivered_to(chosen.decide(opening(1), 0)))
         self.assertEqual('Wait', delivered_to(chosen.decide(opening(2), 0)))
@@ -452,7 +454,9 @@
         `limit` 0.0.
         """
         state = limited_state(entry(1, data_centre='dc-b'))
-        put_in_force(state.directory, HOME, [Allowance(PORTAL, 'dc-b', 0)], {PORTAL: 0.5}, {PORTAL})
+        put_in_force(
+            state.directory, LOCAL_CENTRE, [Allowance(PORTAL, 'dc-b', 0)], {PORTAL: 0.5}, {PORTAL}
+        )
         chosen = steering(state)
         self.assertEqual(entry(1).name, delivered_to(chosen.decide(opening(1), 0)))
         self.assertEqual('Wait', delivered_to(chosen.decide(opening(2), 0)))
@@ -465,15 +469,15 @@
         """
         state = limited_state(entry(1), entry(2, data_centre='dc-b'))
         elsewhere = state.directory.pools_by_service[PORTAL]['dc-b']
-        put_in_force(state.directory, HOME, [Allowance(PORTAL, 'dc-b', 2)], {PORTAL: 1}, ())
+        put_in_force(state.directory, LOCAL_CENTRE, [Allowance(PORTAL, 'dc-b', 2)], {PORTAL: 1}, ())
         self.assertTrue(elsewhere.has_allowance)
-        put_in_force(state.directory, HOME, [], {}, ())
+        put_in_force(state.directory, LOCAL_CENTRE, [], {}, ())
         self.assertFalse(elsewhere.has_allowance)
 
     def test_word_of_upstreams_that_are_unknown_is_passed_over(self) -> None:
         """A peer that knows a service before this balancer does no harm."""
         state = limited_state(entry(1))
-        put_in_force(state.directory, HOME, [Allowance(INTAKE, 'dc-b', 2)], {INTAKE: 1}, ())
+        put_in_force(state.directory, LOCAL_CENTRE, [Allowance(INTAKE, 'dc-b', 2)], {INTAKE: 1}, ())
         self.assertEqual(3 * REQUESTS_A_SLOT, pool_of(state).limit)
 
 
@@ -482,7 +486,7 @@
 
     def test_an_overload_is_told_once_and_so_is_its_end(self) -> None:
         """Two lines, however many requests wait and are refused."""
-        pool = Pool(PORTAL, HOME)
+        pool = Pool(PORTAL, LOCAL_CENTRE)
         watch = OverloadWatch()
         told: list[WriteLine] = []
         now: float = 0
@@ -502,7 +506,7 @@
 
     def test_a_short_backlog_is_no_overload(self) -> None:
         """Nothing is told of what is over before it counts."""
-        pool = Pool(PORTAL, HOME)
+        pool = Pool(PORTAL, LOCAL_CENTRE)
         watch = OverloadWatch()
         pool.enter(0)
         self.assertEqual([], watch.look([pool], OVERLOAD_S / 2))
--- a/tests/test_caller_shares.py
+++ b/tests/test_caller_shares.py
@@ -52,7 +52,7 @@
 from bronzekeel.replay.routing_fleet import FleetPolicies
 from tests.caller_crowds import OBJECTIVE_S, TIMEOUT_S, Crowd, played, restart_a_host
 from tests.routing_cases import (
-    HOME,
+    LOCAL_CENTRE,
     PORTAL,
     PORTAL_KEY,
     acknowledging,
@@ -245,7 +245,7 @@
         for _ in range(20):
             self.shares.note(_flow_of(_ODD_ADDRESS), 0, given=True)
         self.shares.level = 2
-        self.pool = Pool(PORTAL, HOME)
+        self.pool = Pool(PORTAL, LOCAL_CENTRE)
         self.pool.callers = self.shares
         self.queue = CallerQueue(self.shares)
 
@@ -337,7 +337,7 @@
         self.state = _covered_state()
         self.chosen = steering(self.state)
         self.given = id_given(self.chosen.decide(opening(1), 0))
-        self.pool = next(iter(self.state.directory.pools_of(HOME)))
+        self.pool = next(iter(self.state.directory.pools_of(LOCAL_CENTRE)))
         self.pool.limit = 1
         self.shares = _shares_of(self.state)
         self.shares.note_short(0)
@@ -427,7 +427,7 @@
         """Guards against deployments that did not ask for shares and get them."""
         state = ready_state(entry(1))
         reduce(state, Ticked(), 0)
-        pool = next(iter(state.directory.pools_of(HOME)))
+        pool = next(iter(state.directory.pools_of(LOCAL_CENTRE)))
         self.assertIsNone(pool.callers)
         self.assertIsInstance(SharedAmongCallers().queue_of(pool), RankedQueue)
 
@@ -468,7 +468,7 @@
         for _ in range(20):
             shares.note(flow(2), 0, given=True)
         shares.level = 2
-        pool = next(iter(state.directory.pools_of(HOME)))
+        pool = next(iter(state.directory.pools_of(LOCAL_CENTRE)))
         written: list[dict[str, object]] = []
         lines = Mock()
         lines.write = lambda number, fields, now: written.append(fields)
@@ -559,7 +559,7 @@
 
 
 def _shares_of(state: RoutingState) -> CallerShares:
-    shares = next(iter(state.directory.pools_of(HOME))).callers
+    shares = next(iter(state.directory.pools_of(LOCAL_CENTRE))).callers
     assert shares is not None
     return shares
 
@@ -567,7 +567,7 @@
 def _hear(state: RoutingState, word: CallersWord | None, now: float) -> None:
     """Let a neighbour tell a word, or that it has none."""
     heartbeat = Heartbeat(
-        PeerAddress('a2', HOME, ('a2', 9)),
+        PeerAddress('a2', LOCAL_CENTRE, ('a2', 9)),
         0,
         0,
         {},
@@ -580,7 +580,7 @@
     {
         'steering': 'connection_ids',
         'name': 'a1',
-        'data_centre': HOME,
+        'data_centre': LOCAL_CENTRE,
         'packets': '127.0.0.1:1',
         'peers': '127.0.0.1:2',
         'seeds': [],
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -16,9 +16,9 @@
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.entry.peer_messages import decode_view, encode_view
 from tests.routing_cases import (
-    HOME,
     INTAKE,
     INTAKE_KEY,
+    LOCAL_CENTRE,
     PORTAL,
     PORTAL_KEY,
     delivered_to,
@@ -161,7 +161,7 @@
         Cause: any upstream is better than none.
         """
         state = ready_state(entry(1, INTAKE), entry(2, INTAKE, data_centre=_AWAY), entry(3))
-        regions = {HOME: 'south', _AWAY: 'north'}
+        regions = {LOCAL_CENTRE: 'south', _AWAY: 'north'}
         state.eligibility = Eligibility(state.directory, ColdStarts(state.peers), regions)
         bound = route(INTAKE_KEY, INTAKE)
         bound.homes = frozenset(('north',))
@@ -206,10 +206,10 @@
 
 
 def _peer(number: int) -> PeerAddress:
-    return PeerAddress(f'a{number}', HOME, (f'a{number}', 9))
+    return PeerAddress(f'a{number}', LOCAL_CENTRE, (f'a{number}', 9))
 
 
-def _cold(number: int, data_centre: str = HOME, cold_s: float = _COLD_S) -> Upstream:
+def _cold(number: int, data_centre: str = LOCAL_CENTRE, cold_s: float = _COLD_S) -> Upstream:
     return Upstream(entry(number, cold_s=cold_s, data_centre=data_centre), 0)
 
 
--- a/tests/test_connection_ids.py
+++ b/tests/test_connection_ids.py
@@ -4,7 +4,7 @@
 
 from bronzekeel.core.routing.admission import RequestsPerSlot
 from bronzekeel.core.routing.events import ChangesRead, StoredObject
-from bronzekeel.core.routing.flows import MOST_AVOID_S
+from bronzekeel.core.routing.flows import MAX_AVOID_S
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.store_waits import ANSWER_S, WATCH_S
 from bronzekeel.core.routing.model import UpstreamEntry
@@ -13,12 +13,12 @@
 from bronzekeel.core.routing.pools import REQUESTS_A_SLOT
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.state import RoutingState
-from bronzekeel.core.routing.steering import COPY_GAP_S
+from bronzekeel.core.routing.steering import DUPLICATE_WINDOW_S
 from bronzekeel.core.routing.verdicts import Deliver
 from tests.routing_cases import (
-    HOME,
     INTAKE,
     INTAKE_KEY,
+    LOCAL_CENTRE,
     PORTAL,
     PORTAL_KEY,
     acknowledging,
@@ -194,7 +194,7 @@
         chosen = steering(state)
         chosen.decide(opening(0), 0)
         room = Allowance(PORTAL, 'dc-b', 20)
-        put_in_force(state.directory, HOME, [room], {PORTAL: 1}, ())
+        put_in_force(state.directory, LOCAL_CENTRE, [room], {PORTAL: 1}, ())
         names = [delivered_to(chosen.decide(opening(number), 0)) for number in range(1, 20)]
         near = 1 + names.count(entry(1).name)
         self.assertEqual(REQUESTS_A_SLOT * entry(1).slots, near)
@@ -231,7 +231,7 @@
         """
         chosen = steering(ready_state(entry(1), entry(2)))
         first = chosen.decide(opening(1), 0)
-        again = chosen.decide(opening(1, copy=1), COPY_GAP_S / 2)
+        again = chosen.decide(opening(1, copy=1), DUPLICATE_WINDOW_S / 2)
         self.assertEqual(delivered_to(first), delivered_to(again))
         self.assertEqual(id_given(first), id_given(again))
 
@@ -246,7 +246,7 @@
                 chosen.decide(opening(number, copy=1), number + 0.2)
         self.assertGreaterEqual(silent.unanswered, 1)
         self.assertGreater(silent.avoided_until, 0)
-        later = silent.avoided_until + MOST_AVOID_S
+        later = silent.avoided_until + MAX_AVOID_S
         names = {delivered_to(chosen.decide(opening(number), later)) for number in range(20, 24)}
         self.assertIn(silent.entry.name, names)
 
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -335,7 +335,7 @@
         balancer = around.start_balancer()
         await until(lambda: balancer.state.ready)
         balancer.loop.call_at(0, lambda: balancer.take(StopAsked()))
-        await until(lambda: balancer.state.stopping.asked)
+        await until(lambda: balancer.state.stopping.is_requested)
         self.assertEqual(503, await status_of(balancer))
         await around.send(opening_from(around.caller), balancer)
         self.assertTrue(await around.taken(around.upstream))
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -28,7 +28,7 @@
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from bronzekeel.replay.routing_store import StoreModel
 from tests.routing_cases import (
-    HOME,
+    LOCAL_CENTRE,
     PORTAL,
     acknowledging,
     asking,
@@ -46,7 +46,7 @@
 
 
 _AWAY = 'dc-b'
-_CENTRES = (HOME, _AWAY, 'dc-c')
+_CENTRES = (LOCAL_CENTRE, _AWAY, 'dc-c')
 
 #: Seconds within which every host that reaches the store or a neighbour acts on an evacuation.
 _IN_FORCE_S = 1.0
@@ -73,9 +73,9 @@
         Sequence: operators evacuate the data centre; callers near to it open flows.
         Cause: placement prefers what is near and knows of upstreams alone.
         """
-        _change(self.state, 50, HOME)
+        _change(self.state, 50, LOCAL_CENTRE)
         self.assertEqual('i-00000002', delivered_to(self.steering.decide(opening(1), 1)))
-        _change(self.state, 51, HOME, stands=False)
+        _change(self.state, 51, LOCAL_CENTRE, stands=False)
         self.assertEqual('i-00000001', delivered_to(self.steering.decide(opening(2), 2)))
 
     def test_an_open_flow_stays(self) -> None:
@@ -86,7 +86,7 @@
         """
         given_id = id_given(self.steering.decide(opening(1), 0))
         self.steering.decide(asking(1, given_id), 0.1)
-        _change(self.state, 50, HOME)
+        _change(self.state, 50, LOCAL_CENTRE)
         for packet in (asking(1, given_id, 141), acknowledging(1, given_id, 90)):
             self.assertEqual('i-00000001', delivered_to(self.steering.decide(packet, 10)))
 
@@ -96,7 +96,7 @@
         Sequence: all upstreams of a service are in evacuated data centres.
         Cause: serving callers is put before the operators' word, which must always hold.
         """
-        _change(self.state, 50, HOME)
+        _change(self.state, 50, LOCAL_CENTRE)
         _change(self.state, 51, _AWAY)
         verdict = delivered_to(self.steering.decide(opening(1), 1))
         self.assertEqual('Reset no_upstream', verdict)
@@ -120,7 +120,7 @@
         Cause: the repeat follows the first packet.
         """
         self.steering.decide(opening(1), 0)
-        _change(self.state, 50, HOME)
+        _change(self.state, 50, LOCAL_CENTRE)
         repeat = self.steering.decide(opening(1, copy=1), 0.2)
         self.assertEqual('i-00000002', delivered_to(repeat))
 
@@ -131,7 +131,7 @@
         Cause: a pool without slots for new flows had no limit.
         """
         state = ready_state(entry(1), entry(2, data_centre=_AWAY), admission_of=_LIMITED)
-        _change(state, 50, HOME)
+        _change(state, 50, LOCAL_CENTRE)
         for tick in range(12):
             reduce(state, Ticked(), 1 + tick / 10)
         pool = state.directory.by_name['i-00000001'].pool
@@ -147,7 +147,7 @@
         away = PeerAddress('b1', _AWAY, ('b1', 9))
         for evacuated in (False, True):
             if evacuated:
-                _change(state, 50, HOME)
+                _change(state, 50, LOCAL_CENTRE)
             busy = Heartbeat(away, 1, 1, {}, (), {PORTAL: 40}, load_by_service={PORTAL: 1})
             reduce(state, HeartbeatHeard(busy), 1 + evacuated)
             reduce(state, Ticked(), 1 + evacuated)
@@ -165,12 +165,12 @@
         Cause: a host believes whoever spoke last.
         """
         state = ready_state(entry(1))
-        _change(state, 50, HOME)
-        _change(state, 60, HOME, stands=False)
-        _tell(state, Evacuated(55, frozenset((HOME,))))
+        _change(state, 50, LOCAL_CENTRE)
+        _change(state, 60, LOCAL_CENTRE, stands=False)
+        _tell(state, Evacuated(55, frozenset((LOCAL_CENTRE,))))
         self.assertFalse(state.evacuated.centres)
-        _tell(state, Evacuated(70, frozenset((HOME,))))
-        self.assertEqual({HOME}, state.evacuated.centres)
+        _tell(state, Evacuated(70, frozenset((LOCAL_CENTRE,))))
+        self.assertEqual({LOCAL_CENTRE}, state.evacuated.centres)
 
     def test_hosts_that_started_since_are_not_taken_back(self) -> None:
         """Symptom: a host that comes back from a cut evacuates a data centre for everybody.
@@ -181,11 +181,11 @@
         """
         fleet = fleet_of(4, _CENTRES)
         fleet.run(5)
-        _evacuate(fleet, HOME)
+        _evacuate(fleet, LOCAL_CENTRE)
         fleet.run(3)
         fleet.cut_centres.add('dc-c')
         fleet.run(3)
-        _take_back(fleet, HOME)
+        _take_back(fleet, LOCAL_CENTRE)
         for name, node in fleet.node_by_name.items():
             if node.me.data_centre != 'dc-c':
                 fleet.restart(name)
@@ -220,7 +220,7 @@
         Cause: only an event ends it.
         """
         state = ready_state(entry(1))
-        _change(state, 50, HOME)
+        _change(state, 50, LOCAL_CENTRE)
         reduce(state, HistoryLost(Collection.EVACUATIONS), 2)
         reduce(state, PageRead(Collection.EVACUATIONS, [], 90, more=False), 2)
         self.assertFalse(state.evacuated.centres)
@@ -232,12 +232,12 @@
         Cause: what the listing does not name is taken for removed.
         """
         state = ready_state(entry(1))
-        _change(state, 50, HOME)
+        _change(state, 50, LOCAL_CENTRE)
         gap = StoredObject('', 0, Unreadable('no name'))
         other = _stored(80, _AWAY)
         reduce(state, HistoryLost(Collection.EVACUATIONS), 2)
         reduce(state, PageRead(Collection.EVACUATIONS, [gap, other], 90, more=False), 2)
-        self.assertEqual({HOME, _AWAY}, state.evacuated.centres)
+        self.assertEqual({LOCAL_CENTRE, _AWAY}, state.evacuated.centres)
 
 
 class EvacuationsModel(RuleBasedStateMachine):
@@ -352,10 +352,10 @@
         """One write is in force at every host, and taken back the same way."""
         fleet = fleet_of(8, _CENTRES)
         fleet.run(12)
-        _evacuate(fleet, HOME)
+        _evacuate(fleet, LOCAL_CENTRE)
         fleet.run(_IN_FORCE_S)
-        self.assertEqual({frozenset((HOME,))}, _known(fleet))
-        _take_back(fleet, HOME)
+        self.assertEqual({frozenset((LOCAL_CENTRE,))}, _known(fleet))
+        _take_back(fleet, LOCAL_CENTRE)
         fleet.run(_IN_FORCE_S)
         self.assertEqual({frozenset()}, _known(fleet))
 
@@ -371,18 +371,18 @@
                 fleet.run(12)
                 names = [name for name in fleet.node_by_name if name.startswith(deaf)]
                 fleet.lose_store(names, 'silent')
-                _evacuate(fleet, HOME)
+                _evacuate(fleet, LOCAL_CENTRE)
                 fleet.run(_TOLD_S)
-                self.assertEqual({frozenset((HOME,))}, _known(fleet))
+                self.assertEqual({frozenset((LOCAL_CENTRE,))}, _known(fleet))
 
     def test_stale_watches_are_told_by_others(self) -> None:
         """Stale reads are six seconds behind; all hosts know within two."""
         fleet = fleet_of(4, _CENTRES)
         fleet.store.stale_by_s = 6
         fleet.run(20)
-        _evacuate(fleet, HOME)
+        _evacuate(fleet, LOCAL_CENTRE)
         fleet.run(_TOLD_S)
-        self.assertEqual({frozenset((HOME,))}, _known(fleet))
+        self.assertEqual({frozenset((LOCAL_CENTRE,))}, _known(fleet))
 
     def test_a_host_that_starts_in_a_cut_knows_before_it_serves(self) -> None:
         """Symptom: a host sends flows to an evacuated data centre.
@@ -394,7 +394,7 @@
         fleet.run(5)
         _evacuate(fleet, _AWAY)
         fleet.run(2)
-        fleet.cut_centres.add(HOME)
+        fleet.cut_centres.add(LOCAL_CENTRE)
         fleet.restart('dc-a-1')
         state = fleet.node_by_name['dc-a-1'].state
         for _ in range(40):
@@ -408,13 +408,13 @@
         """A rolling restart in an outage forgets no evacuation."""
         fleet = fleet_of(3, _CENTRES)
         fleet.run(5)
-        _evacuate(fleet, HOME)
+        _evacuate(fleet, LOCAL_CENTRE)
         fleet.run(2)
         fleet.lose_store(list(fleet.node_by_name), 'refuses')
         for name in list(fleet.node_by_name):
             fleet.restart(name)
             fleet.run(1)
-        self.assertEqual({frozenset((HOME,))}, _known(fleet))
+        self.assertEqual({frozenset((LOCAL_CENTRE,))}, _known(fleet))
 
     def test_nobody_serves_before_it_knows(self) -> None:
         """Text and upstreams alone make no host ready."""
@@ -432,9 +432,9 @@
     def test_a_heartbeat_tells_it(self) -> None:
         """What is told is what is known."""
         state = ready_state(entry(1))
-        _change(state, 50, HOME)
+        _change(state, 50, LOCAL_CENTRE)
         back = decode_heartbeat(encode_heartbeat(near_heartbeat(state, 1)))
-        self.assertEqual((50, {HOME}), (back.evacuated.as_of, back.evacuated.centres))
+        self.assertEqual((50, {LOCAL_CENTRE}), (back.evacuated.as_of, back.evacuated.centres))
 
     def test_thousands_of_names_stay_out_of_heartbeats(self) -> None:
         """Symptom: no balancer hears another any more.
@@ -443,11 +443,11 @@
         Cause: a heartbeat that names them all fits in no datagram.
         """
         state = ready_state(entry(1))
-        _change(state, 50, HOME)
+        _change(state, 50, LOCAL_CENTRE)
         for number in range(MOST_EVACUATED * 2):
             _change(state, 51 + number, f'nowhere-{number}')
         told = near_heartbeat(state, 1).evacuated
-        self.assertEqual({HOME}, told.centres)
+        self.assertEqual({LOCAL_CENTRE}, told.centres)
 
     def test_a_heartbeat_with_a_wrong_revision_is_unreadable(self) -> None:
         """Symptom: an evacuation can't be taken back.
@@ -464,11 +464,15 @@
     def test_each_change_has_its_line(self) -> None:
         """Who told it, and as of when, is logged once."""
         state = ready_state(entry(1))
-        effects = reduce(state, ChangesRead(Collection.EVACUATIONS, [_stored(50, HOME)], 50), 1)
+        effects = reduce(
+            state, ChangesRead(Collection.EVACUATIONS, [_stored(50, LOCAL_CENTRE)], 50), 1
+        )
         lines = [effect for effect in effects if isinstance(effect, WriteLine)]
         self.assertEqual([LogNumber.EVACUATED], [line.number for line in lines])
         self.assertEqual('store', lines[0].fields['told_by'])
-        effects = reduce(state, ChangesRead(Collection.EVACUATIONS, [_stored(50, HOME)], 55), 2)
+        effects = reduce(
+            state, ChangesRead(Collection.EVACUATIONS, [_stored(50, LOCAL_CENTRE)], 55), 2
+        )
         self.assertFalse([effect for effect in effects if isinstance(effect, WriteLine)])
 
 
@@ -487,7 +491,7 @@
 
 def _tell(state: RoutingState, evacuated: Evacuated) -> None:
     """Let a neighbour tell what it knows."""
-    sender = PeerAddress('a2', HOME, ('a2', 9))
+    sender = PeerAddress('a2', LOCAL_CENTRE, ('a2', 9))
     heartbeat = Heartbeat(sender, 1, 1, {}, evacuated=evacuated)
     reduce(state, HeartbeatHeard(heartbeat), 1)
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -24,7 +24,7 @@
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.state import RoutingState
-from bronzekeel.core.routing.stopping import REFUSALS, Stopping
+from bronzekeel.core.routing.stopping import MIN_REFUSALS, Stopping
 from bronzekeel.core.store_waits import FIRST_WAIT_S, MOST_WAIT_S, MOST_WAIT_UNREAD_S
 from bronzekeel.entry.loop import PauseDetector
 from tests.routing_cases import (
@@ -426,11 +426,11 @@
         Cause: ending at once.
         """
         stopping = Stopping(6)
-        stopping.ask(0)
+        stopping.begin(0)
         stopping.last_packet_at = 0.9
         stopping.note_refusal()
         self.assertFalse(stopping.is_done(0.95))
-        for _ in range(REFUSALS):
+        for _ in range(MIN_REFUSALS):
             stopping.note_refusal()
         self.assertFalse(stopping.is_done(0.95))
         self.assertTrue(stopping.is_done(1.2))
@@ -438,7 +438,7 @@
     def test_a_stop_ends_in_time_under_traffic(self) -> None:
         """The fabric may send on for ever when too few hosts are left."""
         stopping = Stopping(6)
-        stopping.ask(0)
+        stopping.begin(0)
         stopping.last_packet_at = 5.9
         self.assertTrue(stopping.is_done(5.95))
 
--- a/tests/test_learned_capacity.py
+++ b/tests/test_learned_capacity.py
@@ -21,7 +21,7 @@
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.effects import Effect, SendHeartbeat, WriteLine
 from bronzekeel.core.routing.events import HeartbeatHeard, Ticked
-from bronzekeel.core.routing.flows import BUSY_S
+from bronzekeel.core.routing.flows import BUSY_TIMEOUT_S
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.messages import Heartbeat, PeerAddress
 from bronzekeel.core.routing.model import Upstream
@@ -236,7 +236,7 @@
             ended_at = begun_at + self.work_s(kind) * slow
             if begun_at < asked_at + _QUEUE_S:
                 free_at[free_at.index(min(free_at))] = ended_at
-            seen_at = min(ended_at, asked_at + BUSY_S)
+            seen_at = min(ended_at, asked_at + BUSY_TIMEOUT_S)
             request = PendingRequest(upstream, kind, asked_at)
             self.answers.append(_SentRequest(self.random.choice(self.hosts), request, seen_at))
 
--- a/tests/test_link_queue.py
+++ b/tests/test_link_queue.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 
 from bronzekeel.core.routing.link_queue import (
-    AHEAD_S,
-    HEAD_BYTES,
-    LATE_S,
+    HEADER_BYTES,
     LINK_SHARE,
-    MOST_WAIT_S,
-    InTurn,
+    MAX_AHEAD_S,
+    MAX_LATE_S,
+    MAX_QUEUE_S,
+    FairQueueOrder,
     LinkQueue,
-    Outgoing,
+    QueuedDatagram,
     SendingOrder,
 )
 
@@ -41,17 +41,17 @@
     """Send in the order in which datagrams came: the other way that was weighed."""
 
     def __init__(self) -> None:
-        self._waiting: deque[Outgoing] = deque()
+        self._waiting: deque[QueuedDatagram] = deque()
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, outgoing: Outgoing) -> bool:
+    def add(self, outgoing: QueuedDatagram) -> bool:
         """Take a datagram behind all others."""
         self._waiting.append(outgoing)
         return True
 
-    def take(self) -> Outgoing | None:
+    def take(self) -> QueuedDatagram | None:
         """Take out the first."""
         return self._waiting.popleft() if self._waiting else None
 
@@ -68,7 +68,7 @@
         if self._free_at - now > _LINK_HOLDS_S:
             self.lost += 1
             return
-        self._free_at = max(self._free_at, now) + (size + HEAD_BYTES) / _BYTES_PER_S
+        self._free_at = max(self._free_at, now) + (size + HEADER_BYTES) / _BYTES_PER_S
 
 
 class LoadTest(TestCase):
@@ -82,7 +82,7 @@
         """
         lost, _ = _played(None)
         self.assertGreater(lost, _BURST)
-        lost, _ = _played(InTurn())
+        lost, _ = _played(FairQueueOrder())
         self.assertEqual(0, lost)
 
     def test_requests_do_not_wait_for_uploads(self) -> None:
@@ -91,9 +91,9 @@
         Sequence: a request comes behind three bursts.
         Cause: datagrams leave in the order in which they came.
         """
-        _, in_turn_s = _played(InTurn())
+        _, in_turn_s = _played(FairQueueOrder())
         _, as_they_came_s = _played(_AsTheyCame())
-        packet_s = (_BULK_BYTES + HEAD_BYTES) / (_BYTES_PER_S * LINK_SHARE)
+        packet_s = (_BULK_BYTES + HEADER_BYTES) / (_BYTES_PER_S * LINK_SHARE)
         self.assertLess(in_turn_s, 2 * packet_s)
         self.assertGreater(as_they_came_s, _BURST * packet_s)
 
@@ -105,18 +105,18 @@
     @given(packets=_PACKETS)
     def test_rate_and_order(self, packets: list[tuple[int, int, float]]) -> None:
         """No span has more than the rate, nothing is lost twice, and flows stay in order."""
-        queue = LinkQueue(_MBPS, InTurn())
+        queue = LinkQueue(_MBPS, FairQueueOrder())
         now: float = 0
         left: list[tuple[float, int, int, int]] = []
         for sequence, (flow, size, gap_s) in enumerate(packets):
             now += gap_s
             _drain(queue, now, left)
-            if queue.passes(size, now):
+            if queue.try_reserve(size, now):
                 left.append((now, flow, sequence, size))
             else:
-                queue.add(Outgoing(bytes((flow,)), _numbered(sequence, size), _TO))
+                queue.add(QueuedDatagram(bytes((flow,)), _numbered(sequence, size), _TO))
         _drain(queue, now + 10, left)
-        self.assertEqual(len(packets), len(left) + queue.lost)
+        self.assertEqual(len(packets), len(left) + queue.dropped)
         for flow in range(4):
             of_flow = [entry[2] for entry in left if entry[1] == flow]
             self.assertEqual(sorted(of_flow), of_flow)
@@ -128,9 +128,9 @@
         Sequence: a burst waits for longer than 0.2 s; its caller sends all of it again.
         Cause: the same bytes wait twice.
         """
-        order = InTurn()
+        order = FairQueueOrder()
         for sequence in (1, 2, 1, 2):
-            order.add(Outgoing(b'f', _numbered(sequence, _BULK_BYTES), _TO))
+            order.add(QueuedDatagram(b'f', _numbered(sequence, _BULK_BYTES), _TO))
         self.assertEqual(2, len(order))
 
     def test_each_acknowledgement_leaves(self) -> None:
@@ -139,10 +139,10 @@
         Sequence: a caller acknowledges twice while others upload; both acknowledgements wait.
         Cause: the second, of the same length and at the same place, is taken for a repeat.
         """
-        order = InTurn()
+        order = FairQueueOrder()
         acknowledgements = [bytes((200, 0, 7)), bytes((200, 0, 9))]
         for raw in acknowledgements:
-            order.add(Outgoing(b'f', raw, _TO))
+            order.add(QueuedDatagram(b'f', raw, _TO))
         left = [order.take(), order.take()]
         self.assertEqual(acknowledgements, [out.raw for out in left if out is not None])
 
@@ -152,35 +152,35 @@
         Sequence: opening packets wait for the link; the host is frozen for seconds and wakes.
         Cause: the packets in the kernel are dropped then, and those before the link are not.
         """
-        queue = LinkQueue(_MBPS, InTurn())
-        queue.passes(_BULK_BYTES, 0)
+        queue = LinkQueue(_MBPS, FairQueueOrder())
+        queue.try_reserve(_BULK_BYTES, 0)
         for sequence in range(5):
-            queue.add(Outgoing(b'f', _numbered(sequence, _BULK_BYTES), _TO))
+            queue.add(QueuedDatagram(b'f', _numbered(sequence, _BULK_BYTES), _TO))
         self.assertEqual(5, queue.drop())
         self.assertIsNone(queue.take_due(9))
-        self.assertTrue(queue.passes(_BULK_BYTES, 9))
+        self.assertTrue(queue.try_reserve(_BULK_BYTES, 9))
 
     def test_what_waits_is_bounded(self) -> None:
         """A flood is lost as it would be on the link, and counted."""
-        queue = LinkQueue(_MBPS, InTurn())
-        queue.passes(_BULK_BYTES, 0)
+        queue = LinkQueue(_MBPS, FairQueueOrder())
+        queue.try_reserve(_BULK_BYTES, 0)
         for sequence in range(1000):
-            queue.add(Outgoing(b'f', _numbered(sequence, _BULK_BYTES), _TO))
-        self.assertLessEqual(len(queue) * _BULK_BYTES, _BYTES_PER_S * MOST_WAIT_S)
-        self.assertEqual(1000, len(queue) + queue.lost)
+            queue.add(QueuedDatagram(b'f', _numbered(sequence, _BULK_BYTES), _TO))
+        self.assertLessEqual(len(queue) * _BULK_BYTES, _BYTES_PER_S * MAX_QUEUE_S)
+        self.assertEqual(1000, len(queue) + queue.dropped)
 
     def test_a_wide_link_holds_nothing_back(self) -> None:
         """At 1,000 Mbit/s a burst leaves at once."""
-        queue = LinkQueue(1000, InTurn())
-        self.assertTrue(all(queue.passes(_BULK_BYTES, 0) for _ in range(_BURST)))
+        queue = LinkQueue(1000, FairQueueOrder())
+        self.assertTrue(all(queue.try_reserve(_BULK_BYTES, 0) for _ in range(_BURST)))
 
     def _assert_within_rate(self, left: list[tuple[float, int, int, int]]) -> None:
         for place, first in enumerate(left):
             taken: float = 0
             for later in left[place:]:
-                taken += (later[3] + HEAD_BYTES) / (_BYTES_PER_S * LINK_SHARE)
-                longest = (later[3] + HEAD_BYTES) / (_BYTES_PER_S * LINK_SHARE)
-                within = later[0] - first[0] + longest + 2 * AHEAD_S + LATE_S
+                taken += (later[3] + HEADER_BYTES) / (_BYTES_PER_S * LINK_SHARE)
+                longest = (later[3] + HEADER_BYTES) / (_BYTES_PER_S * LINK_SHARE)
+                within = later[0] - first[0] + longest + 2 * MAX_AHEAD_S + MAX_LATE_S
                 self.assertLessEqual(taken, within + 1e-9)
 
 
@@ -189,7 +189,7 @@
     return sequence.to_bytes(4, 'big').ljust(size, b'.')
 
 
-def _number_of(outgoing: Outgoing) -> int:
+def _number_of(outgoing: QueuedDatagram) -> int:
     return int.from_bytes(outgoing.raw[:4], 'big')
 
 
@@ -222,32 +222,33 @@
     return link.lost, longest_s
 
 
-def _arriving_late(queue: LinkQueue, step: int) -> Iterator[Outgoing]:
+def _arriving_late(queue: LinkQueue, step: int) -> Iterator[QueuedDatagram]:
     """Put what comes into the queue, but for what may pass at once."""
     for outgoing in _arriving(step):
-        if queue.passes(len(outgoing.raw), step / _STEPS):
+        if queue.try_reserve(len(outgoing.raw), step / _STEPS):
             yield outgoing
         else:
             queue.add(outgoing)
 
 
-def _leaving(queue: LinkQueue, now: float) -> Iterator[Outgoing]:
+def _leaving(queue: LinkQueue, now: float) -> Iterator[QueuedDatagram]:
     outgoing = queue.take_due(now)
     while outgoing is not None:
         yield outgoing
         outgoing = queue.take_due(now)
 
 
-def _arriving(step: int) -> list[Outgoing]:
+def _arriving(step: int) -> list[QueuedDatagram]:
     """Return what comes in a millisecond; a request's sequence tells when it came."""
     arrived = []
     if step % 500 == 0:
         for upload in (b'u1', b'u2', b'u3'):
             flow = b'%s%d' % (upload, step)
             arrived.extend(
-                Outgoing(flow, _numbered(packet, _BULK_BYTES), _TO) for packet in range(_BURST)
+                QueuedDatagram(flow, _numbered(packet, _BULK_BYTES), _TO)
+                for packet in range(_BURST)
             )
     if step % 10 == 5:
         flow = b'r%d' % step
-        arrived.append(Outgoing(flow, _numbered(step, _REQUEST_BYTES), _TO))
+        arrived.append(QueuedDatagram(flow, _numbered(step, _REQUEST_BYTES), _TO))
     return arrived
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -28,7 +28,7 @@
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from bronzekeel.replay.routing_store import StoreCopy
 from tests.routing_cases import (
-    HOME,
+    LOCAL_CENTRE,
     entry,
     fleet_of,
     fresh_state,
@@ -524,13 +524,13 @@
         state = evacuated_state()
         relist_evacuations(state, 2)
         told = revision_of(_SECOND, 10)
-        written = StoredObject(HOME, told, Evacuation())
+        written = StoredObject(LOCAL_CENTRE, told, Evacuation())
         effects = reduce(state, ChangesRead(Collection.EVACUATIONS, [written], told), 2.5)
         self.assertEqual([], lines_of(effects, LogNumber.EVACUATED))
         reduce(state, Ticked(), 2 + COPY_DOUBTED_S)
         self.assertFalse(takes_flows(state, 2 + COPY_DOUBTED_S))
         ended = revision_of(_SECOND, 11)
-        removed = StoredObject(HOME, ended, None)
+        removed = StoredObject(LOCAL_CENTRE, ended, None)
         reduce(state, ChangesRead(Collection.EVACUATIONS, [removed], ended), 2.6 + COPY_DOUBTED_S)
         self.assertTrue(takes_flows(state, 2.6 + COPY_DOUBTED_S))
 
@@ -540,14 +540,14 @@
         relist_evacuations(state, 2)
         for number, content in ((10, Evacuation()), (11, None)):
             told = revision_of(_SECOND, number)
-            stored = StoredObject(HOME, told, content)
+            stored = StoredObject(LOCAL_CENTRE, told, content)
             reduce(state, ChangesRead(Collection.EVACUATIONS, [stored], told), 2.5)
         self.assertTrue(takes_flows(state, 2.5))
 
     def test_peers_word_of_a_restored_store_ends_none_at_once(self) -> None:
         """A host that does not watch hears from a peer what the copy has."""
         state = evacuated_state()
-        sender = PeerAddress('a2', HOME, ('a2', 9))
+        sender = PeerAddress('a2', LOCAL_CENTRE, ('a2', 9))
         word = Evacuated(revision_of(_SECOND, 9), frozenset())
         reduce(state, HeartbeatHeard(Heartbeat(sender, 1, 1, {}, evacuated=word)), 2)
         self.assertFalse(takes_flows(state, 2))
@@ -557,7 +557,7 @@
     def test_one_that_the_copy_has_is_obeyed(self) -> None:
         """Nobody can tell an evacuation of the copy from one written just now."""
         state = known_state(1, 2)
-        relist_evacuations(state, 2, HOME)
+        relist_evacuations(state, 2, LOCAL_CENTRE)
         self.assertFalse(takes_flows(state, 2))
 
     def test_upstreams_listed_meanwhile_get_nothing(self) -> None:
@@ -577,7 +577,7 @@
     """Return a state that knows the own data centre to be evacuated."""
     state = known_state(1, 2)
     told = revision_of(_FIRST, 10)
-    evacuation = StoredObject(HOME, told, Evacuation())
+    evacuation = StoredObject(LOCAL_CENTRE, told, Evacuation())
     reduce(state, ChangesRead(Collection.EVACUATIONS, [evacuation], told), 1.1)
     return state
 
--- a/tests/test_room_elsewhere.py
+++ b/tests/test_room_elsewhere.py
@@ -6,7 +6,7 @@
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.asked_meter import WINDOW_S, AskedMeter
 from bronzekeel.core.routing.demand_control import DemandControl, DemandControlMode
-from bronzekeel.core.routing.departures import ENDED_S, Departure, Departures
+from bronzekeel.core.routing.departures import SENDING_ENDED_S, Departure, Departures
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.effects import Effect, WriteLine
 from bronzekeel.core.routing.flow_lengths import MOST_ROUTES, FlowLengths
@@ -335,7 +335,7 @@
             state.flows.place(opening(number).flow, upstream, number)
             for request in range(4):
                 packet = asking(number, 1, 101 + request, acknowledged=7 + request)
-                state.flows.see(packet, upstream, number + request / 10)
+                state.flows.note_packet(packet, upstream, number + request / 10)
         self.assertFalse(state.flows.lengths.is_short(PORTAL_KEY))
 
 
@@ -347,12 +347,12 @@
         departures = Departures()
         told: list[Effect] = []
         for place in range(50):
-            departures.note(PORTAL, Departure.NO_ROOM, place / 10)
-            told.extend(departures.look(place / 10))
-        told.extend(departures.look(5 + ENDED_S))
+            departures.note(PORTAL, Departure.NO_FREE_CAPACITY, place / 10)
+            told.extend(departures.poll(place / 10))
+        told.extend(departures.poll(5 + SENDING_ENDED_S))
         lines = [line for line in told if isinstance(line, WriteLine)]
         numbers = [line.number for line in lines]
         ended = LogNumber.SENDING_ELSEWHERE_ENDED
         self.assertEqual([LogNumber.SENDING_ELSEWHERE, ended], numbers)
         self.assertEqual(50, lines[1].fields['flows'])
-        self.assertEqual(50, departures.flows_by_reason[Departure.NO_ROOM])
+        self.assertEqual(50, departures.flows_by_reason[Departure.NO_FREE_CAPACITY])
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -14,7 +14,7 @@
 from bronzekeel.entry.peer_messages import MessageError, decode_heartbeat, encode_heartbeat
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from tests.routing_cases import (
-    HOME,
+    LOCAL_CENTRE,
     acknowledging,
     delivered_to,
     entry,
@@ -119,7 +119,7 @@
         for number, upstream in enumerate(state.directory.by_name.values()):
             upstream.unanswered = 1
             upstream.silent_until = 2 + number / 1000
-        state.flows.heard_at = 1
+        state.flows.last_answer_at = 1
         told = near_heartbeat(state, 1.5).unanswered_by_number
         self.assertEqual(MOST_SILENT, len(told))
         self.assertIn(entry(59).short_number, told)
@@ -143,14 +143,14 @@
 
 
 def _tell(state: RoutingState, unanswered: dict[int, int], now: float) -> None:
-    sender = PeerAddress('a2', HOME, ('a2', 9))
+    sender = PeerAddress('a2', LOCAL_CENTRE, ('a2', 9))
     heartbeat = Heartbeat(sender, 1, 1, {}, unanswered_by_number=unanswered)
     reduce(state, HeartbeatHeard(heartbeat), now)
 
 
 def _lost_in_a_crash(*, tell: bool) -> int:
     """Return the flows that went to dead upstreams in the seconds after a crash."""
-    fleet = fleet_of(_HOSTS, (HOME,))
+    fleet = fleet_of(_HOSTS, (LOCAL_CENTRE,))
     for number in range(1, _UPSTREAMS + 1):
         put_upstream(fleet, number)
     fleet.run(3)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,7 +11,7 @@
 from bronzekeel.core.routing.effects import DropWaiting
 from bronzekeel.core.routing.events import Paused
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.holding import HOLD_S, MOST_HELD, HeldPackets
+from bronzekeel.core.routing.holding import HOLD_S, MAX_HELD_PACKETS, HeldPackets
 from bronzekeel.core.routing.reducer import STALE_PAUSE_S, reduce
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.entry.early_port import bound_early
@@ -74,9 +74,9 @@
         Cause: holding all of them.
         """
         held = HeldPackets()
-        for _ in range(MOST_HELD + 1):
+        for _ in range(MAX_HELD_PACKETS + 1):
             held.hold(b'x', 1)
-        self.assertEqual(MOST_HELD, len(held))
+        self.assertEqual(MAX_HELD_PACKETS, len(held))
 
     def test_a_packet_that_came_early_is_delivered(self) -> None:
         """Symptom: after all hosts lost power callers wait for their next repeat.
