--- a/src/bronzekeel/core/routing/decisions.py
+++ b/src/bronzekeel/core/routing/decisions.py
@@ -1,4 +1,4 @@
-"""Note the decisions that touch a flow, for the log."""
+"""Record decisions on flows for the log."""
 
 from abc import ABC, abstractmethod
 
@@ -7,7 +7,7 @@
 
 
 class Decision:
-    """Hold one decision: what was done with a packet, and by which inputs."""
+    """Hold one decision: what was done with a packet, and on which grounds."""
 
     __slots__ = ('inputs', 'outcome', 'packet', 'pool', 'upstream')
 
@@ -19,7 +19,7 @@
         upstream: Upstream | None = None,
         pool: Pool | None = None,
     ) -> None:
-        """Keep the decision; `inputs` names the upstream or the reason, `pool` what was full."""
+        """Store the decision; `inputs` names the upstream or the reason, `pool` the full pool."""
         self.outcome = outcome
         self.packet = packet
         self.inputs = inputs
@@ -28,15 +28,15 @@
 
 
 class DecisionLog(ABC):
-    """Take decisions and never fail: a log must not stop a packet."""
+    """Record decisions.  Implementations never raise: a log failure must not stop a packet."""
 
     @abstractmethod
     def note(self, decision: Decision, now: float) -> None:
-        """Take one decision."""
+        """Record one decision."""
 
 
 class NoDecisionLog(DecisionLog):
-    """Keep nothing."""
+    """Discard all decisions."""
 
     def note(self, decision: Decision, now: float) -> None:
         """Do nothing."""
--- a/src/bronzekeel/core/routing/departures.py
+++ b/src/bronzekeel/core/routing/departures.py
@@ -1,4 +1,4 @@
-"""Count the flows that are sent to other data centres, and tell when that begins and ends."""
+"""Count the flows sent to remote data centres, and log when that begins and ends."""
 
 from enum import StrEnum
 
@@ -6,13 +6,13 @@
 from bronzekeel.core.routing.effects import Effect, WriteLine
 
 
-#: Seconds without such a flow after which sending elsewhere has ended.  Source: crowds last three
-#: seconds and more; with less, one crowd is told as several.
+#: Seconds without a flow to a remote data centre after which sending has ended.  Surges last three
+#: seconds or more; with a shorter time, one surge would be logged as several.
 SENDING_ENDED_S = 3.0
 
 
 class Departure(StrEnum):
-    """Say why a flow goes to another data centre."""
+    """Name why a flow goes to a remote data centre."""
 
     NO_FREE_CAPACITY = 'no_room'
     ELSE_REFUSED = 'else_refused'
@@ -20,45 +20,45 @@
     NO_UPSTREAM = 'no_upstream'
 
 
-class _Sending:
-    __slots__ = ('flows', 'sent_at')
+class _RemoteFlows:
+    __slots__ = ('flows', 'last_sent_at')
 
     def __init__(self) -> None:
         self.flows = 0
-        self.sent_at: float = 0
+        self.last_sent_at: float = 0
 
 
 class Departures:
-    """Hold the number of flows by reason, and the services whose flows are sent elsewhere now."""
+    """Count flows to remote data centres by reason, and track which services send some now."""
 
-    __slots__ = ('_begun', '_sending_by_service', 'flows_by_reason')
+    __slots__ = ('_begun_by_service', '_sending_by_service', 'flows_by_reason')
 
     def __init__(self) -> None:
         """Start with none."""
         self.flows_by_reason: dict[str, int] = dict.fromkeys(Departure, 0)
-        self._sending_by_service: dict[str, _Sending] = {}
-        self._begun: dict[str, Departure] = {}
+        self._sending_by_service: dict[str, _RemoteFlows] = {}
+        self._begun_by_service: dict[str, Departure] = {}
 
     def note(self, service: str, reason: Departure, now: float) -> None:
-        """Note that a flow goes to another data centre."""
+        """Record that a flow of `service` goes to a remote data centre."""
         self.flows_by_reason[reason] += 1
         sending = self._sending_by_service.get(service)
         if sending is None:
-            sending = _Sending()
+            sending = _RemoteFlows()
             self._sending_by_service[service] = sending
-            self._begun[service] = reason
+            self._begun_by_service[service] = reason
         sending.flows += 1
-        sending.sent_at = now
+        sending.last_sent_at = now
 
     def poll(self, now: float) -> list[Effect]:
-        """Return the lines on services that began and ceased to send flows elsewhere."""
+        """Return log lines for services that began or stopped sending flows to remote centres."""
         effects: list[Effect] = [
             WriteLine(LogNumber.SENDING_ELSEWHERE, service=service, by=reason.value)
-            for service, reason in self._begun.items()
+            for service, reason in self._begun_by_service.items()
         ]
-        self._begun.clear()
+        self._begun_by_service.clear()
         for service, sending in list(self._sending_by_service.items()):
-            if now < sending.sent_at + SENDING_ENDED_S:
+            if now < sending.last_sent_at + SENDING_ENDED_S:
                 continue
             self._sending_by_service.pop(service)
             ended = LogNumber.SENDING_ELSEWHERE_ENDED
--- a/src/bronzekeel/core/routing/effects.py
+++ b/src/bronzekeel/core/routing/effects.py
@@ -1,33 +1,33 @@
-"""Define what a balancer's decisions ask its adapters to do."""
+"""Define the effects that a balancer's decisions request from its adapters."""
 
 from bronzekeel.core.routing.messages import Heartbeat, Known
 
 
 class Effect:
-    """Ask the adapters for something."""
+    """Request an action from the adapters."""
 
     __slots__ = ()
 
 
 class ReadPage(Effect):
-    """Read a page of a collection, the names after `after`.
+    """Read the page of a collection that holds the names after `after`.
 
-    A `stale` read costs the store less and may be seconds behind.
+    A `stale` read costs the store less, but its result may be seconds old.
     """
 
     __slots__ = ('after', 'collection', 'stale')
 
     def __init__(self, collection: str, after: str, *, stale: bool = False) -> None:
-        """Read `collection` from `after` on; an empty name is the start."""
+        """Read `collection` after the name `after`; an empty name reads from the start."""
         self.collection = collection
         self.after = after
         self.stale = stale
 
 
 class WatchChanges(Effect):
-    """Wait for changes of a collection after a revision, `wait_s` seconds at most.
+    """Wait for changes of a collection after a revision, for at most `wait_s` seconds.
 
-    A `stale` watch costs the store less and may tell seconds late.
+    A `stale` watch costs the store less, but may report changes seconds late.
     """
 
     __slots__ = ('collection', 'revision', 'stale', 'wait_s')
@@ -40,7 +40,7 @@
         *,
         stale: bool = False,
     ) -> None:
-        """Watch `collection` from `revision` on."""
+        """Watch `collection` for changes after `revision`."""
         self.collection = collection
         self.revision = revision
         self.wait_s = wait_s
@@ -59,12 +59,12 @@
 
 
 class FetchView(Effect):
-    """Ask a peer for what it knows beyond what is known here."""
+    """Fetch from a peer what it knows beyond what is `known` here."""
 
     __slots__ = ('address', 'known')
 
     def __init__(self, address: tuple[str, int], known: Known) -> None:
-        """Ask the peer at `address`."""
+        """Fetch from the peer at `address`."""
         self.address = address
         self.known = known
 
@@ -75,18 +75,18 @@
     __slots__ = ('fields', 'number')
 
     def __init__(self, number: int, **fields: object) -> None:
-        """Write the event `number`."""
+        """Write the log event `number`."""
         self.number = number
         self.fields = fields
 
 
 class DropWaiting(Effect):
-    """Drop the callers' packets that wait to be read."""
+    """Drop the callers' packets that wait to be read or sent."""
 
     __slots__ = ()
 
 
 class End(Effect):
-    """End the process: nothing of this balancer is needed any more."""
+    """End the process, as a planned stop is complete."""
 
     __slots__ = ()
--- a/src/bronzekeel/core/routing/flows.py
+++ b/src/bronzekeel/core/routing/flows.py
@@ -1,8 +1,9 @@
-"""Remember for a while what callers' packets show of their flows.
+"""Track flows by what callers' packets show of them.
 
-Forwarding needs none of this: a packet's connection id names its upstream.
-What is remembered tells how busy an upstream is, whether it answers opening
-packets, and whether a caller repeats itself in vain.  All of it may be lost.
+Forwarding does not depend on this state, because a packet's connection id names
+its upstream.  The state shows how busy an upstream is, whether it answers
+opening packets, and whether a caller repeats packets without an answer.  Losing
+it breaks no flow.
 """
 
 from collections import OrderedDict
@@ -14,53 +15,51 @@
 from bronzekeel.core.routing.pools import LEAST_PATIENCE_S
 
 
-#: Seconds after which a request in progress no longer counts as load when
-#: nothing shows its end.  Source: eight times the mean work of the users'
-#: longest kind of request.
+#: Seconds after which a request whose end was not seen no longer counts as load:
+#: eight times the mean processing time of the users' longest kind of request.
 BUSY_TIMEOUT_S = 0.5
 
-#: Flows that are remembered at most; beyond it one leaves for each that comes.
-#: Source: at the size of docs/CAPACITY.md a host has 6,970 flows; at about
-#: 300 bytes each, four times as many stay below 10 MB.
+#: Limit on tracked flows, beyond which each new flow evicts another.  A host of
+#: the size in docs/CAPACITY.md has 6,970 flows; four times as many, at about
+#: 300 bytes each, take less than 10 MB.
 MAX_FLOWS = 28_000
 
-#: Seconds for which an upstream gets no new flows after an opening packet that it left
-#: unanswered.  Source: an opening packet is repeated after 0.2 and 0.6 s; a repeat must find
-#: the upstream of the packet before it still avoided.
+#: Seconds for which an upstream gets no new flows after it left an opening packet unanswered.
+#: Callers repeat an opening packet after 0.2 and 0.6 s, and the upstream of the previous packet
+#: must still be avoided when a repeat arrives.
 AVOID_S = 0.5
 
-#: How many times longer that is after each further one in a row.  Source: two in a row are seldom
-#: lost by chance, and the entry of an upstream that crashed lapses after two seconds.
+#: Factor by which that time grows with each further unanswered packet in a row.  Two in a row are
+#: rarely lost by chance, and the entry of a crashed upstream lapses after two seconds.
 AVOID_FACTOR = 4
 
-#: Seconds that an upstream is avoided at most before it is tried again.
+#: Longest time in seconds for which an upstream is avoided before it is tried again.
 MAX_AVOID_S = 4.0
 
 _MAX_GROWTH = 3
 
-#: Where the address and port of the route begin in a flow's key.
+#: Offset of the route's address and port in a flow's key.
 _ROUTE_OFFSET = 6
 
-#: Flows that one call of ``expire`` looks at: some, and a share of all.
-#: Source: called each tenth of a second it has seen all after six seconds,
-#: well within the time that a silent flow is remembered.
+#: Flows that one call of ``expire`` checks: a minimum, and a fraction of all
+#: flows.  Called every tenth of a second, it has checked all flows after six
+#: seconds, well within the time that an idle flow is tracked.
 _MIN_SWEPT_FLOWS = 64
 _SWEEP_DIVISOR = 64
 
 
 def avoid_s(unanswered: int) -> float:
-    """Return the seconds without new flows after so many unanswered opening packets in a row."""
+    """Return how many seconds to avoid an upstream with this many unanswered openings in a row."""
     return min(AVOID_S * AVOID_FACTOR ** min(unanswered - 1, _MAX_GROWTH), MAX_AVOID_S)
 
 
 class Flow:
     """Hold what was seen of one flow.
 
-    `answered` tells that the caller got an answer of `upstream`; `repeats`
-    counts how often the caller sent its newest bytes again; `live` that the
-    flow is remembered; `unanswered` that its opening packet was taken for that.
-    `busy` tells that a request is in progress, `in_pool` that it takes room in its
-    upstream's pool.
+    `answered` is set once the caller got an answer from `upstream`, `unanswered` if the opening
+    packet is considered unanswered, and `live` while the flow is tracked.  `repeats` counts how
+    often the caller has repeated its newest bytes.  `busy` is set while a request is in progress,
+    `in_pool` while that request counts toward the load of its upstream's pool.
     """
 
     __slots__ = (
@@ -81,7 +80,7 @@
     )
 
     def __init__(self, key: bytes, upstream: Upstream | None, now: float) -> None:
-        """Start with a flow of which the first packet is seen."""
+        """Track a flow from the first packet that was seen of it."""
         self.key = key
         self.live = True
         self.upstream = upstream
@@ -108,7 +107,7 @@
     """
 
     def __init__(self, counts: AnswerCounts | None = None) -> None:
-        """Start with none; `counts` takes the answers where demand is controlled."""
+        """Start with none; `counts` records the answers where demand is controlled."""
         self._counts = counts or AnswerCounts()
         self._by_key: OrderedDict[bytes, Flow] = OrderedDict()
         self._busy_by_key: OrderedDict[bytes, Flow] = OrderedDict()
@@ -120,15 +119,15 @@
         self.requests_by_service: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Return the number of flows that are remembered."""
+        """Return the number of tracked flows."""
         return len(self._by_key)
 
     def find(self, key: bytes) -> Flow | None:
-        """Return a flow, None when it is not remembered."""
+        """Return a flow, None if it is not tracked."""
         return self._by_key.get(key)
 
     def place(self, key: bytes, upstream: Upstream, now: float) -> None:
-        """Note that an opening packet goes to `upstream`."""
+        """Track a new flow whose opening packet goes to `upstream`."""
         self.drop(key)
         flow = Flow(key, upstream, now)
         upstream.open_flows += 1
@@ -140,7 +139,7 @@
             self.drop(next(iter(self._by_key)))
 
     def note_packet(self, packet: FlowPacket, upstream: Upstream | None, now: float) -> Flow:
-        """Note a packet of an open flow; return the flow."""
+        """Record a packet of an open flow; return the flow."""
         flow = self._by_key.get(packet.flow)
         if flow is None or flow.upstream is not upstream:
             opened_here = flow is not None and not flow.answered
@@ -153,8 +152,8 @@
             self._opening_by_key.pop(flow.key, None)
             self.last_answer_at = now
             _note_answered(upstream, now)
-        asks = packet.payload_bytes > 0 or packet.closes
-        self.advance(flow, now, packet.sequence, packet.acknowledged, asks)
+        has_request = packet.payload_bytes > 0 or packet.closes
+        self.advance(flow, now, packet.sequence, packet.acknowledged, has_request)
         if packet.closes:
             self._mark_idle(flow)
             _close(flow)
@@ -166,12 +165,12 @@
         now: float,
         sequence: int,
         acknowledged: int,
-        asks: bool,  # noqa: FBT001 (called for each packet, by place)
+        has_request: bool,  # noqa: FBT001 (called for each packet, by place)
     ) -> None:
-        """Note one more packet of a flow; `asks` if it has bytes of a request.
+        """Record a further packet of a flow; `has_request` if it carries bytes of a request.
 
-        A host sees the callers' half only: bytes sent are a request, and an
-        acknowledgement that moved on is its answer.
+        A host sees only the packets from callers: new bytes are a request, and
+        an acknowledgement that advances shows the answer to it.
         """
         flow.seen_at = now
         if acknowledged != flow.acknowledged:
@@ -179,7 +178,7 @@
             flow.repeats = 0
             if flow.busy:
                 self._note_answer(flow, now)
-        if not asks:
+        if not has_request:
             return
         if sequence == flow.sequence:
             flow.repeats += 1
@@ -188,7 +187,7 @@
         self._mark_busy(flow, now)
 
     def note_unanswered(self, flow: Flow, now: float) -> None:
-        """Note that the flow's upstream left its opening packet unanswered."""
+        """Record that the flow's upstream left its opening packet unanswered."""
         upstream = flow.upstream
         if upstream is None or flow.answered or flow.unanswered:
             return
@@ -199,7 +198,7 @@
         upstream.avoided_until = max(upstream.avoided_until, upstream.silent_until)
 
     def drop(self, key: bytes) -> None:
-        """Forget a flow."""
+        """Stop tracking a flow."""
         flow = self._by_key.pop(key, None)
         if flow is None:
             return
@@ -208,21 +207,21 @@
         _close(flow)
 
     def drop_upstream(self, upstream: Upstream) -> None:
-        """Forget the flows of an upstream that no longer holds them."""
-        held = [key for key, flow in self._by_key.items() if flow.upstream is upstream]
-        for key in held:
+        """Stop tracking the flows of an upstream that no longer has them."""
+        keys = [key for key, flow in self._by_key.items() if flow.upstream is upstream]
+        for key in keys:
             self.drop(key)
 
     def expire_openings(self, now: float) -> None:
-        """Take opening packets that nothing followed for unanswered.
+        """Mark opening packets unanswered that nothing followed within their pool's patience.
 
-        What goes wrong without it: an upstream crashes and resets whatever comes; it looks
-        idle, and callers who try again at once meet it again and again until its entry lapses.
-        And after all balancers were dark, flows that callers have given up take the room of
-        living ones.  One notices by callers that fail while most upstreams are well, and by
-        a limit that is reached for half a second after a start.
+        Without this, a crashed upstream that resets every flow appears idle, so callers that
+        retry at once are sent to it again and again until its entry lapses, although most
+        upstreams are healthy.  Also, after an outage of all balancers, flows that callers have
+        given up would take capacity from live ones, and the limit would be reached for half a
+        second after the start.
         """
-        for opening in _older(self._opening_by_key, now - LEAST_PATIENCE_S):
+        for opening in _requested_before(self._opening_by_key, now - LEAST_PATIENCE_S):
             if (
                 opening.upstream is None
                 or now < opening.opened_at + opening.upstream.pool.patience_s
@@ -243,11 +242,11 @@
         return pending
 
     def expire(self, idle_s: float, now: float) -> None:
-        """Forget silent flows, and requests whose end was not seen."""
+        """Drop flows that were idle for `idle_s`, and requests whose end was not seen."""
         self.expire_openings(now)
-        for flow in _older(self._busy_by_key, now - BUSY_TIMEOUT_S):
+        for flow in _requested_before(self._busy_by_key, now - BUSY_TIMEOUT_S):
             if flow.upstream is not None:
-                self._count(flow, flow.upstream, now)
+                self._count_answer(flow, flow.upstream, now)
             self._mark_idle(flow)
         for _ in range(
             min(len(self._by_key), _MIN_SWEPT_FLOWS + len(self._by_key) // _SWEEP_DIVISOR)
@@ -259,7 +258,7 @@
             self.drop(key)
 
     def _adopt(self, key: bytes, upstream: Upstream | None, now: float) -> Flow:
-        """Remember a flow that another balancer opened."""
+        """Track a flow that another balancer opened."""
         self.drop(key)
         flow = Flow(key, upstream, now)
         flow.answered = True
@@ -272,11 +271,11 @@
         self.answers.observe(now - flow.requested_at)
         if flow.upstream is not None:
             flow.upstream.pool.answered += 1
-            self._count(flow, flow.upstream, now)
+            self._count_answer(flow, flow.upstream, now)
         self._mark_idle(flow)
 
-    def _count(self, flow: Flow, upstream: Upstream, now: float) -> None:
-        """Count an answer, or that none came for long; an opening packet asks for no work."""
+    def _count_answer(self, flow: Flow, upstream: Upstream, now: float) -> None:
+        """Count an answer or a timeout; an opening packet carries no request and is not counted."""
         if upstream.pool.controlled and flow.sequence >= 0:
             self._counts.note(upstream, flow.key[_ROUTE_OFFSET:], flow.requested_at, now)
 
@@ -304,8 +303,8 @@
             flow.upstream.busy_flows -= 1
 
 
-def _older(by_key: OrderedDict[bytes, Flow], requested_until: float) -> list[Flow]:
-    """Return the flows in front whose last request was asked until then."""
+def _requested_before(by_key: OrderedDict[bytes, Flow], requested_until: float) -> list[Flow]:
+    """Return the flows at the front whose last request is no newer than that time."""
     older = []
     for flow in by_key.values():
         if flow.requested_at > requested_until:
@@ -315,7 +314,7 @@
 
 
 def _enter_pool(flow: Flow) -> None:
-    """Let a request in progress take room."""
+    """Count a request in progress toward the load of its pool."""
     if not flow.in_pool and flow.upstream is not None:
         flow.in_pool = True
         flow.upstream.pool.busy += 1
@@ -328,14 +327,14 @@
 
 
 def _close(flow: Flow) -> None:
-    """Count a flow as open no longer."""
+    """Stop counting a flow as open."""
     if not flow.closed and flow.upstream is not None:
         flow.upstream.open_flows -= 1
     flow.closed = True
 
 
 def _note_answered(upstream: Upstream | None, now: float) -> None:
-    """Note that an upstream answered an opening packet."""
+    """Record that an upstream answered an opening packet, so that it is no longer avoided."""
     if upstream is not None:
         upstream.answered_at = now
         upstream.unanswered = 0
--- a/src/bronzekeel/core/routing/readiness.py
+++ b/src/bronzekeel/core/routing/readiness.py
@@ -1,4 +1,4 @@
-"""Decide when a balancer takes traffic."""
+"""Decide when a balancer starts to accept traffic."""
 
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import Effect, WriteLine
@@ -6,9 +6,10 @@
 
 
 def become_ready(state: RoutingState, now: float) -> list[Effect]:
-    """Take traffic once text and upstreams are known, from the store or a peer.
+    """Become ready once text and upstreams are known, from the store or a peer.
 
-    Limits are set first: what callers sent while all balancers were dark comes at once.
+    Request limits are computed first, because packets that callers sent while no balancer was
+    ready arrive all at once.
     """
     if state.ready or state.text is None:
         return []
--- a/src/bronzekeel/core/routing/reducer.py
+++ b/src/bronzekeel/core/routing/reducer.py
@@ -1,7 +1,7 @@
-"""Reduce every event of a balancer that steers by connection ids to effects.
+"""Reduce events of a balancer that steers by connection ids to effects.
 
-Packets pass `core.routing.steering` directly; all that changes what the
-balancer believes of the store, its text and its upstreams passes here.
+Packets go to `core.routing.steering` directly; every event that changes what the
+balancer knows of the store, its text and its upstreams is handled here.
 """
 
 from collections.abc import Callable, Mapping
@@ -51,23 +51,24 @@
     settle_doubts,
 )
 
-#: Interval in seconds at which the daemon feeds ``Ticked``.
-#: Source: a tenth of a second late is little beside every wait decided here.
+#: Interval in seconds at which the daemon sends ``Ticked``.  A delay of a tenth
+#: of a second is small compared with every timeout that is decided here.
 TICK_S = 0.1
 
-#: Interval in seconds at which upstreams that are long gone are forgotten.
-_FORGET_EVERY_S = 5.0
+#: Interval in seconds at which upstreams that have been gone for long are dropped.
+_FORGET_INTERVAL_S = 5.0
 
-#: Seconds of a pause after which the packets that waited are dropped.  Source:
-#: callers give an opening packet up after 1.4 s, and repeat all others sooner.
+#: Length in seconds of a pause of the process from which the packets that waited
+#: through it are dropped.  Callers give up an opening packet after 1.4 s, and
+#: repeat all others sooner.
 STALE_PAUSE_S = 1.4
 
-#: Seconds that a silent flow is remembered while no text is known.
-_IDLE_S = 15.0
+#: Seconds for which an idle flow is tracked while no text is known.
+_DEFAULT_IDLE_S = 15.0
 
 
 def reduce(state: RoutingState, event: Event, now: float) -> list[Effect]:
-    """Return what `event` asks the adapters to do, and note it in `state`."""
+    """Apply `event` to `state`; return the effects for the adapters."""
     return _HANDLERS[type(event)](state, event, now)
 
 
@@ -95,11 +96,11 @@
 
 
 def _on_pause(state: RoutingState, event: Paused, now: float) -> list[Effect]:
-    """Rely on nothing that was valid before a pause until it is proved again.
+    """Doubt what was valid before a pause until it is confirmed again.
 
     Packets that waited through a long pause are dropped: an opening packet
-    among them would open a flow that its caller has given up, and hold a place
-    at an upstream.
+    among them would open a flow that its caller has given up, and occupy a slot
+    of an upstream.
     """
     for follower in state.follower_by_collection.values():
         follower.doubt(now)
@@ -119,9 +120,9 @@
 
 
 def _on_tick(state: RoutingState, event: Ticked, now: float) -> list[Effect]:
-    state.flows.expire(state.text.idle_s if state.text else _IDLE_S, now)
+    state.flows.expire(state.text.idle_s if state.text else _DEFAULT_IDLE_S, now)
     if now >= state.forget_at:
-        state.forget_at = now + _FORGET_EVERY_S
+        state.forget_at = now + _FORGET_INTERVAL_S
         state.directory.forget_old(now)
     effects = settle_doubts(state, now)
     effects.extend(end_evacuations(state, now))
@@ -138,7 +139,7 @@
 
 
 def _update_load(state: RoutingState, now: float) -> list[Effect]:
-    """Reckon capacities, where flows go, how many requests may begin, and callers' shares."""
+    """Update capacities, the distribution of flows, request limits and callers' shares."""
     effects = learn_capacities(state, now)
     reckon_balance(state, now)
     reckon_room(state, now)
--- a/src/bronzekeel/core/routing/state.py
+++ b/src/bronzekeel/core/routing/state.py
@@ -1,4 +1,4 @@
-"""Hold the whole state of a balancer that steers by connection ids."""
+"""Define the state of a balancer that steers by connection ids."""
 
 from collections.abc import Mapping
 
@@ -33,9 +33,9 @@
 class RoutingState:
     """Hold text, upstreams, flows and peers, and how fresh each of them is.
 
-    A view requested from a peer is awaited until `fetch_until`.  `behind_since` is when a peer of
-    the local data centre first announced a newer state than this balancer has,
-    `remote_behind_since` the same for a peer of a remote one; None when no peer is ahead.
+    A view requested from a peer is awaited until `fetch_until`.  `behind_since` is when a peer's
+    heartbeat first announced newer data than this balancer has, `remote_behind_since` the same
+    for a peer of a remote data centre; both are None while no peer is ahead.
     `knows_missing` is set once a peer has reported which entries the store no longer has.
     `started_at` is when the balancer started.  `demand` holds what is learned and decided where
     demand is controlled, `store_record` what the store itself has answered.
@@ -77,11 +77,12 @@
         cold_starts: ColdStarts | None = None,
         demand_control: DemandControl | None = None,
     ) -> None:
-        """Start knowing nothing; a stop ends after `stop_within_s` at the latest.
+        """Start with an empty state; a stop takes at most `stop_within_s` seconds.
 
-        `admission_of` limits requests in progress, and `order_of` ranks those that wait.
-        `region_by_centre` has the regions of data centres, `cold_starts` limits what cold
-        upstreams get, `demand_control` says which services' demand is controlled.
+        `admission_of` is the class that limits requests in progress, `order_of` the class that
+        ranks waiting requests.  `region_by_centre` maps data centres to regions, `cold_starts`
+        limits the load on cold upstreams, and `demand_control` selects the services whose demand
+        is controlled.
         """
         self.demand = Demand(demand_control or DemandControl())
         self.peers = peers
@@ -120,49 +121,49 @@
 
     @property
     def text_revision(self) -> int:
-        """The store's revision of the text in force, zero when none is."""
+        """The store's revision of the text in force, zero without a text."""
         return self.text.revision if self.text else 0
 
     @property
     def text_order(self) -> int:
-        """What orders the text in force among all others, zero when none is."""
+        """The sort key of the text in force among all texts, zero without a text."""
         return self.text.order if self.text else 0
 
     @property
     def evacuated(self) -> Evacuated:
-        """The newest that is known of evacuations."""
+        """The newest known set of evacuated data centres."""
         return self.directory.closed_centres.told
 
     @property
     def incarnation(self) -> int:
-        """The newest incarnation of the store that is known, from the store or a peer."""
-        told = max(self.directory.newest_revision, self.evacuated.as_of)
-        return max(self.store_record.incarnation or 0, incarnation_of(told))
+        """The newest known incarnation of the store, as read from the store or a peer."""
+        newest = max(self.directory.newest_revision, self.evacuated.as_of)
+        return max(self.store_record.incarnation or 0, incarnation_of(newest))
 
     @property
     def epoch(self) -> tuple[int, int]:
-        """What differs after a change of where packets of open flows go."""
+        """A value that changes whenever the destinations of open flows may have changed."""
         return self.text_revision, self.directory.changes
 
     @property
     def is_lost(self) -> bool:
-        """Whether the store does not answer this balancer."""
+        """Whether the store does not answer this balancer on some collection."""
         return any(follower.lost for follower in self.follower_by_collection.values())
 
     @property
     def controls_demand(self) -> bool:
-        """Whether demand is controlled, by the setting and the text in force."""
+        """Whether demand is controlled according to the settings and the text in force."""
         return self.demand.control.covers(self.text)
 
     def is_direct(self, now: float) -> bool:
-        """Whether own watches prove that both views are as new as the store."""
+        """Whether this balancer's own watches prove that all its collections are current."""
         for follower in self.follower_by_collection.values():
             if not follower.is_current(now):
                 return False
         return True
 
     def is_current(self, now: float) -> bool:
-        """Whether own watches or a watching peer prove that the views are new."""
+        """Whether this balancer's own watches or those of a peer prove that its data is current."""
         if self.is_direct(now):
             return True
         return has_current_watcher(
@@ -173,13 +174,13 @@
         )
 
     def is_watcher(self, now: float) -> bool:
-        """Whether this balancer has to watch the store."""
+        """Whether it is this balancer's duty to watch the store."""
         return is_watcher(self.peers, now, direct=self.is_direct(now), lost=self.is_lost)
 
     def reads_stale(self, collection: Collection, now: float) -> bool:
-        """Whether a watch of a collection may tell seconds late."""
+        """Whether a watch of a collection may report changes seconds late."""
         return collection is not Collection.TEXT and not reads_newest(self.relays, now)
 
     def is_settled(self, now: float) -> bool:
-        """Whether both views are current, and lapsed entries had time to come back."""
+        """Whether all data is current, and lapsed entries had time to come back."""
         return now >= self.directory.unsettled_until and self.is_current(now)
--- a/src/bronzekeel/core/routing/steering.py
+++ b/src/bronzekeel/core/routing/steering.py
@@ -1,4 +1,4 @@
-"""Give packets that carry a connection id their verdicts."""
+"""Decide on packets that carry a connection id."""
 
 from collections.abc import Iterator
 from zlib import crc32
@@ -23,46 +23,46 @@
 from bronzekeel.core.steering.strategy import SteeringStrategy
 
 
-#: Seconds within which a repeated opening packet goes where the first went.
-#: What goes wrong without it: a balancer that was slow finds the packet and its
-#: repeat together, sends them to two upstreams, and both open the flow; the
-#: caller's packets then name whichever answered last.  Source: below the 0.2 s
-#: after which callers repeat, above the time that any link takes.
+#: Seconds within which a repeated opening packet goes to the same upstream as the
+#: first.  Without this, a slow balancer that reads a packet and its repeat
+#: together would send them to two upstreams; both would open the flow, and the
+#: caller's packets would name whichever answered last.  The value is below the
+#: 0.2 s after which callers repeat, and above the delay of any link.
 DUPLICATE_WINDOW_S = 0.15
 
-#: Repeats after which a flow of an upstream that had announced its leaving,
-#: and then left, is reset.  Source: one repeat means 0.2 s without an answer.
+#: Repeats after which a flow is reset if its upstream drained and then left.  One
+#: repeat means 0.2 s without an answer.
 REPEATS_WHEN_LEFT = 1
 
-#: Repeats after which a flow of an upstream whose entry lapsed is reset: it
-#: may live and only be cut off from the store.  Source: two repeats mean 0.6 s
-#: without an answer, longer than any delay of a living upstream's link.
+#: Repeats after which a flow is reset if the entry of its upstream lapsed, as the
+#: upstream may be running and only be cut off from the store.  Two repeats mean
+#: 0.6 s without an answer, longer than any delay on the link to a live upstream.
 REPEATS_WHEN_LAPSED = 2
 
 
 #: Seconds after the end of its wait within which an opening packet is refused; later it is
-#: dropped.  What goes wrong without it: a balancer stands still for a second; its callers'
-#: repeats open their flows through another, and when it wakes it resets them.  Source: half
+#: dropped.  Without this, a balancer that was paused for a second would, on resuming, reset flows
+#: that its callers' repeats have opened through another host in the meantime.  The value is half
 #: of the 0.2 s between an opening packet and its repeat.
 LATE_REFUSAL_S = 0.1
 
 
 class ConnectionIdSteering(SteeringStrategy[FlowPacket, Verdict]):
-    """Steer by connection ids over one balancer's state."""
+    """Decide on packets by their connection ids and one balancer's state."""
 
     def __init__(self, state: RoutingState, placement: Placement, decisions: DecisionLog) -> None:
-        """Decide on `state`, choose by `placement`, and note decisions in `decisions`."""
+        """Decide by `state`, choose upstreams by `placement`, record decisions in `decisions`."""
         self._state = state
         self._placement = placement
         self._decisions = decisions
 
     @property
     def state(self) -> RoutingState:
-        """What the decisions go by."""
+        """The state that decisions are based on."""
         return self._state
 
     def decide(self, packet: FlowPacket, now: float) -> Verdict:
-        """Return what becomes of `packet`."""
+        """Return the verdict on `packet`."""
         waiting = self._state.waiting
         request = waiting.of_flow(packet.flow)
         if request is not None:
@@ -74,10 +74,11 @@
         return self._decide(packet, now, may_wait=True)
 
     def resume(self, now: float) -> Iterator[tuple[FlowPacket, Verdict]]:
-        """Decide on the packets whose requests wait no longer.
+        """Yield packets whose requests no longer wait, with their verdicts.
 
-        Those that waited long enough are refused if their flow is not open.  On an open flow they
-        are sent on where demand is controlled; elsewhere their caller has given them up.
+        When its wait has ended, a request that would open a flow is refused.  One on an open flow
+        is sent on if its caller still waits for it, which is so only where demand is controlled,
+        and dropped otherwise.
         """
         self._state.flows.expire_openings(now)
         waiting = self._state.waiting
@@ -99,7 +100,7 @@
         request: WaitingRequest,
         now: float,
     ) -> Iterator[tuple[FlowPacket, Verdict]]:
-        """Send a request on before there is room, and those that are more urgent before it."""
+        """Send a request on without free capacity for it, after all more urgent ones."""
         urgent = self._state.waiting.take_more_urgent(request, now)
         while urgent is not None:
             yield from self._resume_request(urgent, now)
@@ -115,11 +116,13 @@
             yield packet, self._decide(packet, now, may_wait=False)
 
     def _end_wait(self, packet: FlowPacket, request: WaitingRequest, now: float) -> Verdict:
-        """Refuse a flow that found no room here or elsewhere, unless its repeat may be open.
+        """Decide on a packet whose request has waited too long for free capacity.
 
-        Openings wait longer where demand is controlled, so a repeat is dropped there: the packet
-        before it may have opened the flow through another host.  What joined an opening is dropped
-        too; its caller sends it again.
+        An opening packet goes to a remote data centre with free capacity, or is refused.  It is
+        dropped instead if another packet may have opened its flow in the meantime.  Openings wait
+        longer where demand is controlled, so a repeat is always dropped there: the packet before
+        it may have opened the flow through another host.  Packets that joined an opening packet
+        are dropped too, as their caller repeats them.
         """
         late = now >= request.until + LATE_REFUSAL_S
         repeats = packet.copy > 0 and request.pool.callers is not None
@@ -131,7 +134,7 @@
         return self._refuse(packet, request.pool, Reason.OVERLOADED, now)
 
     def _refuse(self, packet: FlowPacket, pool: Pool, reason: Reason, now: float) -> Verdict:
-        """Refuse a flow for want of room in a pool."""
+        """Refuse a flow because its pool lacks free capacity."""
         pool.refused += 1
         if pool.callers is not None:
             pool.callers.note(packet.flow, now, given=False)
@@ -150,10 +153,10 @@
         return self._continue(packet, route, now, may_wait=may_wait)
 
     def _refuse_without_route(self, packet: FlowPacket, now: float) -> Verdict:
-        """Refuse at once what no text allows, unless a newer text may.
+        """Reset a packet for which the text has no route, unless a newer text may have one.
 
         A host that is cut off from the store may miss the text that added the
-        route; its silence lets the caller's repeat reach another host.
+        route; without an answer, the caller repeats and may reach another host.
         """
         if not self._state.is_current(now):
             return Discard(Reason.NO_ROUTE)
@@ -178,20 +181,20 @@
         if upstream is None:
             return self._refuse_without_upstream(packet, now)
         if may_wait and not upstream.pool.has_room:
-            elsewhere = self._remote_instead_of_waiting(upstream, candidates, route, now)
-            if elsewhere is not None:
-                return self._place(packet, elsewhere, route, text, now, Departure.NO_FREE_CAPACITY)
+            remote = self._remote_instead_of_waiting(upstream, candidates, route, now)
+            if remote is not None:
+                return self._place(packet, remote, route, text, now, Departure.NO_FREE_CAPACITY)
             sibling = self._choose_sibling(route, service, text, now)
-            held = None if sibling else self._refuse_or_queue(packet, upstream.pool, route, now)
-            if held is not None:
-                return held
+            verdict = None if sibling else self._refuse_or_queue(packet, upstream.pool, route, now)
+            if verdict is not None:
+                return verdict
             upstream = sibling or upstream
         surging = self._state.balance.sends_away(service)
         departure = Departure.SURGE if surging else Departure.NO_UPSTREAM
         return self._place(packet, upstream, route, text, now, departure)
 
     def _decide_repeat(self, packet: FlowPacket, route: Route, now: float) -> Verdict | None:
-        """Send a repeated opening packet where the first went, None if it is to go elsewhere."""
+        """Send a repeat to the first packet's upstream, None if it needs to be placed anew."""
         flow = self._state.flows.find(packet.flow)
         if flow is None or flow.upstream is None or not _is_repeat(packet, flow, now):
             return None
@@ -209,7 +212,7 @@
         now: float,
         departure: Departure,
     ) -> Verdict:
-        """Open a flow at `upstream`; `departure` is why if that is in another data centre."""
+        """Open a flow at `upstream`; `departure` is the reason if that is in a remote centre."""
         self._state.flows.place(packet.flow, upstream, now)
         crosses = upstream.entry.data_centre != self._state.peers.me.data_centre
         if crosses and self._state.controls_demand:
@@ -225,10 +228,11 @@
         route: Route,
         now: float,
     ) -> Upstream | None:
-        """Return an upstream elsewhere for a flow without room at `upstream`, None if it waits.
+        """Return a remote upstream for a flow that `upstream` has no capacity for, else None.
 
-        Where demand is controlled, a long flow goes only if the whole data centre lacks room: it
-        crosses for all its life.  One that has no upstream at home crosses anyway.
+        Where demand is controlled, a flow that is expected to be long leaves the local data centre
+        only if that as a whole lacks free capacity, because all its requests would cross.  A flow
+        without a local upstream crosses in any case.
         """
         service = upstream.entry.service
         may_cross = (
@@ -240,7 +244,7 @@
         return self._choose_remote(candidates, now) if may_cross else None
 
     def _remote_instead_of_refusal(self, packet: FlowPacket, now: float) -> Verdict | None:
-        """Open a flow elsewhere that waited at home in vain, None if nobody has room."""
+        """Open a flow remotely that found no local capacity in time, None if there is none."""
         text = self._state.text
         route = text.route_by_key.get(packet.route) if text else None
         if text is None or route is None:
@@ -255,13 +259,13 @@
         return self._place(packet, upstream, route, text, now, Departure.ELSE_REFUSED)
 
     def _choose_remote(self, candidates: list[Upstream], now: float) -> Upstream | None:
-        """Return an upstream of another data centre that has room, None if none has."""
-        there = [
+        """Return a remote upstream with an allowance for further flows, None if there is none."""
+        remote = [
             upstream
             for upstream in candidates
             if upstream.pool.has_allowance and now >= upstream.avoided_until
         ]
-        return self._placement.choose(there, now)
+        return self._placement.choose(remote, now)
 
     def _choose_sibling(
         self,
@@ -270,13 +274,13 @@
         text: RoutingText,
         now: float,
     ) -> Upstream | None:
-        """Return an upstream of another service of the route that has room, None if none has."""
+        """Return a local upstream with free capacity in another service of the route, or None."""
         if not self._state.controls_demand:
             return None
-        home = self._state.peers.me.data_centre
+        local_centre = self._state.peers.me.data_centre
         for sibling in siblings_of(route, service):
             upstreams = self._state.eligibility.of_service(sibling, route, text, now)
-            chosen = self._placement.choose(with_room(upstreams, home, now), now)
+            chosen = self._placement.choose(with_room(upstreams, local_centre, now), now)
             if chosen is not None:
                 return chosen
         return None
@@ -288,13 +292,13 @@
         route: Route,
         now: float,
     ) -> Verdict | None:
-        """Refuse an opening packet that finds no room, or let it wait; None lets it go on."""
+        """Refuse an opening packet or let it wait for capacity; None if it is to go on."""
         if _is_above_share(packet, pool, now):
             return self._refuse(packet, pool, Reason.ABOVE_SHARE, now)
         return Wait() if self._enqueue(packet, pool, route, now) else None
 
     def _enqueue(self, packet: FlowPacket, pool: Pool, route: Route, now: float) -> bool:
-        """Let the request that `packet` begins wait if its pool has no room."""
+        """Queue the request that `packet` starts if its pool is full; return whether it waits."""
         waiting = self._state.waiting
         if pool.has_room or waiting.is_full:
             return False
@@ -333,7 +337,7 @@
         return Deliver(upstream)
 
     def _begins_request(self, packet: FlowPacket, upstream: Upstream) -> bool:
-        """Whether a packet is the first of a further request on a flow that is known here."""
+        """Whether a packet starts a further request on a flow that is tracked here."""
         if not packet.payload_bytes or packet.closes or upstream.missing_at is not None:
             return False
         flow = self._state.flows.find(packet.flow)
@@ -342,27 +346,27 @@
         return not flow.busy and packet.sequence != flow.sequence
 
     def _handle_unknown_upstream(self, packet: FlowPacket, flow: Flow, now: float) -> Verdict:
-        """Reset a flow whose upstream nobody lists, once that is sure.
+        """Reset a flow whose upstream is unknown, once it is certain that none is listed.
 
-        The entry may be on its way, so the listing must be settled and the
-        caller must have asked in vain for longer than an entry takes.  Neighbours may
-        remember an upstream that lives unlisted, so one of them must have been asked: it
-        is this balancer that drops the packets, and the repeats tell nothing of the upstream.
+        The entry may be in transit, so the listing must be settled, and the caller must have
+        repeated its packet for longer than an entry takes to arrive.  Peers may remember an
+        upstream that runs without being listed, so one of them must have been queried: since this
+        balancer drops the packets, their repeats show nothing about the upstream.
         """
-        asked = self._state.knows_missing or not self._state.peers.living(now)
-        settled = asked and self._state.is_settled(now)
+        queried = self._state.knows_missing or not self._state.peers.living(now)
+        settled = queried and self._state.is_settled(now)
         if flow.repeats < REPEATS_WHEN_LAPSED or not settled:
             return Discard(Reason.UNKNOWN_CONNECTION_ID)
         self._decisions.note(Decision('reset', packet, Reason.UNKNOWN_CONNECTION_ID), now)
         return Reset(Reason.UNKNOWN_CONNECTION_ID)
 
     def _is_lost(self, upstream: Upstream, flow: Flow, now: float) -> bool:
-        """Whether a flow's upstream is surely gone.
+        """Whether a flow's upstream is certainly gone.
 
-        It takes two independent signs: the store, which no longer lists the upstream
-        and is settled, and the caller, which repeats itself in vain.  The
-        store alone would break flows of an upstream that lives but cannot
-        reach the store; repeats alone those behind a link that loses packets.
+        This takes two independent signs: the store, settled, no longer lists the upstream, and
+        the caller repeats packets without an answer.  Relying on the store alone would break
+        flows of a running upstream that cannot reach the store; relying on repeats alone would
+        break flows behind a link that loses packets.
         """
         if not upstream.is_gone(now) or not self._state.is_settled(now):
             return False
@@ -371,18 +375,18 @@
 
 
 def _is_repeat(packet: FlowPacket, flow: Flow, now: float) -> bool:
-    """Whether an opening packet repeats the one that `flow` was placed by.
+    """Whether an opening packet repeats the one that opened `flow`.
 
-    The counter is believed first; a packet without one that follows at once is
-    a duplicate made on the way.
+    The packet's repeat counter decides.  A packet with a counter of zero that
+    follows within the window is a duplicate made by the network.
     """
     return packet.copy > 0 or now < flow.opened_at + DUPLICATE_WINDOW_S
 
 
 def _is_above_share(packet: FlowPacket, pool: Pool, now: float) -> bool:
-    """Whether the caller of an opening packet was given far more than its share.
+    """Whether an opening packet is refused because its caller is far above its share.
 
-    A repeat is not judged: the first packet may have opened the flow through another host.
+    A repeat never is: the first packet may have opened the flow through another host.
     """
     if pool.callers is None or packet.copy or pool.busy < pool.limit:
         return False
@@ -394,15 +398,15 @@
 
 
 def _pick_service(shares: tuple[ServiceShare, ...], flow: bytes) -> str:
-    """Return the service that takes a flow, by the shares' weights."""
+    """Pick a flow's service by the shares' weights; repeated packets get the same service."""
     if len(shares) == 1:
         return shares[0].service
     total = sum(share.weight for share in shares)
     if total <= 0:
         return shares[0].service
-    place = crc32(flow) % total
+    offset = crc32(flow) % total
     for share in shares:
-        place -= share.weight
-        if place < 0:
+        offset -= share.weight
+        if offset < 0:
             return share.service
     return shares[-1].service
--- a/src/bronzekeel/core/routing/stopping.py
+++ b/src/bronzekeel/core/routing/stopping.py
@@ -1,33 +1,33 @@
 """Decide when a balancer that is being stopped may end.
 
-What goes wrong without it: the fabric learns by two failed probes that a
-balancer is leaving, and sends it packets until then; a balancer that ends at
-once drops them, and opening packets wait for their repeats.  So it refuses the
-probes, forwards on, and ends when the fabric has seen two refusals and sends
-nothing more, or when its time is up.
+The fabric detects by two failed readiness probes that a balancer is leaving,
+and keeps sending it packets until then.  A balancer that ended at once would
+drop them, and opening packets would wait for their repeats.  So a stopping
+balancer fails the probes but keeps forwarding.  It ends when the fabric has
+seen two refusals and sends no more packets, or when the time limit is reached.
 """
 
-#: Refused probes after which the fabric stops to send packets.
-#: Source: the users' fabric takes a host out after two misses.
+#: Refused probes after which the fabric stops sending packets: the users'
+#: fabric removes a host after two failed probes.
 MIN_REFUSALS = 2
 
-#: Seconds without a packet after which none is expected.
-#: Source: a busy host gets a packet each few milliseconds; three times the
-#: time that a packet is under way from a far caller.
+#: Seconds without a packet after which none is expected.  A busy host receives
+#: a packet every few milliseconds; this is three times the network delay from a
+#: distant caller.
 QUIET_S = 0.1
 
-#: Share of the time allowed for a stop that is used at most; the rest is for
-#: closing.
-_USED = 0.85
+#: Fraction of the time allowed for a stop that may be spent on forwarding; the
+#: rest is left for closing.
+_FORWARDING_FRACTION = 0.85
 
 
 class Stopping:
-    """Hold how far a planned stop is."""
+    """Track the progress of a planned stop."""
 
     __slots__ = ('last_packet_at', 'refusals', 'requested_at', 'within_s')
 
     def __init__(self, within_s: float) -> None:
-        """Allow `within_s` seconds from the request to the end."""
+        """Allow `within_s` seconds from the request to stop until the process ends."""
         self.within_s = within_s
         self.requested_at: float | None = None
         self.last_packet_at: float = 0
@@ -35,16 +35,16 @@
 
     @property
     def is_requested(self) -> bool:
-        """Whether a stop was asked for."""
+        """Whether a stop was requested."""
         return self.requested_at is not None
 
     def begin(self, now: float) -> None:
-        """Begin; a second request changes nothing."""
+        """Begin to stop; further requests have no effect."""
         if self.requested_at is None:
             self.requested_at = now
 
     def note_refusal(self) -> None:
-        """Note that a probe was told that this balancer is not ready."""
+        """Count a probe that was answered as not ready, if a stop was requested."""
         if self.requested_at is not None:
             self.refusals += 1
 
@@ -52,6 +52,6 @@
         """Whether the process may end."""
         if self.requested_at is None:
             return False
-        if now >= self.requested_at + self.within_s * _USED:
+        if now >= self.requested_at + self.within_s * _FORWARDING_FRACTION:
             return True
         return self.refusals >= MIN_REFUSALS and now >= self.last_packet_at + QUIET_S
--- a/src/bronzekeel/core/routing/verdicts.py
+++ b/src/bronzekeel/core/routing/verdicts.py
@@ -1,4 +1,4 @@
-"""Define what can become of a packet that carries a connection id."""
+"""Define the verdicts on packets that carry a connection id."""
 
 from enum import StrEnum
 
@@ -7,7 +7,7 @@
 
 
 class Reason(StrEnum):
-    """Name why a packet was dropped or answered by a reset."""
+    """Name why a packet was dropped or answered with a reset."""
 
     NO_ROUTE = 'no_route'
     NO_TEXT = 'no_text'
@@ -23,10 +23,9 @@
 class Deliver:
     """Send a packet to an upstream.
 
-    `connection_id` is to be written into an opening packet; zero leaves the
-    packet as the caller wrote it.  With `flow` the verdict holds for all
-    ordinary packets of that flow, for as long as the flow is live and the
-    state's `epoch` stays the same.
+    `connection_id` is written into an opening packet; zero leaves the packet
+    unchanged.  With `flow` the verdict applies to all ordinary packets of that
+    flow, as long as the flow is live and the state's `epoch` stays the same.
     """
 
     __slots__ = ('connection_id', 'flow', 'upstream')
@@ -37,34 +36,34 @@
         connection_id: int = 0,
         flow: Flow | None = None,
     ) -> None:
-        """Deliver to `upstream`."""
+        """Deliver the packet to `upstream`."""
         self.upstream = upstream
         self.connection_id = connection_id
         self.flow = flow
 
 
 class Reset:
-    """Tell the caller at once that its flow has no upstream."""
+    """Answer the packet with a reset, so that the caller does not wait for a timeout."""
 
     __slots__ = ('reason',)
 
     def __init__(self, reason: Reason) -> None:
-        """Reset for `reason`."""
+        """Reset the flow for `reason`."""
         self.reason = reason
 
 
 class Discard:
-    """Drop a packet and count it by its reason."""
+    """Drop a packet without an answer, and count it by reason."""
 
     __slots__ = ('reason',)
 
     def __init__(self, reason: Reason) -> None:
-        """Drop for `reason`."""
+        """Drop the packet for `reason`."""
         self.reason = reason
 
 
 class Wait:
-    """Keep a packet until its request has room."""
+    """Hold a packet until there is free capacity for its request."""
 
     __slots__ = ()
 
--- a/src/bronzekeel/entry/packets.py
+++ b/src/bronzekeel/entry/packets.py
@@ -229,10 +229,10 @@
         link = self._link
         if link is None:
             return
-        outgoing = link.take_due(self._clock())
+        outgoing = link.pop_due(self._clock())
         while outgoing is not None:
             self._send(outgoing.raw, outgoing.address)
-            outgoing = link.take_due(self._clock())
+            outgoing = link.pop_due(self._clock())
         if link:
             self._loop.call_at(link.next_at, self._send_due)
 
--- a/tests/test_link_queue.py
+++ b/tests/test_link_queue.py
@@ -46,12 +46,12 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, outgoing: QueuedDatagram) -> bool:
+    def add(self, datagram: QueuedDatagram) -> bool:
         """Take a datagram behind all others."""
-        self._waiting.append(outgoing)
+        self._waiting.append(datagram)
         return True
 
-    def take(self) -> QueuedDatagram | None:
+    def pop(self) -> QueuedDatagram | None:
         """Take out the first."""
         return self._waiting.popleft() if self._waiting else None
 
@@ -143,7 +143,7 @@
         acknowledgements = [bytes((200, 0, 7)), bytes((200, 0, 9))]
         for raw in acknowledgements:
             order.add(QueuedDatagram(b'f', raw, _TO))
-        left = [order.take(), order.take()]
+        left = [order.pop(), order.pop()]
         self.assertEqual(acknowledgements, [out.raw for out in left if out is not None])
 
     def test_what_waited_through_a_pause_is_dropped(self) -> None:
@@ -157,7 +157,7 @@
         for sequence in range(5):
             queue.add(QueuedDatagram(b'f', _numbered(sequence, _BULK_BYTES), _TO))
         self.assertEqual(5, queue.drop())
-        self.assertIsNone(queue.take_due(9))
+        self.assertIsNone(queue.pop_due(9))
         self.assertTrue(queue.try_reserve(_BULK_BYTES, 9))
 
     def test_what_waits_is_bounded(self) -> None:
@@ -189,18 +189,18 @@
     return sequence.to_bytes(4, 'big').ljust(size, b'.')
 
 
-def _number_of(outgoing: QueuedDatagram) -> int:
-    return int.from_bytes(outgoing.raw[:4], 'big')
+def _number_of(datagram: QueuedDatagram) -> int:
+    return int.from_bytes(datagram.raw[:4], 'big')
 
 
 def _drain(queue: LinkQueue, now: float, left: list[tuple[float, int, int, int]]) -> None:
     """Let go of what may leave until `now`, at the moments at which it may."""
     while queue and queue.next_at <= now:
         at = max(queue.next_at, 0)
-        outgoing = queue.take_due(at)
-        if outgoing is None:
+        datagram = queue.pop_due(at)
+        if datagram is None:
             return
-        left.append((at, outgoing.flow[0], _number_of(outgoing), len(outgoing.raw)))
+        left.append((at, datagram.flow[0], _number_of(datagram), len(datagram.raw)))
 
 
 def _played(order: SendingOrder | None) -> tuple[int, float]:
@@ -208,34 +208,34 @@
     link = _Link()
     if order is None:
         for step in range(_STEPS):
-            for outgoing in _arriving(step):
-                link.send(len(outgoing.raw), step / _STEPS)
+            for datagram in _arriving(step):
+                link.send(len(datagram.raw), step / _STEPS)
         return link.lost, 0
     queue = LinkQueue(_MBPS, order)
     longest_s: float = 0
     for step in range(_STEPS):
         now = step / _STEPS
-        for outgoing in (*_arriving_late(queue, step), *_leaving(queue, now)):
-            link.send(len(outgoing.raw), now)
-            if len(outgoing.raw) == _REQUEST_BYTES:
-                longest_s = max(longest_s, now - _number_of(outgoing) / _STEPS)
+        for datagram in (*_arriving_late(queue, step), *_leaving(queue, now)):
+            link.send(len(datagram.raw), now)
+            if len(datagram.raw) == _REQUEST_BYTES:
+                longest_s = max(longest_s, now - _number_of(datagram) / _STEPS)
     return link.lost, longest_s
 
 
 def _arriving_late(queue: LinkQueue, step: int) -> Iterator[QueuedDatagram]:
     """Put what comes into the queue, but for what may pass at once."""
-    for outgoing in _arriving(step):
-        if queue.try_reserve(len(outgoing.raw), step / _STEPS):
-            yield outgoing
+    for datagram in _arriving(step):
+        if queue.try_reserve(len(datagram.raw), step / _STEPS):
+            yield datagram
         else:
-            queue.add(outgoing)
+            queue.add(datagram)
 
 
 def _leaving(queue: LinkQueue, now: float) -> Iterator[QueuedDatagram]:
-    outgoing = queue.take_due(now)
-    while outgoing is not None:
-        yield outgoing
-        outgoing = queue.take_due(now)
+    datagram = queue.pop_due(now)
+    while datagram is not None:
+        yield datagram
+        datagram = queue.pop_due(now)
 
 
 def _arriving(step: int) -> list[QueuedDatagram]:
