--- a/tests/routing_cases.py
+++ b/tests/routing_cases.py
@@ -1,4 +1,4 @@
-"""Build the states, packets and fleets that tests of connection ids share."""
+"""Provide states, packets and fleets for tests of steering by connection ids."""
 
 from bronzekeel.bench.admission_policies import AdmitAll
 from bronzekeel.core.routing.admission import Admission, RequestsPerSlot
@@ -42,7 +42,7 @@
     data_centre: str = LOCAL_CENTRE,
     slots: int = 3,
 ) -> UpstreamEntry:
-    """Return the entry of the upstream with a number."""
+    """Return the entry of the upstream with this number."""
     return UpstreamEntry(
         name=f'i-{number:08x}',
         number=number,
@@ -57,14 +57,14 @@
 
 
 def route(key: bytes, service: str, priority: int = 0, timeout_s: float = 1) -> Route:
-    """Return the route of an address to one service."""
+    """Return a route from an address to one service."""
     return Route(key, (ServiceShare(service, 1),), seal_of(key), priority, timeout_s)
 
 
 def text(revision: int, *routes: Route, generation: int = 0) -> RoutingText:
-    """Return a text; without routes both services have theirs.
+    """Return a text; by default it has one route to each of the two services.
 
-    Where nothing else is said, operators number their texts as the store does.
+    The generation defaults to the number that the store's revision contains.
     """
     listed = routes or (route(PORTAL_KEY, PORTAL), route(INTAKE_KEY, INTAKE))
     number = generation or number_of(revision)
@@ -72,7 +72,7 @@
 
 
 def page(collection: Collection, *listed: RoutingText | UpstreamEntry) -> PageRead:
-    """Return the one page of a collection."""
+    """Return the answer to a listing whose single page has the given contents."""
     objects = [
         StoredObject(getattr(content, 'name', 'main'), content.revision, content)
         for content in listed
@@ -98,8 +98,7 @@
 ) -> RoutingState:
     """Return a ready state that lists the entries.
 
-    Where nothing else is said its flows have all the room they want: what is tested is where
-    they go.
+    By default all requests are admitted, so that only the choice of upstreams is tested.
     """
     state = fresh_state(admission_of=admission_of)
     reduce(state, page(Collection.TEXT, text(1)), now)
@@ -109,19 +108,19 @@
 
 
 def steering(state: RoutingState) -> ConnectionIdSteering:
-    """Return the steering over a state."""
+    """Return the steering that decides by a state."""
     return ConnectionIdSteering(
         state, LeastBusy(state.peers.me.data_centre, state.balance), NoDecisionLog()
     )
 
 
 def flow(number: int, key: bytes = PORTAL_KEY) -> bytes:
-    """Return the key of a caller's flow by its number."""
+    """Return the key of the caller's flow with this number."""
     return bytes((100, 64, number >> 8 & 255, number & 255)) + _FIRST_PORT.to_bytes(2, 'big') + key
 
 
 def opening(number: int, copy: int = 0, key: bytes = PORTAL_KEY) -> FlowPacket:
-    """Return the opening packet of a flow, or its repeat."""
+    """Return the opening packet of a flow, or a repeat of it if `copy` is not zero."""
     return FlowPacket(flow(number, key), key, 0, 100, copy, 0, opens=True, copy=copy)
 
 
@@ -132,17 +131,17 @@
     key: bytes = PORTAL_KEY,
     acknowledged: int = 7,
 ) -> FlowPacket:
-    """Return a packet with bytes of a request."""
+    """Return a packet that carries bytes of a request."""
     return FlowPacket(flow(number, key), key, connection_id, sequence, acknowledged, 40)
 
 
 def acknowledging(number: int, connection_id: int, acknowledged: int) -> FlowPacket:
-    """Return a packet that only acknowledges."""
+    """Return an acknowledgement without payload."""
     return FlowPacket(flow(number), PORTAL_KEY, connection_id, 141, acknowledged, 0)
 
 
 def delivered_to(verdict: Verdict) -> str:
-    """Return the name of the upstream that a verdict delivers to, or its reason."""
+    """Return the upstream that a verdict delivers to, else the verdict and its reason."""
     if isinstance(verdict, Deliver):
         return verdict.upstream.entry.name
     if isinstance(verdict, Wait):
@@ -151,7 +150,7 @@
 
 
 def id_given(verdict: Verdict) -> int:
-    """Return the connection id that a verdict writes."""
+    """Return the connection id that a verdict writes into the packet."""
     if not isinstance(verdict, Deliver):
         raise AssertionError(f'not delivered: {delivered_to(verdict)}')
     return verdict.connection_id
@@ -161,7 +160,7 @@
     per_centre: int = 3,
     centres: tuple[str, ...] = ('dc-a', 'dc-b'),
 ) -> RoutingFleet:
-    """Return a started fleet whose store has a text and an upstream a data centre."""
+    """Return a started fleet whose store has a text and one upstream in each data centre."""
     fleet = RoutingFleet(
         {
             centre: tuple(f'{centre}-{place}' for place in range(1, per_centre + 1))
@@ -186,10 +185,10 @@
     """Write an upstream's entry; return its name."""
     name = entry(number).name
 
-    def made(revision: int) -> UpstreamEntry:  # noqa: WPS430 (the revision is known later)
+    def make_entry(revision: int) -> UpstreamEntry:  # noqa: WPS430 (the store assigns the revision)
         return entry(number, revision=revision, draining=draining, data_centre=data_centre)
 
-    fleet.store.put(Collection.UPSTREAMS, name, made)
+    fleet.store.put(Collection.UPSTREAMS, name, make_entry)
     fleet.tell_watches()
     return name
 
@@ -200,7 +199,7 @@
     revision = fleet.store.put(
         Collection.TEXT,
         'main',
-        lambda made_at: text(made_at, *routes, generation=generation),
+        lambda assigned: text(assigned, *routes, generation=generation),
     )
     fleet.tell_watches()
     return revision
--- a/tests/test_fault_pairs.py
+++ b/tests/test_fault_pairs.py
@@ -1,8 +1,8 @@
-"""Replay every fault alone and every two together, against stated outcomes.
+"""Replay every fault alone and every pair of faults, and check the outcome.
 
-While they last: an open flow whose upstream is listed is never reset, by no
-host.  After they have passed: all hosts are ready, have the newest text, and list the
-upstreams that the store lists; and no host ever went back to an older text.
+While faults last, no host resets an open flow whose upstream is listed.  After
+they have passed, all hosts are ready, have the newest text, and list the same
+upstreams as the store; and no host has ever returned to an older text.
 """
 
 from collections.abc import Callable
@@ -21,8 +21,8 @@
 
 
 _FLOWS = 6
-_LASTING_S = 6
-_HEALED_S = 3 * WATCH_S
+_FAULT_DURATION_S = 6
+_RECOVERY_S = 3 * WATCH_S
 _LEAVING = 3
 
 
@@ -72,16 +72,16 @@
 
 
 def _restore_store(fleet: RoutingFleet) -> None:
-    """Lose all that is written from now on, and get it again from who wrote it."""
+    """Restore an older copy of the store; the lost writes are then repeated by their writers."""
     names = list(fleet.node_by_name)
     copy = fleet.store.copy()
     put_text(fleet)
     put_upstream(fleet, 1)
     fleet.at(1, lambda: fleet.lose_store(names, 'refuses'))
-    fleet.at(2, lambda: _come_back(fleet, copy))
+    fleet.at(2, lambda: _restore_copy(fleet, copy))
 
 
-def _come_back(fleet: RoutingFleet, copy: StoreCopy) -> None:
+def _restore_copy(fleet: RoutingFleet, copy: StoreCopy) -> None:
     lost = fleet.store.copy()
     fleet.store.restore(copy)
     fleet.lose_store(list(fleet.node_by_name), 'serves')
@@ -133,28 +133,28 @@
 
 
 class FaultPairTest(TestCase):
-    """Play faults and compare with the outcomes stated above."""
+    """Inject faults and check the outcomes stated in the module's doc string."""
 
     def test_each_fault_alone(self) -> None:
-        """One fault at a time."""
+        """Inject one fault at a time."""
         for fault in _FAULTS:
             with self.subTest(fault=fault.__name__):
-                self._play((fault,))
+                self._replay((fault,))
 
     def test_every_two_faults_together(self) -> None:
-        """Two faults at the same moment, in either order."""
+        """Inject two faults at the same time, in either order."""
         for first, second in combinations(_FAULTS, 2):
             for pair in ((first, second), (second, first)):
                 with self.subTest(faults=[fault.__name__ for fault in pair]):
-                    self._play(pair)
+                    self._replay(pair)
 
     def test_the_same_fault_twice(self) -> None:
-        """A fault that comes again while it lasts."""
+        """Inject a fault again while it lasts."""
         for fault in _FAULTS:
             with self.subTest(fault=fault.__name__):
-                self._play((fault,), again_after_s=1)
+                self._replay((fault,), again_after_s=1)
 
-    def _play(self, faults: tuple[_Fault, ...], again_after_s: float = 0) -> None:
+    def _replay(self, faults: tuple[_Fault, ...], again_after_s: float = 0) -> None:
         fleet = fleet_of(3)
         put_upstream(fleet, _LEAVING)
         fleet.run(2 * WATCH_S)
@@ -164,21 +164,21 @@
             if again_after_s:
                 fleet.run(again_after_s)
                 fault(fleet)
-        for step in range(_LASTING_S * 2):
+        for step in range(_FAULT_DURATION_S * 2):
             fleet.run(0.5)
-            self._expect_no_reset(fleet, given, step)
+            self._assert_no_reset(fleet, given, step)
         newest = put_text(fleet)
-        fleet.run(_HEALED_S)
-        self._expect_agreement(fleet, newest)
+        fleet.run(_RECOVERY_S)
+        self._assert_agreement(fleet, newest)
 
-    def _expect_no_reset(self, fleet: RoutingFleet, given: list[int], step: int) -> None:
-        """Let every host take a new packet of every flow."""
+    def _assert_no_reset(self, fleet: RoutingFleet, given: list[int], step: int) -> None:
+        """Check that no host resets a new packet of any flow."""
         for node in fleet.running:
             for number, connection_id in enumerate(given):
                 packet = asking(number, connection_id, sequence=1000 + step)
                 self.assertNotIsInstance(node.steering.decide(packet, fleet.now), Reset)
 
-    def _expect_agreement(self, fleet: RoutingFleet, newest: int) -> None:
+    def _assert_agreement(self, fleet: RoutingFleet, newest: int) -> None:
         listed = set(fleet.store.by_collection[Collection.UPSTREAMS])
         self.assertEqual(len(fleet.node_by_name), len(fleet.running))
         for node in fleet.running:
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -1,4 +1,4 @@
-"""Test where a flow goes whose service has no room while another of its route has some."""
+"""Test flows whose service is full while another service of their route has free capacity."""
 
 from unittest import TestCase
 
@@ -29,18 +29,18 @@
 
 
 def _text_page(objective_s: float, intake_weight: int) -> PageRead:
-    """Return a text whose one route leads to the portal, and to the intake by a weight."""
+    """Return a text with one route, to the portal and, by `intake_weight`, to the intake."""
     shares = (ServiceShare(PORTAL, 1000), ServiceShare(INTAKE, intake_weight))
     route = Route(PORTAL_KEY, shares, seal_of(PORTAL_KEY), objective_s=objective_s)
     return page(Collection.TEXT, text(2, route))
 
 
 def _services_of(state: RoutingState) -> list[str]:
-    """Open many flows at once; return the services that got them, `Wait` for the others."""
-    chosen = steering(state)
+    """Open many flows at once; return the service of each, or `Wait` if it waits."""
+    balancer = steering(state)
     services = []
     for number in range(_FLOWS):
-        verdict = chosen.decide(opening(number), 0)
+        verdict = balancer.decide(opening(number), 0)
         placed = isinstance(verdict, Deliver)
         services.append(verdict.upstream.entry.service if placed else delivered_to(verdict))
     return services
@@ -54,36 +54,39 @@
 
 
 class SiblingTest(TestCase):
-    """A service is full, another one of the route is not."""
+    """Test a full service with a sibling that has free capacity."""
 
-    def test_the_weights_hold_while_there_is_room(self) -> None:
-        """Guards against flows that leave the service that the operators chose for them."""
+    def test_the_weights_apply_while_there_is_free_capacity(self) -> None:
+        """Guards against flows that leave the service that the weights select for them."""
         state = _state()
-        chosen = steering(state)
-        first = chosen.decide(opening(1), 0)
+        balancer = steering(state)
+        first = balancer.decide(opening(1), 0)
         assert isinstance(first, Deliver)
         self.assertEqual(PORTAL, first.upstream.entry.service)
 
-    def test_a_full_service_sends_to_its_sibling(self) -> None:
-        """Guards against refusing callers while the other service of their route idles."""
+    def test_a_full_service_spills_to_its_sibling(self) -> None:
+        """Guards against refusing callers while the other service of their route is idle."""
         services = _services_of(_state())
         self.assertEqual(6, services.count(PORTAL))
         self.assertEqual(12, services.count(INTAKE))
         self.assertEqual(_FLOWS - 18, services.count('Wait'))
 
     def test_a_service_without_a_weight_gets_nothing(self) -> None:
-        """Guards against flows to a service that operators are taking away."""
+        """Guards against flows to a service that operators are removing."""
         services = _services_of(_state(intake_weight=0))
         self.assertEqual({PORTAL, 'Wait'}, set(services))
 
-    def test_impatient_callers_are_served_as_before(self) -> None:
-        """Guards against a change for services whose demand is not controlled."""
+    def test_an_uncontrolled_service_uses_no_sibling(self) -> None:
+        """Guards against spilling flows of services whose demand is not controlled.
+
+        The objective is too short for demand to be controlled.
+        """
         services = _services_of(_state(objective_s=0.2))
         self.assertEqual(6, services.count(PORTAL))
         self.assertEqual(0, services.count(INTAKE))
 
-    def test_a_silent_sibling_gets_nothing(self) -> None:
-        """Guards against flows that leave a full service for upstreams that do not answer."""
+    def test_an_unresponsive_sibling_gets_nothing(self) -> None:
+        """Guards against spilling flows of a full service to unresponsive upstreams."""
         state = _state()
         for number in (2, 3):
             state.directory.by_name[entry(number).name].avoided_until = 1
--- a/tests/test_view_model.py
+++ b/tests/test_view_model.py
@@ -1,4 +1,4 @@
-"""Search for a course of events that takes a balancer's view back."""
+"""Search for sequences of events that make a balancer's view go back to older data."""
 
 from unittest import TestCase
 from unittest.mock import patch
@@ -27,15 +27,15 @@
 _UPSTREAMS = st.integers(1, 4)
 _PEER = ('p', 9)
 
-#: What views tell; evacuations have a search of their own (`tests/test_evacuations.py`).
+#: Collections that are searched here; `tests/test_evacuations.py` searches the evacuations.
 _VIEWED = (Collection.TEXT, Collection.UPSTREAMS)
 
 
 class Views(RuleBasedStateMachine):
-    """Let three balancers read a store, each other, stale answers, and restart.
+    """Let three balancers read a store, each other and stale answers, and restart.
 
-    After every step no balancer has an older text or entry than it had, and an
-    entry that it knows to be removed is back only by a newer one.
+    After every step, no balancer has an older text or entry than before, and an
+    entry that it knows to be removed returns only with a newer revision.
     """
 
     ordered = True
@@ -60,7 +60,7 @@
 
     @rule()
     def change_text(self) -> None:
-        """Accept a new text; the store is copied just before."""
+        """Store a new text; the store is copied just before."""
         self.copies.append(self.store.copy())
         generation = self.store.writes + 1
         self.store.put(
@@ -85,84 +85,84 @@
 
     @rule()
     def compact(self) -> None:
-        """Forget the store's history."""
+        """Compact the store's history."""
         self.store.compact()
 
     @rule(host=_HOSTS, age=st.integers(1, 4))
     def restore(self, host: int, age: int) -> None:
-        """Let the store come back from a copy that is some texts old, and a host hear of it."""
+        """Restore the store from a copy that is some texts old, and let a host list the texts."""
         self.store.restore(self.copies[-min(age, len(self.copies))])
         self.read_page(host, Collection.TEXT)
 
     @rule(host=_HOSTS, collection=st.sampled_from(_VIEWED))
     def read_page(self, host: int, collection: Collection) -> None:
-        """Let a host list a collection, and keep the answer for later."""
+        """Let a host list a collection, and keep the answer for a late delivery."""
         self.states[host].follower_by_collection[collection].begin_listing()
         answer = self.store.page(collection)
         self.kept_answers.append(answer)
-        self._take(host, answer)
+        self._apply(host, answer)
 
     @rule(host=_HOSTS, collection=st.sampled_from(_VIEWED))
     def read_changes(self, host: int, collection: Collection) -> None:
-        """Let a host's watch answer."""
+        """Let a host receive an answer to its watch."""
         follower = self.states[host].follower_by_collection[collection]
         if follower.listed:
             follower.resume()
-            self._take(host, self.store.changes(collection, follower.revision))
+            self._apply(host, self.store.changes(collection, follower.revision))
 
     @rule(host=_HOSTS, index=st.integers(0, 40))
     def read_late(self, host: int, index: int) -> None:
-        """Let an answer from long ago arrive."""
+        """Let a host receive the entries of an old answer."""
         listed = self.states[host].follower_by_collection
         answer = self.kept_answers[index % len(self.kept_answers)]
         if listed[Collection(answer.collection)].listed:
             changes = [stored for stored in answer.objects if stored.content is not None]
             for stored in changes:
-                self._take_old(host, stored.name, answer)
+                self._apply_old(host, stored.name, answer)
 
     @rule(teller=_HOSTS, host=_HOSTS)
     def tell(self, teller: int, host: int) -> None:
-        """Let a host take another's whole view, and keep the view for later."""
+        """Let a host apply another's complete view, and keep the view for a late delivery."""
         view = view_since(self.states[teller], Known(0, 0, 0), self.now)
         self.kept_views.append(view)
-        self._take(host, ViewFetched(_PEER, view))
+        self._apply(host, ViewFetched(_PEER, view))
 
     @rule(host=_HOSTS, index=st.integers(0, 40))
     def tell_late(self, host: int, index: int) -> None:
-        """Let a view from long ago arrive, as of a peer that was paused."""
+        """Let a host receive an old view, as from a peer that was paused."""
         if self.kept_views:
             view = self.kept_views[index % len(self.kept_views)]
-            self._take(host, ViewFetched(_PEER, view))
+            self._apply(host, ViewFetched(_PEER, view))
 
     @rule(host=_HOSTS)
     def restart(self, host: int) -> None:
-        """Let a host start anew, knowing nothing."""
+        """Restart a host with an empty state."""
         self.states[host] = self.fresh(host)
         self.seen[host] = {}
 
     @invariant()
     def nothing_goes_back(self) -> None:
-        """No generation or revision that a host knows is less than it was."""
+        """Check that no generation or revision that a host knows has decreased."""
         for state, seen in zip(self.states, self.seen, strict=True):
             for name, revision in _known(state).items():
                 assert revision >= seen.get(name, 0), (name, revision, seen[name])
                 seen[name] = revision
 
-    def _take(self, host: int, event: object) -> None:
+    def _apply(self, host: int, event: object) -> None:
         self.now += 0.1
         reduce(self.states[host], event, self.now)  # type: ignore[arg-type]
 
-    def _take_old(self, host: int, name: str, answer: PageRead) -> None:
-        """Take one object of an old answer as a peer's view would bring it."""
+    def _apply_old(self, host: int, name: str, answer: PageRead) -> None:
+        """Apply one object of an old answer as if it came in a peer's view."""
         content = next(item.content for item in answer.objects if item.name == name)
         if name == 'main':
-            self._take(host, ViewFetched(_PEER, View(content, 0, [], [], 0)))
+            self._apply(host, ViewFetched(_PEER, View(content, 0, [], [], 0)))
             return
-        self._take(host, ViewFetched(_PEER, View(None, 0, [content], [], 0)))
+        self._apply(host, ViewFetched(_PEER, View(None, 0, [content], [], 0)))
 
 
 def _known(state: RoutingState) -> dict[str, int]:
-    """Return the generation of the text that a host goes by, and the revision of each entry."""
+    """Return the generation of a host's text, and the revision of each entry that it knows."""
     known = {'main': state.text.generation if state.text else 0}
     for name, upstream in state.directory.by_name.items():
         known[name] = upstream.entry.revision
@@ -183,28 +183,27 @@
 
 
 class _UnorderedViews(Views):
-    """Take what comes last for the newest."""
+    """Treat the data that arrives last as the newest."""
 
     ordered = False
 
 
 class OrderTest(TestCase):
-    """Show what the order by revision is for."""
+    """Show that views go back without the order by revision and generation."""
 
     def test_without_the_order_views_go_back(self) -> None:
-        """Symptom: a host goes back to a text or entry that was replaced.
+        """Show that a host returns to replaced data if the last arrival counts as the newest.
 
-        Sequence: found by the search among reads, late answers and old views.
-        Cause: taking what comes last for the newest.
+        The search finds a sequence of reads, late answers and old views that leads there.
         """
         with self.assertRaises(AssertionError):
             run_state_machine_as_test(_UnorderedViews, settings=_SEARCH)
 
     def test_by_revisions_alone_a_restore_takes_texts_back(self) -> None:
-        """Texts that are ordered by the store alone go back with it.
+        """Show that texts go back with a restored store if its revisions alone order them.
 
-        The search lets a host read a text, restores a copy of the store from before it, and lets
-        the host list anew.
+        The search finds a host that reads a text, and lists the texts again after the store was
+        restored from an older copy.
         """
         by_revision = patch(
             'bronzekeel.core.routing.model.text_order_of',
