--- a/src/bronzekeel/bench/connection_id_path.py
+++ b/src/bronzekeel/bench/connection_id_path.py
@@ -46,7 +46,7 @@
             cold_s=0,
             revision=1,
         )
-        state.directory.take(entry, 0)
+        state.directory.apply(entry, 0)
         state.ready = True
         steering = ConnectionIdSteering(state, LeastBusy('dc-a', state.balance), NoDecisionLog())
         self._loop = Loop()
--- a/src/bronzekeel/bench/placement_policies.py
+++ b/src/bronzekeel/bench/placement_policies.py
@@ -19,7 +19,7 @@
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
         """Return any upstream that takes flows."""
-        takers = [upstream for upstream in candidates if upstream.takes_flows(now)]
+        takers = [upstream for upstream in candidates if upstream.accepts_flows(now)]
         near = [upstream for upstream in takers if upstream.entry.data_centre == self._data_centre]
         chosen_from = near or takers
         return self._random.choice(chosen_from) if chosen_from else None
@@ -43,7 +43,7 @@
         """Return the least busy by the sum of all sights."""
         listed = list(candidates)
         for upstream in listed:
-            upstream.shared_load = upstream.busy_elsewhere / upstream.entry.slots
+            upstream.shared_load = upstream.busy_at_peers / upstream.entry.slots
         return super().choose(listed, now)
 
 
@@ -58,7 +58,7 @@
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
         """Return the better of two; other data centres only when the own has none."""
-        takers = [upstream for upstream in candidates if upstream.takes_flows(now)]
+        takers = [upstream for upstream in candidates if upstream.accepts_flows(now)]
         near = [upstream for upstream in takers if upstream.entry.data_centre == self._near]
         drawn_from = near or takers
         drawn = self._random.sample(drawn_from, min(2, len(drawn_from)))
--- a/src/bronzekeel/bench/views.py
+++ b/src/bronzekeel/bench/views.py
@@ -11,9 +11,9 @@
 from bronzekeel.core.routing.connection_ids import seal_of
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.flows import FlowTable
+from bronzekeel.core.routing.heartbeats import MAX_RATES
 from bronzekeel.core.routing.messages import FlowShare, Heartbeat, PeerAddress, View
 from bronzekeel.core.routing.model import Route, RoutingText, ServiceShare, Upstream, UpstreamEntry
-from bronzekeel.core.routing.heartbeats import MOST_RATES
 from bronzekeel.entry.peer_messages import (
     decode_heartbeat,
     decode_view,
@@ -106,7 +106,7 @@
 def _heartbeat() -> Heartbeat:
     peers = [PeerAddress(f'edge-{place}', 'dc-a', ('10.0.0.1', 8166)) for place in range(_OTHERS)]
     loads = {number << 20: 3 for number in range(1, _LOADS + 1)}
-    rates = {f'service-{place}': float(_MICRO) for place in range(MOST_RATES)}
+    rates = {f'service-{place}': float(_MICRO) for place in range(MAX_RATES)}
     shares = tuple(FlowShare(service, 'dc-b', 0.125) for service in rates)
     return Heartbeat(peers[0], _MICRO, _MICRO, loads, tuple(peers), rates, shares)
 
@@ -131,7 +131,7 @@
 def _directory(size: int) -> Directory:
     directory = Directory()
     for number in range(size):
-        directory.take(_entry(number), 0)
+        directory.apply(_entry(number), 0)
     return directory
 
 
--- a/src/bronzekeel/core/routing/admission.py
+++ b/src/bronzekeel/core/routing/admission.py
@@ -14,7 +14,7 @@
 from bronzekeel.core.routing.model import Upstream
 from bronzekeel.core.routing.peers import PeerTable
 from bronzekeel.core.routing.placement_by_capacity import COLD_FACTOR
-from bronzekeel.core.routing.pools import NO_LIMIT, REQUESTS_A_SLOT, Pool
+from bronzekeel.core.routing.pools import NO_LIMIT, REQUESTS_PER_SLOT, Pool
 
 
 #: Share of the room that neighbours leave unused which a balancer may take beside its own.
@@ -71,10 +71,10 @@
         At least half of an equal share: one that has just started is asked for more
         than it has seen.
         """
-        equal = 1 / (len(self._peers.living(now)) + 1)
+        equal = 1 / (len(self._peers.live_neighbours(now)) + 1)
         own = self._meter.by_service.get(service, 0)
         elsewhere = sum(
-            rate_by_service.get(service, 0) for rate_by_service in self._peers.rates_near(now)
+            rate_by_service.get(service, 0) for rate_by_service in self._peers.local_rates(now)
         )
         if not self._meter.settled or own + elsewhere < _LEAST_RATE:
             return equal
@@ -132,14 +132,14 @@
         they are the answers a second times the seconds on the way.
         """
         near = self._directory.pool_members.of_pool(pool.service, self._data_centre)
-        room = capacity_at(near, self._data_centre, now) * REQUESTS_A_SLOT
+        room = capacity_at(near, self._data_centre, now) * REQUESTS_PER_SLOT
         if not room:
             return NO_LIMIT
         share = self.share_of(pool.service, now)
-        elsewhere = sum(upstream.busy_elsewhere for upstream in near)
+        elsewhere = sum(upstream.busy_at_peers for upstream in near)
         unused = max(0, room * (1 - share) - elsewhere)
         own = max(1, room * share + unused * self.borrowed_share)
-        on_their_way = self._rate_by_pool[pool] * pool.way_s
+        on_their_way = self._rate_by_pool[pool] * pool.rtt_s
         return own + on_their_way + _stuck(near, now)
 
 
@@ -177,4 +177,4 @@
 
 def _counts(upstream: Upstream, now: float) -> bool:
     """Whether the slots of an upstream are there for new flows."""
-    return upstream.listed and upstream.entry.takes_flows and now >= upstream.avoided_until
+    return upstream.listed and upstream.entry.accepts_flows and now >= upstream.avoided_until
--- a/src/bronzekeel/core/routing/answer_counts.py
+++ b/src/bronzekeel/core/routing/answer_counts.py
@@ -187,7 +187,7 @@
         """
         if now < upstream.warm_at or asked_at < self.valid_from:
             return
-        work_s = max(0, now - asked_at - upstream.pool.way_s)
+        work_s = max(0, now - asked_at - upstream.pool.rtt_s)
         if kind not in self._mean_by_kind and len(self._mean_by_kind) >= _MOST_KINDS:
             self._mean_by_kind.pop(next(iter(self._mean_by_kind)))
         means = self._mean_by_kind.setdefault(kind, KindMean()).measure(work_s)
@@ -246,7 +246,7 @@
         mean = self._mean_by_kind.get(request.kind)
         if mean is None or not mean.settled_mean_s:
             return 0
-        return (now - request.asked_at - request.upstream.pool.way_s) / mean.settled_mean_s
+        return (now - request.asked_at - request.upstream.pool.rtt_s) / mean.settled_mean_s
 
     def _untold_answers(self, key: tuple[Upstream, bool]) -> int:
         return self._untold_by_upstream_and_speed[key].answers
--- a/src/bronzekeel/core/routing/asked_meter.py
+++ b/src/bronzekeel/core/routing/asked_meter.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 
 from bronzekeel.core.routing.directory import Directory
-from bronzekeel.core.routing.messages import Asked
+from bronzekeel.core.routing.messages import ServiceDemand
 
 
 #: Seconds over which requests are counted, and looks at the counts in that time.  Source: a crowd
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         """Start with nothing counted."""
-        self.by_service: dict[str, Asked] | None = None
+        self.by_service: dict[str, ServiceDemand] | None = None
         self._counts: deque[_Counts] = deque(maxlen=_LOOKS + 1)
         self._look_at: float = 0
 
@@ -77,13 +77,13 @@
         return True
 
 
-def total_of(asked: Iterable[Mapping[str, Asked]]) -> dict[str, Asked]:
+def total_of(asked: Iterable[Mapping[str, ServiceDemand]]) -> dict[str, ServiceDemand]:
     """Return what is asked of several balancers together."""
-    total: dict[str, Asked] = {}
-    for asked_by_service in asked:
-        for service, one in asked_by_service.items():
-            known = total.get(service, Asked(0, 0))
-            total[service] = Asked(known.rate + one.rate, known.lacking + one.lacking)
+    total: dict[str, ServiceDemand] = {}
+    for demand_by_service in asked:
+        for service, one in demand_by_service.items():
+            known = total.get(service, ServiceDemand(0, 0))
+            total[service] = ServiceDemand(known.rate + one.rate, known.unserved + one.unserved)
     return total
 
 
@@ -92,10 +92,10 @@
     newest: tuple[int, int],
     elapsed_s: float,
     waiting: int,
-) -> Asked:
+) -> ServiceDemand:
     placed = newest[0] - former[0]
     refused = newest[1] - former[1]
-    return Asked((placed + refused) / elapsed_s, refused + waiting)
+    return ServiceDemand((placed + refused) / elapsed_s, refused + waiting)
 
 
 def _refused(directory: Directory, service: str) -> int:
--- a/src/bronzekeel/core/routing/balance.py
+++ b/src/bronzekeel/core/routing/balance.py
@@ -171,7 +171,7 @@
         return 0
     busy = 0
     for upstream in directory.pool_members.of_pool(service, home):
-        in_progress = upstream.busy_flows + upstream.busy_elsewhere
+        in_progress = upstream.busy_flows + upstream.busy_at_peers
         if in_progress and upstream.counts_toward_capacity:
             busy += in_progress
     return busy / capacity
--- a/src/bronzekeel/core/routing/balancing.py
+++ b/src/bronzekeel/core/routing/balancing.py
@@ -21,10 +21,10 @@
         return
     state.balance.reckon_at = now + RECKON_S
     state.balance.meter.reckon(state.flows.requests_by_service)
-    rates_by_centre = state.relays.rates_elsewhere(now)
+    rates_by_centre = state.relays.remote_rates(now)
     state.balance.reckons = bool(rates_by_centre) and state.balance.meter.settled
     if not state.balance.reckons:
-        adopt_shares(state, state.peers.shares_near(now))
+        adopt_shares(state, state.peers.local_shares(now))
         return
     home = state.peers.me.data_centre
     rates_by_centre[home] = rates_of_centre(state, now)
@@ -43,11 +43,11 @@
     if now < room.reckon_at:
         return
     room.reckon_at = now + RECKON_ROOM_S
-    load_by_service_by_centre = state.relays.loads_elsewhere(now)
+    load_by_service_by_centre = state.relays.remote_loads(now)
     room.reckons = bool(load_by_service_by_centre)
     home = state.peers.me.data_centre
     if room.reckons:
-        rates_by_centre = state.relays.rates_elsewhere(now)
+        rates_by_centre = state.relays.remote_rates(now)
         rates_by_centre[home] = rates_of_centre(state, now)
         reckoned_here = allowances_of(
             state.directory,
@@ -57,7 +57,7 @@
         )
         room.allowances = moved_allowances(state, reckoned_here, now)
     else:
-        room.allowances = state.peers.allowances_near(now)
+        room.allowances = state.peers.local_allowances(now)
     allowances = allowances_in_force(state, now)
     services = {allowance.service for allowance in allowances}
     shares = {service: state.admission.share_of(service, now) for service in services}
@@ -78,7 +78,7 @@
 def rates_of_centre(state: RoutingState, now: float) -> dict[str, float]:
     """Return the requests a second of all callers of this data centre, by service."""
     total = dict(state.balance.meter.by_service)
-    for rate_by_service in state.peers.rates_near(now):
+    for rate_by_service in state.peers.local_rates(now):
         for service, rate in rate_by_service.items():
             total[service] = total.get(service, 0) + rate
     return total
--- a/src/bronzekeel/core/routing/caller_watch.py
+++ b/src/bronzekeel/core/routing/caller_watch.py
@@ -125,10 +125,10 @@
 ) -> list[tuple[float, CallersWord]]:
     """Return the newest words of living neighbours on a service, and what is left of each."""
     told = []
-    for peer in peers.living(now):
-        if peer.heartbeat is None or peer.heard_at is None:
+    for peer in peers.live_neighbours(now):
+        if peer.heartbeat is None or peer.received_at is None:
             continue
         word = peer.heartbeat.callers_by_service.get(service)
         if word is not None:
-            told.append((fading(now - peer.heard_at, peers.interval_s), word))
+            told.append((fading(now - peer.received_at, peers.interval_s), word))
     return told
--- a/src/bronzekeel/core/routing/cold_starts.py
+++ b/src/bronzekeel/core/routing/cold_starts.py
@@ -21,7 +21,7 @@
 
 #: Seconds from its start for which a host sends nothing to cold upstreams with a stated rate.
 #: Source: neighbours answer a new host at once, and the slowest heartbeat comes each two seconds
-#: (``MOST_PEERS``); one that knows only some of them may take another's upstreams for its own.
+#: (``MAX_NEIGHBOURS``); one that knows only some of them may take another's upstreams for its own.
 SETTLING_S = 3.0
 
 #: Hosts that may take themselves for the one that sends, while one joins or leaves.
@@ -128,7 +128,7 @@
         if upstream.entry.data_centre != me.data_centre or now < self._started_at + SETTLING_S:
             return False
         known = self._peers.by_name.values()
-        if all(peer.heard_at is None for peer in known):
+        if all(peer.received_at is None for peer in known):
             return self._alone
         near = {peer.address.name for peer in known if peer.address.data_centre == me.data_centre}
         near.add(me.name)
--- a/src/bronzekeel/core/routing/demand_control.py
+++ b/src/bronzekeel/core/routing/demand_control.py
@@ -37,5 +37,5 @@
     def covers(self, text: RoutingText | None) -> bool:
         """Whether demand is controlled while `text` is in force."""
         if self._mode is DemandControlMode.BY_OBJECTIVE:
-            return text is not None and text.least_objective_s >= LEAST_OBJECTIVE_S
+            return text is not None and text.min_objective_s >= LEAST_OBJECTIVE_S
         return self._mode is DemandControlMode.ALWAYS
--- a/src/bronzekeel/core/routing/effects.py
+++ b/src/bronzekeel/core/routing/effects.py
@@ -1,6 +1,6 @@
 """Define what a balancer's decisions ask its adapters to do."""
 
-from bronzekeel.core.routing.messages import Heartbeat, Known
+from bronzekeel.core.routing.messages import Heartbeat, KnownVersions
 
 
 class Effect:
@@ -63,7 +63,7 @@
 
     __slots__ = ('address', 'known')
 
-    def __init__(self, address: tuple[str, int], known: Known) -> None:
+    def __init__(self, address: tuple[str, int], known: KnownVersions) -> None:
         """Ask the peer at `address`."""
         self.address = address
         self.known = known
--- a/src/bronzekeel/core/routing/evacuations.py
+++ b/src/bronzekeel/core/routing/evacuations.py
@@ -14,15 +14,15 @@
 from bronzekeel.core.routing.events import StoredObject
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.messages import Evacuated
-from bronzekeel.core.routing.revisions import shown
+from bronzekeel.core.routing.revisions import format_revision
 from bronzekeel.core.routing.state import RoutingState
 
 
-#: Who told, in the log, where it was no peer.
+#: Who reported, in the log, where it was no peer.
 STORE = 'store'
 
 
-def evacuated_after(
+def evacuated_with(
     evacuated: Evacuated,
     changes: list[StoredObject],
     revision: int,
@@ -42,34 +42,34 @@
     return Evacuated(revision, frozenset(centres))
 
 
-def take_evacuated(
+def apply_evacuated(
     state: RoutingState,
-    told: Evacuated,
-    teller: str,
+    reported: Evacuated,
+    source: str,
     now: float,
 ) -> list[Effect]:
-    """Put what `teller` says in force if it is newer; the newest word holds as a whole.
+    """Put what `source` says in force if it is newer; the newest word holds as a whole.
 
     What a restored store does not have is kept for a while.
     """
-    if told.as_of <= state.evacuated.as_of:
+    if reported.as_of <= state.evacuated.as_of:
         return []
-    closed = state.directory.closed_centres
+    closed = state.directory.evacuated_centres
     former = closed.names
-    closed.take(told, now)
-    state.directory.close_pools()
-    state.follower_by_collection[Collection.EVACUATIONS].adopt(told.as_of)
+    closed.apply(reported, now)
+    state.directory.update_evacuated_pools()
+    state.follower_by_collection[Collection.EVACUATIONS].adopt(reported.as_of)
     return [
-        *_lines(LogNumber.EVACUATED, closed.names - former, told.as_of, teller),
-        *_lines(LogNumber.TAKEN_BACK, former - closed.names, told.as_of, teller),
+        *_lines(LogNumber.EVACUATED, closed.names - former, reported.as_of, source),
+        *_lines(LogNumber.TAKEN_BACK, former - closed.names, reported.as_of, source),
     ]
 
 
-def end_evacuations(state: RoutingState, now: float) -> list[Effect]:
+def expire_evacuations(state: RoutingState, now: float) -> list[Effect]:
     """End the evacuations that a restored store lost and operators did not write again."""
-    ended = state.directory.closed_centres.end_kept(now)
+    ended = state.directory.evacuated_centres.expire_retained(now)
     if ended:
-        state.directory.close_pools()
+        state.directory.update_evacuated_pools()
     return _lines(LogNumber.TAKEN_BACK, ended, state.evacuated.as_of, STORE)
 
 
@@ -77,9 +77,9 @@
     number: LogNumber,
     centres: frozenset[str],
     as_of: int,
-    teller: str,
+    source: str,
 ) -> list[Effect]:
     return [
-        WriteLine(number, data_centre=centre, revision=shown(as_of), told_by=teller)
+        WriteLine(number, data_centre=centre, revision=format_revision(as_of), told_by=source)
         for centre in sorted(centres)
     ]
--- a/src/bronzekeel/core/routing/flows.py
+++ b/src/bronzekeel/core/routing/flows.py
@@ -11,7 +11,7 @@
 from bronzekeel.core.routing.flow_lengths import FlowLengths
 from bronzekeel.core.routing.histograms import Histogram
 from bronzekeel.core.routing.model import FlowPacket, Upstream
-from bronzekeel.core.routing.pools import LEAST_PATIENCE_S
+from bronzekeel.core.routing.pools import MIN_ANSWER_TIMEOUT_S
 
 
 #: Seconds after which a request in progress no longer counts as load when
@@ -147,7 +147,7 @@
             flow = self._adopt(packet.flow, upstream, now)
             flow.answered = not opened_here
         elif not flow.answered and upstream is not None:
-            upstream.pool.note_way(now - flow.opened_at)
+            upstream.pool.note_rtt(now - flow.opened_at)
         if not flow.answered:
             flow.answered = True
             self._opening_by_key.pop(flow.key, None)
@@ -195,8 +195,8 @@
         flow.unanswered = True
         upstream.unanswered += 1
         self.silent_at = now
-        upstream.silent_until = now + avoid_s(upstream.unanswered)
-        upstream.avoided_until = max(upstream.avoided_until, upstream.silent_until)
+        upstream.unresponsive_until = now + avoid_s(upstream.unanswered)
+        upstream.avoided_until = max(upstream.avoided_until, upstream.unresponsive_until)
 
     def drop(self, key: bytes) -> None:
         """Forget a flow."""
@@ -222,10 +222,10 @@
         living ones.  One notices by callers that fail while most upstreams are well, and by
         a limit that is reached for half a second after a start.
         """
-        for opening in _older(self._opening_by_key, now - LEAST_PATIENCE_S):
+        for opening in _older(self._opening_by_key, now - MIN_ANSWER_TIMEOUT_S):
             if (
                 opening.upstream is None
-                or now < opening.opened_at + opening.upstream.pool.patience_s
+                or now < opening.opened_at + opening.upstream.pool.answer_timeout_s
             ):
                 continue
             self._opening_by_key.pop(opening.key)
@@ -338,4 +338,4 @@
         upstream.answered_at = now
         upstream.unanswered = 0
         upstream.avoided_until = 0
-        upstream.silent_until = 0
+        upstream.unresponsive_until = 0
--- a/src/bronzekeel/core/routing/follower.py
+++ b/src/bronzekeel/core/routing/follower.py
@@ -18,16 +18,16 @@
 
 #: Seconds within which the own watch must tell what a peer has told.  Source: a
 #: store sixty times slower than its usual 4 ms answers in half of it.
-NEWS_S = 0.5
+MAX_WATCH_LAG_S = 0.5
 
 #: The same for a stale watch.  Source: the users' store may be "seconds" behind there.
-STALE_NEWS_S = 3.0
+MAX_STALE_WATCH_LAG_S = 3.0
 
 #: Seconds between an answer that tells of changed upstreams and the next watch.  What goes wrong
 #: without it: upstreams are replaced one after the other, and each of their entries' changes costs
 #: the store a call from every watcher.  Source: a sixth of the shortest bound on an upstream that
 #: leaves (3 s); a change after a quiet time is still told at once.
-GATHER_S = 0.5
+BATCH_S = 0.5
 
 #: Seconds after its first listing for which a host listens whether others watch, before it does.
 #: Source: a neighbour is heard within one of its heartbeats (0.25 s).
@@ -48,9 +48,9 @@
     `revision` is the store's revision that is known here, `watched_from` the one from which the
     last watch began; a page was read at `answered_at`.
     At `current_until` the last answer no longer proves that the view is current; at
-    `doubtful_at` the watch must have told what a peer has told.  The listing in progress has
+    `stalled_at` the watch must have told what a peer has told.  The listing in progress has
     the `objects` of its pages so far, read from `listing_revision` on; it `has_gaps` when some have
-    no name that can be read.  Until `rests_until` no call is made; `stale` tells that the last one
+    no name that can be read.  Until `delayed_until` no call is made; `stale` tells that the last one
     was.  `relistings` counts the lists that were needed since a watch was last answered; the next
     call `must_list` when no watch can go on.
     """
@@ -60,7 +60,7 @@
         'answered_at',
         'collection',
         'current_until',
-        'doubtful_at',
+        'delayed_until',
         'failures',
         'has_gaps',
         'listed',
@@ -70,10 +70,10 @@
         'objects',
         'paused',
         'relistings',
-        'rests_until',
         'retry_at',
         'revision',
         'stale',
+        'stalled_at',
         'watched_from',
     )
 
@@ -83,7 +83,7 @@
         self.collection = collection
         self.answered_at: float = 0
         self.current_until: float = 0
-        self.doubtful_at: float | None = None
+        self.stalled_at: float | None = None
         self.failures = 0
         self.has_gaps = False
         self.listed = False
@@ -93,7 +93,7 @@
         self.objects: list[StoredObject] = []
         self.paused = False
         self.relistings = 0
-        self.rests_until: float | None = None
+        self.delayed_until: float | None = None
         self.retry_at: float | None = None
         self.revision = 0
         self.stale = False
@@ -109,8 +109,8 @@
         """Leave the store to other balancers."""
         self.paused = True
         self.current_until = 0
-        self.doubtful_at = None
-        self.rests_until = None
+        self.stalled_at = None
+        self.delayed_until = None
         self.retry_at = None
         self.lost = False
         self.failures = 0
@@ -121,25 +121,25 @@
             return True
         return self.retry_at is not None and now >= self.retry_at
 
-    def has_rested(self, now: float) -> bool:
+    def is_delay_over(self, now: float) -> bool:
         """Whether a rest has ended and the next watch may begin."""
-        return self.rests_until is not None and now >= self.rests_until
+        return self.delayed_until is not None and now >= self.delayed_until
 
     def adopt(self, revision: int) -> None:
         """Note that a peer told everything up to `revision`."""
         self.listed = True
         self.revision = max(self.revision, revision)
 
-    def expect_news(self, now: float) -> None:
+    def expect_change(self, now: float) -> None:
         """Note that a peer told what the own watch has to tell too.
 
         One that is yet to begin goes on from there, and has nothing of it to tell.
         """
-        if self.rests_until is not None:
+        if self.delayed_until is not None:
             return
-        if self.doubtful_at is None and self.is_current(now):
-            wait_s = STALE_NEWS_S if self.stale else NEWS_S
-            self.doubtful_at = now + wait_s
+        if self.stalled_at is None and self.is_current(now):
+            wait_s = MAX_STALE_WATCH_LAG_S if self.stale else MAX_WATCH_LAG_S
+            self.stalled_at = now + wait_s
 
     def expect_incarnation(self, incarnation: int, now: float) -> None:
         """Note that the store has this incarnation now.
@@ -149,16 +149,16 @@
         """
         waits = self.listed and not self.paused and self.retry_at is None
         if waits and incarnation_of(self.watched_from) < incarnation:
-            self.doubtful_at = now
+            self.stalled_at = now
 
-    def is_doubtful(self, now: float) -> bool:
+    def is_stalled(self, now: float) -> bool:
         """Whether the own watch did not tell what a peer told.
 
         What goes wrong without it: the store falls silent towards a host and closes
         nothing.  Until the watch ends the host claims that its view is current, and
         no other takes its place as a watcher.
         """
-        return self.doubtful_at is not None and now >= self.doubtful_at
+        return self.stalled_at is not None and now >= self.stalled_at
 
     def begin_listing(self) -> Effect:
         """Ask for the first page.
@@ -170,8 +170,8 @@
         self.has_gaps = False
         self.listing_revision = None
         self.retry_at = None
-        self.rests_until = None
-        self.doubtful_at = None
+        self.delayed_until = None
+        self.stalled_at = None
         self.must_list = False
         self.stale = not self.listed and not self.failures
         return ReadPage(self.collection, '', stale=self.stale)
@@ -183,7 +183,7 @@
         once, and each host calls it a hundred times a second.  Until the list is read nothing
         proves that the view is current.
         """
-        self.doubt(now)
+        self.invalidate(now)
         self.relistings += 1
         if self.relistings == 1:
             return [self.begin_listing()]
@@ -219,21 +219,21 @@
         self.revision = max(self.revision, self.listing_revision or revision)
         self.listed = True
 
-    def rest(self, until: float) -> None:
+    def delay_next_call(self, until: float) -> None:
         """Make no call before `until`; what was read last counts as current meanwhile."""
         self._note_answer(until)
-        self.rests_until = until
+        self.delayed_until = until
 
     def listen(self, until: float) -> None:
         """Make no call before `until`; what was read may be behind."""
-        self.rest(until)
+        self.delay_next_call(until)
         self.current_until = 0
 
-    def doubt(self, now: float) -> None:
+    def invalidate(self, now: float) -> None:
         """Take nothing for current before the next answer."""
         self.current_until = 0
-        if self.rests_until is not None:
-            self.rests_until = None
+        if self.delayed_until is not None:
+            self.delayed_until = None
             self.retry_at = now
 
     def watch(self, now: float, *, stale: bool = False) -> Effect:
@@ -245,8 +245,8 @@
         """Plan the next try."""
         self.failures += 1
         self.lost = True
-        self.doubtful_at = None
-        self.rests_until = None
+        self.stalled_at = None
+        self.delayed_until = None
         self.retry_at = now + self._wait_s(self.failures)
 
     def resume(self, *, stale: bool = False) -> Effect:
@@ -256,8 +256,8 @@
         """
         self.paused = False
         self.current_until = 0
-        self.doubtful_at = None
-        self.rests_until = None
+        self.stalled_at = None
+        self.delayed_until = None
         self.retry_at = None
         if self.listed and not self.must_list:
             return self._watch(PROVING_WATCH_S, stale=stale)
@@ -276,6 +276,6 @@
         self.failures = 0
         self.lost = False
         self.retry_at = None
-        self.rests_until = None
-        self.doubtful_at = None
+        self.delayed_until = None
+        self.stalled_at = None
         self.current_until = next_call_at + WATCH_S + ANSWER_S
--- a/src/bronzekeel/core/routing/heartbeats.py
+++ b/src/bronzekeel/core/routing/heartbeats.py
@@ -13,34 +13,34 @@
     centres_heard_here,
 )
 from bronzekeel.core.routing.messages import Evacuated, Heartbeat, PeerAddress
-from bronzekeel.core.routing.silence import silent_upstreams
 from bronzekeel.core.routing.state import RoutingState
+from bronzekeel.core.routing.unresponsive import unresponsive_upstreams
 
 
 #: Upstreams whose load a heartbeat tells at most, the busiest first.
-MOST_LOADS = 24
+MAX_LOADS = 24
 
 #: Services whose requests a heartbeat tells at most, the most asked first.  Source: at
 #: 15 bytes each, half of what its sender's name and flags take.
-MOST_RATES = 8
+MAX_RATES = 8
 
 #: Evacuated data centres that a heartbeat tells at most, whether they have upstreams or not.
 #: Source: ten times the data centres of docs/CAPACITY.md; anybody may write to the store, and a
 #: heartbeat with thousands of names fits in no datagram.
-MOST_EVACUATED = 60
+MAX_EVACUATED = 60
 
 KeyT = TypeVar('KeyT')
-FigureT = TypeVar('FigureT', int, float)
+NumberT = TypeVar('NumberT', int, float)
 
 
-def answer_to(state: RoutingState, peer: PeerAddress, now: float) -> Heartbeat:
+def reply_to(state: RoutingState, peer: PeerAddress, now: float) -> Heartbeat:
     """Return the heartbeat that answers a peer's; it names hosts near to that."""
     if peer.data_centre == state.peers.me.data_centre:
-        return near_heartbeat(state, now)
-    return far_heartbeat(state, state.peers.some_others(peer.data_centre, now), now)
+        return local_heartbeat(state, now)
+    return remote_heartbeat(state, state.peers.peers_to_name(peer.data_centre, now), now)
 
 
-def far_heartbeat(
+def remote_heartbeat(
     state: RoutingState,
     others: tuple[PeerAddress, ...],
     now: float,
@@ -50,7 +50,7 @@
     Who this is, how new its views are, what its data centre's callers ask for, and how
     much of its upstreams that takes.
     """
-    rate_by_service = _largest(rates_of_centre(state, now), MOST_RATES)
+    rate_by_service = _largest(rates_of_centre(state, now), MAX_RATES)
     return Heartbeat(
         state.peers.me,
         state.text_order,
@@ -62,8 +62,8 @@
             service: load_at(state.directory, state.peers.me.data_centre, service)
             for service in rate_by_service
         },
-        evacuated=_told_evacuated(state),
-        asked_by_service=asked_of_centre(state, now),
+        evacuated=_announced_evacuated(state),
+        demand_by_service=asked_of_centre(state, now),
         unheard=tuple(sorted(state.demand.moving.unheard.names)),
         direct=state.is_direct(now),
         lost=state.is_lost,
@@ -71,7 +71,7 @@
     )
 
 
-def near_heartbeat(
+def local_heartbeat(
     state: RoutingState,
     now: float,
     counts: ToldCounts | None = None,
@@ -86,35 +86,35 @@
         state.peers.me,
         state.text_order,
         state.directory.newest_revision,
-        _largest(busy_by_number, MOST_LOADS),
-        state.peers.some_others(state.peers.me.data_centre, now),
-        _largest(state.balance.meter.by_service, MOST_RATES),
+        _largest(busy_by_number, MAX_LOADS),
+        state.peers.peers_to_name(state.peers.me.data_centre, now),
+        _largest(state.balance.meter.by_service, MAX_RATES),
         told_shares(state),
         allowances=state.room.allowances if state.room.reckons else None,
-        unanswered_by_number=silent_upstreams(state, now),
+        unanswered_by_number=unresponsive_upstreams(state, now),
         callers_by_service=state.demand.callers.words(
             state.directory.pools_of(state.peers.me.data_centre),
             now,
         ),
         counts=counts,
-        asked_by_service=asked_here(state),
+        demand_by_service=asked_here(state),
         hears=centres_heard_here(state, now),
-        evacuated=_told_evacuated(state),
+        evacuated=_announced_evacuated(state),
         direct=state.is_direct(now),
         lost=state.is_lost,
         stopping=state.stopping.asked,
     )
 
 
-def _told_evacuated(state: RoutingState) -> Evacuated:
+def _announced_evacuated(state: RoutingState) -> Evacuated:
     """Return what is evacuated; of too many names only those of data centres with upstreams."""
     evacuated = state.evacuated
-    if len(evacuated.centres) <= MOST_EVACUATED:
+    if len(evacuated.centres) <= MAX_EVACUATED:
         return evacuated
     return Evacuated(evacuated.as_of, evacuated.centres & state.directory.data_centres)
 
 
-def _largest(by_key: Mapping[KeyT, FigureT], most: int) -> dict[KeyT, FigureT]:
+def _largest(by_key: Mapping[KeyT, NumberT], most: int) -> dict[KeyT, NumberT]:
     """Return the entries with the largest figures, `most` at most."""
     if len(by_key) <= most:
         return dict(by_key)
--- a/src/bronzekeel/core/routing/load_moves.py
+++ b/src/bronzekeel/core/routing/load_moves.py
@@ -8,14 +8,14 @@
     controlled_services,
     is_centre_lacking,
 )
-from bronzekeel.core.routing.messages import Allowance, Asked, FlowShare, Heartbeat
+from bronzekeel.core.routing.messages import Allowance, FlowShare, Heartbeat, ServiceDemand
 from bronzekeel.core.routing.moving_load import ROOM_WORD_S, CentreWord, LevelKey
 from bronzekeel.core.routing.peers import Peer
-from bronzekeel.core.routing.relays import STRAINED_RELAY_S
+from bronzekeel.core.routing.relays import QUEUEING_RELAY_S
 from bronzekeel.core.routing.state import RoutingState
 
 
-_NOTHING_ASKED = Asked(0, 0)
+_NOTHING_ASKED = ServiceDemand(0, 0)
 
 #: Marks a share among levels, which counts as so many flows: a tenth of all is told early.
 _SHARE = 'share'
@@ -41,17 +41,17 @@
     """Reckon room at the next tick if a heartbeat may have told of another."""
     told = heartbeat.allowances is not None
     far = heartbeat.sender.data_centre != state.peers.me.data_centre
-    if state.controls_demand and heartbeat.asked_by_service and (told or far):
+    if state.controls_demand and heartbeat.demand_by_service and (told or far):
         state.room.reckon_at = 0
 
 
 def is_hurried(state: RoutingState, now: float) -> bool:
     """Whether other data centres are to be told more often than in calm."""
-    if state.directory.is_strained(state.peers.me.data_centre, now):
+    if state.directory.is_queueing(state.peers.me.data_centre, now):
         return True
     if not state.demand.moving.asked.by_service:
         return False
-    hurried_until = state.demand.moving.far_news.changed_at + STRAINED_RELAY_S
+    hurried_until = state.demand.moving.far_news.changed_at + QUEUEING_RELAY_S
     return now < hurried_until or is_centre_lacking(state, now)
 
 
@@ -74,7 +74,7 @@
     services = controlled_services(state)
     if not services or not state.balance.bearable:
         return
-    words = state.relays.words_elsewhere(now, ROOM_WORD_S)
+    words = state.relays.remote_reports(now, ROOM_WORD_S)
     complete = bool(words) and set(words) >= set(centres_heard(state, now))
     moving.reckoned_shares = _shares_of(state, services, words, now) if complete else ()
     shares = moving.reckoned_shares if complete else _shares_near(state, now)
@@ -100,7 +100,7 @@
     for peer in _told_lately(state, now):
         if peer.heartbeat is None or peer.heartbeat.shares is None:
             continue
-        heard = (len(peer.heartbeat.hears), peer.newest_at)
+        heard = (len(peer.heartbeat.hears), peer.last_seen_at)
         if heard > most:
             most = heard
             told = peer.heartbeat.shares
@@ -109,8 +109,10 @@
 
 def _told_lately(state: RoutingState, now: float) -> list[Peer]:
     """Return the neighbours whose word of room is still believed, the newest last."""
-    lately = [peer for peer in state.peers.living(now) if now < peer.newest_at + ROOM_WORD_S]
-    return sorted(lately, key=lambda peer: peer.newest_at)
+    lately = [
+        peer for peer in state.peers.live_neighbours(now) if now < peer.last_seen_at + ROOM_WORD_S
+    ]
+    return sorted(lately, key=lambda peer: peer.last_seen_at)
 
 
 def _shares_of(
@@ -138,7 +140,7 @@
     """Return what is asked in the data centres that hear this one."""
     rate_by_centre: dict[str, float] = {}
     for centre, heartbeat in words.items():
-        asked = heartbeat.asked_by_service or {}
+        asked = heartbeat.demand_by_service or {}
         if home not in heartbeat.unheard and service in asked:
             rate_by_centre[centre] = asked[service].rate
     return rate_by_centre
@@ -156,9 +158,9 @@
     services = controlled_services(state)
     if not services:
         return allowances
-    words = state.relays.words_elsewhere(now, ROOM_WORD_S)
+    words = state.relays.remote_reports(now, ROOM_WORD_S)
     relays = state.relays
-    former = {one for one in relays.loads_elsewhere(now) if not relays.tells_asked(one)}
+    former = {one for one in relays.remote_loads(now) if not relays.reports_demand(one)}
     kept = [
         allowance
         for allowance in allowances
@@ -195,7 +197,7 @@
     word_by_centre = {
         centre: _word_of(heartbeat, service, home)
         for centre, heartbeat in heartbeat_by_centre.items()
-        if heartbeat.asked_by_service and service in heartbeat.asked_by_service
+        if heartbeat.demand_by_service and service in heartbeat.demand_by_service
     }
     own = (asked_of_centre(state, now) or {}).get(service, _NOTHING_ASKED)
     capacity_by_centre = state.directory.pool_members.capacity_by_centre(service)
@@ -204,9 +206,9 @@
 
 
 def _word_of(heartbeat: Heartbeat, service: str, home: str) -> CentreWord:
-    asked = (heartbeat.asked_by_service or {}).get(service, _NOTHING_ASKED)
+    asked = (heartbeat.demand_by_service or {}).get(service, _NOTHING_ASKED)
     load = heartbeat.load_by_service.get(service, 0)
-    return CentreWord(load, asked.rate, asked.lacking, hears=home not in heartbeat.unheard)
+    return CentreWord(load, asked.rate, asked.unserved, hears=home not in heartbeat.unheard)
 
 
 def _loads_at_home(state: RoutingState, services: list[str]) -> dict[str, float]:
--- a/src/bronzekeel/core/routing/messages.py
+++ b/src/bronzekeel/core/routing/messages.py
@@ -3,14 +3,14 @@
 from collections.abc import Mapping
 from types import MappingProxyType
 
-from bronzekeel.core.routing.caller_words import CallersWord
 from bronzekeel.core.routing.answer_counts import ToldCounts
+from bronzekeel.core.routing.caller_words import CallersWord
 from bronzekeel.core.routing.model import RoutingText, UpstreamEntry
 
 
 _NO_RATES: Mapping[str, float] = MappingProxyType({})
-_NOBODY: Mapping[int, int] = MappingProxyType({})
-_NO_WORDS: Mapping[str, CallersWord] = MappingProxyType({})
+_NO_COUNTS: Mapping[int, int] = MappingProxyType({})
+_NO_REPORTS: Mapping[str, CallersWord] = MappingProxyType({})
 
 
 class FlowShare:
@@ -37,15 +37,15 @@
         self.requests = requests
 
 
-class Asked:
-    """Say what callers ask of a service: requests a second, and how many `lacking` room."""
+class ServiceDemand:
+    """Say what callers ask of a service: requests a second, and how many `unserved` room."""
 
-    __slots__ = ('lacking', 'rate')
+    __slots__ = ('rate', 'unserved')
 
-    def __init__(self, rate: float, lacking: int) -> None:
-        """Keep the `rate`; `lacking` counts those that wait or were refused in the last second."""
+    def __init__(self, rate: float, unserved: int) -> None:
+        """Keep the `rate`; `unserved` counts those that wait or were refused in the last second."""
         self.rate = rate
-        self.lacking = lacking
+        self.unserved = unserved
 
 
 class Evacuated:
@@ -95,7 +95,7 @@
     evacuations: all of it, so that nobody has to ask.  `callers_by_service` says what callers of
     services that are short asked for and were given.  `counts` are the answers that its sender saw
     since it last told neighbours, None if there is none.  `others` are peers that it knows.
-    `asked_by_service` says what its callers ask of services whose demand is controlled, or to
+    `demand_by_service` says what its callers ask of services whose demand is controlled, or to
     other data centres those of all its data centre; None if it does not know yet.  `hears` tells
     neighbours which data centres it has heard of late, `unheard` tells other data centres which
     ones nobody in its own hears any more.
@@ -103,10 +103,10 @@
 
     __slots__ = (
         'allowances',
-        'asked_by_service',
         'busy_by_number',
         'callers_by_service',
         'counts',
+        'demand_by_service',
         'direct',
         'evacuated',
         'hears',
@@ -136,10 +136,10 @@
         load_by_service: Mapping[str, float] = _NO_RATES,
         allowances: tuple[Allowance, ...] | None = None,
         evacuated: Evacuated = NOTHING_EVACUATED,
-        unanswered_by_number: Mapping[int, int] = _NOBODY,
-        callers_by_service: Mapping[str, CallersWord] = _NO_WORDS,
+        unanswered_by_number: Mapping[int, int] = _NO_COUNTS,
+        callers_by_service: Mapping[str, CallersWord] = _NO_REPORTS,
         counts: ToldCounts | None = None,
-        asked_by_service: Mapping[str, Asked] | None = None,
+        demand_by_service: Mapping[str, ServiceDemand] | None = None,
         hears: tuple[str, ...] = (),
         unheard: tuple[str, ...] = (),
         direct: bool = False,
@@ -160,14 +160,14 @@
         self.unanswered_by_number = unanswered_by_number
         self.callers_by_service = callers_by_service
         self.counts = counts
-        self.asked_by_service = asked_by_service
+        self.demand_by_service = demand_by_service
         self.hears = hears
         self.unheard = unheard
         self.direct = direct
         self.lost = lost
         self.stopping = stopping
 
-    def knows_more(self, text_order: int, upstreams_revision: int) -> bool:
+    def is_ahead_of(self, text_order: int, upstreams_revision: int) -> bool:
         """Whether its sender knew something newer than these revisions."""
         if self.text_order > text_order:
             return True
@@ -198,7 +198,7 @@
         self.left = left
 
 
-class Known:
+class KnownVersions:
     """Say what the asker of a view knows already.
 
     The order of its text, the revisions of the newest change of upstreams and of the newest
--- a/src/bronzekeel/core/routing/model.py
+++ b/src/bronzekeel/core/routing/model.py
@@ -29,11 +29,11 @@
 
 #: Seconds after which callers of a route give a request up when the text does not say.
 #: Source: the shortest that the users' texts give for requests of 50 ms.
-USUAL_TIMEOUT_S = 1.0
+DEFAULT_TIMEOUT_S = 1.0
 
 
 #: Homes of a route that may lead to any region.
-ANYWHERE: frozenset[str] = frozenset()
+ANY_REGION: frozenset[str] = frozenset()
 
 
 class Route:
@@ -53,8 +53,8 @@
         shares: tuple[ServiceShare, ...],
         seal: int,
         priority: int = 0,
-        timeout_s: float = USUAL_TIMEOUT_S,
-        homes: frozenset[str] = ANYWHERE,
+        timeout_s: float = DEFAULT_TIMEOUT_S,
+        homes: frozenset[str] = ANY_REGION,
         objective_s: float = 0,
     ) -> None:
         """Keep the route with the `seal` that marks its connection ids."""
@@ -73,14 +73,14 @@
     `order` orders texts from all sources: by `generation`, the operators'
     own number, then by `revision`.  A flow that is silent for `idle_s` seconds may be forgotten.
     A cold upstream of a service in `cold_rate_by_service` bears so many requests a second.
-    `least_objective_s` is the shortest latency objective of all routes, zero if one states none.
+    `min_objective_s` is the shortest latency objective of all routes, zero if one states none.
     """
 
     __slots__ = (
         'cold_rate_by_service',
         'generation',
         'idle_s',
-        'least_objective_s',
+        'min_objective_s',
         'order',
         'revision',
         'route_by_key',
@@ -101,7 +101,7 @@
         self.order = text_order_of(generation, revision)
         self.route_by_key = route_by_key
         self.idle_s = idle_s
-        self.least_objective_s = min(
+        self.min_objective_s = min(
             (route.objective_s for route in route_by_key.values()),
             default=0,
         )
@@ -170,11 +170,11 @@
         return folded & _CONNECTION_ID_MASK
 
     @property
-    def takes_flows(self) -> bool:
+    def accepts_flows(self) -> bool:
         """Whether it may get new flows by what it says of itself."""
         return self.usable and not self.draining
 
-    def is_other_start(self, former: 'UpstreamEntry') -> bool:
+    def is_restart_of(self, former: 'UpstreamEntry') -> bool:
         """Whether this is of another process than `former`, or of one that moved.
 
         A start that is not told is taken for the same.
@@ -209,10 +209,10 @@
     is listed; from `gone_at` on it counts as gone; `removed_revision` is of the
     removal.
     Own sight: `open_flows` and `busy_flows` as packets of callers show them,
-    with `busy_elsewhere` what other balancers of the data centre see, and
+    with `busy_at_peers` what other balancers of the data centre see, and
     `shared_load` what that makes of it for a slot;
     `unanswered` counts opening packets in a row that nothing came of, for
-    which it gets no new flows before `avoided_until`, `silent_until` by own sight alone; one was
+    which it gets no new flows before `avoided_until`, `unresponsive_until` by own sight alone; one was
     answered at `answered_at`.  `asked` counts the requests that this
     balancer saw of late, new flows too.  `pool` counts what is in progress at all upstreams of
     its service in its data centre.  `speed` is how fast it works beside the mean of its service,
@@ -224,7 +224,7 @@
         'answered_at',
         'asked',
         'avoided_until',
-        'busy_elsewhere',
+        'busy_at_peers',
         'busy_flows',
         'entry',
         'gone_at',
@@ -234,10 +234,10 @@
         'pool',
         'removed_revision',
         'shared_load',
-        'silent_until',
         'spare',
         'speed',
         'unanswered',
+        'unresponsive_until',
         'warm_at',
     )
 
@@ -252,11 +252,11 @@
         self.removed_revision = 0
         self.open_flows = 0
         self.busy_flows = 0
-        self.busy_elsewhere = 0
+        self.busy_at_peers = 0
         self.shared_load: float = 0
         self.unanswered = 0
         self.avoided_until: float = 0
-        self.silent_until: float = 0
+        self.unresponsive_until: float = 0
         self.answered_at: float = 0
         self.asked: float = 0
         self.speed: float = 1
@@ -270,7 +270,7 @@
     @property
     def counts_toward_capacity(self) -> bool:
         """Whether its slots count toward the capacity of its pool for new flows."""
-        return self.listed and self.entry.takes_flows and not self.pool.evacuated
+        return self.listed and self.entry.accepts_flows and not self.pool.evacuated
 
     @property
     def listed(self) -> bool:
@@ -281,9 +281,9 @@
         """Whether its entry is gone and had the time to come back."""
         return self.missing_at is not None and now >= self.gone_at
 
-    def takes_flows(self, now: float) -> bool:
+    def accepts_flows(self, now: float) -> bool:
         """Whether new flows may be sent to it by what the store says."""
-        return self.entry.takes_flows and not self.pool.evacuated and not self.is_gone(now)
+        return self.entry.accepts_flows and not self.pool.evacuated and not self.is_gone(now)
 
 
 class FlowPacket:
@@ -334,7 +334,7 @@
         self.copy = copy
 
 
-def flow_text(flow: bytes) -> str:
+def format_flow(flow: bytes) -> str:
     """Return a flow's name for people: ``caller:port>address:port``."""
     if len(flow) != _FLOW_BYTES:
         return flow.hex()
--- a/src/bronzekeel/core/routing/moving_load.py
+++ b/src/bronzekeel/core/routing/moving_load.py
@@ -22,7 +22,7 @@
     claims_of,
 )
 from bronzekeel.core.routing.peers import FORGET_S
-from bronzekeel.core.routing.pools import REQUESTS_A_SLOT
+from bronzekeel.core.routing.pools import REQUESTS_PER_SLOT
 from bronzekeel.core.routing.room_news import RoomNews
 
 
@@ -74,16 +74,16 @@
     """Hold what another data centre told of one service.
 
     Its `load` of own callers' requests a slot, the `rate` that they ask for, how many are
-    `lacking` room, and whether it `hears` the data centre that it told.
+    `unserved` room, and whether it `hears` the data centre that it told.
     """
 
-    __slots__ = ('hears', 'lacking', 'load', 'rate')
+    __slots__ = ('hears', 'load', 'rate', 'unserved')
 
-    def __init__(self, load: float, rate: float, lacking: int, *, hears: bool) -> None:
+    def __init__(self, load: float, rate: float, unserved: int, *, hears: bool) -> None:
         """Keep what was told."""
         self.load = load
         self.rate = rate
-        self.lacking = lacking
+        self.unserved = unserved
         self.hears = hears
 
     def room_of(self, capacity: float) -> float:
@@ -237,7 +237,7 @@
         allowances: list[Allowance] = []
         for centre, word in word_by_centre.items():
             room = word.room_of(capacity_by_centre.get(centre, 0)) / sharers
-            due = max(room, claims.get(centre, 0) * REQUESTS_A_SLOT)
+            due = max(room, claims.get(centre, 0) * REQUESTS_PER_SLOT)
             requests = self._risen((service, centre), due if word.hears else 0, elapsed_s)
             allowances.append(Allowance(service, centre, requests))
         return allowances
@@ -248,15 +248,15 @@
         return now - former
 
     def _count_lacking(self, service: str, word_by_centre: Mapping[str, CentreWord]) -> int:
-        lacking = 0
+        unserved = 0
         for centre, word in word_by_centre.items():
-            lacks = word.lacking > 0 or word.load >= LOAD_WITHOUT_ROOM
+            lacks = word.unserved > 0 or word.load >= LOAD_WITHOUT_ROOM
             if lacks:
                 self._lacking.add((service, centre))
             elif word.load < LOAD_REGAINED:
                 self._lacking.discard((service, centre))
-            lacking += (service, centre) in self._lacking
-        return lacking
+            unserved += (service, centre) in self._lacking
+        return unserved
 
     def _claims(
         self,
--- a/src/bronzekeel/core/routing/taking.py
+++ b/src/bronzekeel/core/routing/object_updates.py
@@ -8,11 +8,11 @@
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import Effect, WriteLine
 from bronzekeel.core.routing.model import RoutingText, UpstreamEntry
-from bronzekeel.core.routing.revisions import incarnation_of, shown
+from bronzekeel.core.routing.revisions import format_revision, incarnation_of
 from bronzekeel.core.routing.state import RoutingState
 
 
-def take_text(state: RoutingState, text: RoutingText) -> list[Effect]:
+def apply_text(state: RoutingState, text: RoutingText) -> list[Effect]:
     """Put a text in force unless a newer one is."""
     known = state.text
     if known is not None and text.order == known.order:
@@ -24,7 +24,7 @@
         WriteLine(
             LogNumber.TEXT_IN_FORCE,
             generation=text.generation,
-            revision=shown(text.revision),
+            revision=format_revision(text.revision),
             routes=len(text.route_by_key),
             demand_controlled=state.demand.control.covers(text),
         ),
@@ -38,17 +38,17 @@
         WriteLine(
             LogNumber.TEXT_OLDER,
             generation=text.generation,
-            revision=shown(text.revision),
+            revision=format_revision(text.revision),
             in_force_generation=known.generation,
-            in_force=shown(known.revision),
+            in_force=format_revision(known.revision),
         ),
     ]
 
 
-def take_entry(state: RoutingState, entry: UpstreamEntry, now: float) -> list[Effect]:
+def apply_entry(state: RoutingState, entry: UpstreamEntry, now: float) -> list[Effect]:
     """Take what an upstream says of itself."""
     former = state.directory.by_name.get(entry.name)
-    if not state.directory.take(entry, now):
+    if not state.directory.apply(entry, now):
         return []
     if former is not None and state.directory.by_name[entry.name] is not former:
         state.flows.drop_of(former)
@@ -60,7 +60,7 @@
                 address=':'.join(map(str, entry.address)),
                 former_start_ms=former.entry.started_ms,
                 start_ms=entry.started_ms,
-                revision=shown(entry.revision),
+                revision=format_revision(entry.revision),
             ),
         ]
     return [
@@ -70,12 +70,12 @@
             service=entry.service,
             draining=entry.draining,
             cold_s=entry.cold_s,
-            revision=shown(entry.revision),
+            revision=format_revision(entry.revision),
         ),
     ]
 
 
-def take_unreadable(state: RoutingState, name: str, revision: int, problem: str) -> list[Effect]:
+def handle_unreadable(state: RoutingState, name: str, revision: int, problem: str) -> list[Effect]:
     """Leave out what cannot be read; an upstream whose entry it was gets no new flows."""
     state.store_record.unreadable_objects += 1
     withheld = state.directory.withhold(name, revision)
@@ -83,14 +83,14 @@
         WriteLine(
             LogNumber.OBJECT_BAD,
             object=name,
-            revision=shown(revision),
+            revision=format_revision(revision),
             problem=problem,
             withheld=withheld,
         ),
     ]
 
 
-def note_restored(state: RoutingState, revision: int, now: float) -> bool:
+def note_restore(state: RoutingState, revision: int, now: float) -> bool:
     """Note that `revision` tells of upstreams; return whether the store was restored meanwhile.
 
     Upstreams whose entries the restored store does not have write them again: without the time
@@ -99,19 +99,19 @@
     known = state.directory.newest_revision
     if not known or incarnation_of(revision) <= incarnation_of(known):
         return False
-    state.directory.note_regained(now)
+    state.directory.note_recovered(now)
     return True
 
 
-def settle_doubts(state: RoutingState, now: float) -> list[Effect]:
+def apply_confirmed(state: RoutingState, now: float) -> list[Effect]:
     """Believe the doubted entries that have stood for long."""
     effects: list[Effect] = []
-    for entry in state.directory.due_doubted(now):
-        effects.extend(take_entry(state, entry, now))
+    for entry in state.directory.due_unconfirmed(now):
+        effects.extend(apply_entry(state, entry, now))
     return effects
 
 
-def take_removal(state: RoutingState, name: str, revision: int, now: float) -> list[Effect]:
+def apply_removal(state: RoutingState, name: str, revision: int, now: float) -> list[Effect]:
     """Note that the store no longer has an entry."""
     missed = state.directory.note_removed(name, revision, now)
     if missed is None:
@@ -122,6 +122,6 @@
             upstream=name,
             left=missed.left,
             gone_in_s=round(missed.gone_at - now, 3),
-            revision=shown(revision),
+            revision=format_revision(revision),
         ),
     ]
--- a/src/bronzekeel/core/routing/overflow.py
+++ b/src/bronzekeel/core/routing/overflow.py
@@ -13,7 +13,7 @@
 
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.messages import Allowance
-from bronzekeel.core.routing.pools import NO_LIMIT, REQUESTS_A_SLOT
+from bronzekeel.core.routing.pools import NO_LIMIT, REQUESTS_PER_SLOT
 
 
 #: Requests in progress a slot up to which a data centre has room for others' callers: a little
@@ -72,7 +72,7 @@
         capacity_by_centre = directory.pool_members.capacity_by_centre(service)
         claims = claims_of(home, capacity_by_centre, rate_by_centre)
         for centre, room in rooms_of(capacity_by_centre, load_by_centre).items():
-            requests = max(room, claims.get(centre, 0) * REQUESTS_A_SLOT)
+            requests = max(room, claims.get(centre, 0) * REQUESTS_PER_SLOT)
             allowances.append(Allowance(service, centre, requests))
     return tuple(allowances)
 
@@ -147,7 +147,7 @@
     It limits flows that found no room at home, and all flows of services that are
     `homeless`: without upstreams at home.
     """
-    pools = directory.pools_elsewhere(home)
+    pools = directory.remote_pools(home)
     for pool in pools.values():
         pool.allowance = 0
         pool.limit = NO_LIMIT
--- a/src/bronzekeel/core/routing/placement.py
+++ b/src/bronzekeel/core/routing/placement.py
@@ -101,7 +101,7 @@
     alike: list[Upstream] = []
     least: tuple[float, ...] = ()
     for upstream in candidates:
-        if not upstream.takes_flows(now):
+        if not upstream.accepts_flows(now):
             continue
         reluctance = _reluctance(upstream, now, near)
         if not alike or reluctance < least:
--- a/src/bronzekeel/core/routing/pools.py
+++ b/src/bronzekeel/core/routing/pools.py
@@ -10,7 +10,7 @@
 #: is worked on, and one that begins the moment it ends.  Source: with one and a half
 #: a slot idles for the way of the next request; with more, answers wait in queues at upstreams,
 #: where nothing can be put before them.
-REQUESTS_A_SLOT = 2.0
+REQUESTS_PER_SLOT = 2.0
 
 #: Weights of the newest flow in the mean time on the way and in its deviation, and how many
 #: deviations beyond the mean are waited for.  Source: RFC 6298, which does the same for
@@ -22,14 +22,14 @@
 #: Seconds that are waited for the answer to an opening packet at least.  Source: five times the
 #: way between the users' callers and upstreams, and a quarter of the time after which
 #: callers repeat an opening packet.
-LEAST_PATIENCE_S = 0.05
+MIN_ANSWER_TIMEOUT_S = 0.05
 
 #: Seconds on the way that a flow counts for at most: a longer one waited for something else.
-_MOST_WAY_S = 0.5
+_MAX_RTT_S = 0.5
 
 #: Seconds for which nothing must have waited for a queue to count as a new one.  Source: twice
 #: the usual work of an upstream; in an overload a queue is empty for a moment now and then.
-CALM_S = 0.1
+QUEUE_GAP_S = 0.1
 
 
 class Pool:
@@ -43,13 +43,13 @@
     of them began at `queued_since`; `waiting_open` of them are on open flows.  `callers` has the
     shares of callers where demand is controlled, None elsewhere.  `answered` counts the requests
     whose answers were acknowledged, `refused` the flows that were refused for want of room, and
-    `way_s` is the mean time in seconds that a packet and what comes back for it are on the way
+    `rtt_s` is the mean time in seconds that a packet and what comes back for it are on the way
     between caller, balancer and upstream, without any work.
     """
 
     __slots__ = (
         '_empty_since',
-        '_way_deviation_s',
+        '_rtt_deviation_s',
         'allowance',
         'answered',
         'busy',
@@ -60,10 +60,10 @@
         'limit',
         'queued_since',
         'refused',
+        'rtt_s',
         'service',
         'waiting',
         'waiting_open',
-        'way_s',
     )
 
     def __init__(self, service: str, data_centre: str, *, evacuated: bool = False) -> None:
@@ -81,12 +81,12 @@
         self.queued_since: float = 0
         self.answered = 0
         self.refused = 0
-        self.way_s: float = 0
+        self.rtt_s: float = 0
         self._empty_since: float = 0
-        self._way_deviation_s: float = 0
+        self._rtt_deviation_s: float = 0
 
     @property
-    def has_room(self) -> bool:
+    def has_free_capacity(self) -> bool:
         """Whether a further request may begin at once; those that wait come first."""
         return self.busy < self.limit and not self.waiting
 
@@ -96,32 +96,32 @@
         return self.busy < self.allowance
 
     @property
-    def patience_s(self) -> float:
+    def answer_timeout_s(self) -> float:
         """Seconds after which an opening packet that nothing followed is unanswered."""
-        return max(LEAST_PATIENCE_S, self.way_s + _DEVIATIONS * self._way_deviation_s)
+        return max(MIN_ANSWER_TIMEOUT_S, self.rtt_s + _DEVIATIONS * self._rtt_deviation_s)
 
-    def enter(self, now: float) -> None:
+    def enqueue(self, now: float) -> None:
         """Note that one more request waits."""
-        if not self.waiting and now >= self._empty_since + CALM_S:
+        if not self.waiting and now >= self._empty_since + QUEUE_GAP_S:
             self.queued_since = now
         self.waiting += 1
 
-    def leave(self, now: float) -> None:
+    def dequeue(self, now: float) -> None:
         """Note that a request waits no longer."""
         self.waiting -= 1
         self._empty_since = now
 
     def queued_s(self, now: float) -> float:
-        """Return for how long requests have waited here, with breaks of less than ``CALM_S``."""
-        if not self.waiting and now >= self._empty_since + CALM_S:
+        """Return for how long requests have waited here, with breaks of less than ``QUEUE_GAP_S``."""
+        if not self.waiting and now >= self._empty_since + QUEUE_GAP_S:
             return 0
         return now - self.queued_since
 
-    def note_way(self, way_s: float) -> None:
+    def note_rtt(self, rtt_s: float) -> None:
         """Take the seconds from an opening packet to the next packet of its flow."""
-        way_s = min(way_s, _MOST_WAY_S)
-        if not self.way_s:
-            self.way_s = way_s
-        deviation_s = abs(way_s - self.way_s)
-        self.way_s += (way_s - self.way_s) * _MEAN_WEIGHT
-        self._way_deviation_s += (deviation_s - self._way_deviation_s) * _DEVIATION_WEIGHT
+        rtt_s = min(rtt_s, _MAX_RTT_S)
+        if not self.rtt_s:
+            self.rtt_s = rtt_s
+        deviation_s = abs(rtt_s - self.rtt_s)
+        self.rtt_s += (rtt_s - self.rtt_s) * _MEAN_WEIGHT
+        self._rtt_deviation_s += (deviation_s - self._rtt_deviation_s) * _DEVIATION_WEIGHT
--- a/src/bronzekeel/core/routing/reducer.py
+++ b/src/bronzekeel/core/routing/reducer.py
@@ -11,7 +11,7 @@
 from bronzekeel.core.routing.balancing import reckon_balance, reckon_room
 from bronzekeel.core.routing.effects import DropWaiting, Effect, End, WriteLine
 from bronzekeel.core.routing.evacuations import (
-    end_evacuations,
+    expire_evacuations,
 )
 from bronzekeel.core.routing.events import (
     CallFailed,
@@ -31,6 +31,9 @@
 )
 from bronzekeel.core.routing.learning import learn_capacities
 from bronzekeel.core.routing.load_moves import look_at_load
+from bronzekeel.core.routing.object_updates import (
+    apply_confirmed,
+)
 from bronzekeel.core.routing.sharing import (
     announce_change,
     ask_elsewhere,
@@ -46,10 +49,8 @@
     on_history_lost,
     on_page,
 )
-from bronzekeel.core.routing.store_calls import follow_on
-from bronzekeel.core.routing.taking import (
-    settle_doubts,
-)
+from bronzekeel.core.routing.store_calls import make_due_calls
+
 
 #: Interval in seconds at which the daemon feeds ``Ticked``.
 #: Source: a tenth of a second late is little beside every wait decided here.
@@ -102,8 +103,8 @@
     at an upstream.
     """
     for follower in state.follower_by_collection.values():
-        follower.doubt(now)
-    state.peers.doubt_all()
+        follower.invalidate(now)
+    state.peers.expire_all()
     state.demand.capacities.counts.valid_from = now
     effects: list[Effect] = [WriteLine(LogNumber.PAUSED, paused_s=round(event.paused_s, 3))]
     if event.paused_s >= STALE_PAUSE_S:
@@ -123,12 +124,12 @@
     if now >= state.forget_at:
         state.forget_at = now + _FORGET_EVERY_S
         state.directory.forget_old(now)
-    effects = settle_doubts(state, now)
-    effects.extend(end_evacuations(state, now))
-    state.peers.forget_silent(now)
-    state.shared_loads.note(state.directory, state.peers.busy_elsewhere(now))
+    effects = apply_confirmed(state, now)
+    effects.extend(expire_evacuations(state, now))
+    state.peers.forget_expired(now)
+    state.shared_loads.note(state.directory, state.peers.busy_at_peers(now))
     effects.extend(_reckon_load(state, now))
-    effects.extend(follow_on(state, now))
+    effects.extend(make_due_calls(state, now))
     effects.extend(ask_elsewhere(state, now))
     effects.extend(beat(state, now))
     if state.stopping.is_done(now):
--- a/src/bronzekeel/core/routing/revisions.py
+++ b/src/bronzekeel/core/routing/revisions.py
@@ -58,6 +58,6 @@
     return text_order & _REVISION_MASK
 
 
-def shown(revision: int) -> str:
+def format_revision(revision: int) -> str:
     """Return a revision for people: incarnation and number."""
     return f'{incarnation_of(revision)}/{number_of(revision)}'
--- a/src/bronzekeel/core/routing/shared_load.py
+++ b/src/bronzekeel/core/routing/shared_load.py
@@ -43,7 +43,7 @@
             upstream = directory.by_number.get(number)
             if upstream is None:
                 continue
-            upstream.busy_elsewhere = busy_by_number.get(number, 0)
+            upstream.busy_at_peers = busy_by_number.get(number, 0)
             touched_by_pool.setdefault(upstream.pool, []).append(upstream)
         for pool, upstreams in touched_by_pool.items():
             _note_loads(upstreams, directory.pool_members.capacity_of(pool))
@@ -55,13 +55,13 @@
     All other upstreams of the pool have a shared load of zero.
     """
     busy = sum(
-        upstream.busy_elsewhere for upstream in touched if upstream.listed or capacity.none_listed
+        upstream.busy_at_peers for upstream in touched if upstream.listed or capacity.none_listed
     )
     for upstream in touched:
         others = capacity.of_listed - upstream.capacity
         beyond: float = 0
         if others > 0:
-            usual = (busy - upstream.busy_elsewhere) / others
-            load = upstream.busy_elsewhere / upstream.capacity
+            usual = (busy - upstream.busy_at_peers) / others
+            load = upstream.busy_at_peers / upstream.capacity
             beyond = max(0, load - usual * OUTLIER_FACTOR - OUTLIER_SLACK)
         upstream.shared_load = beyond
--- a/src/bronzekeel/core/routing/sharing.py
+++ b/src/bronzekeel/core/routing/sharing.py
@@ -11,24 +11,30 @@
 
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import Effect, FetchView, SendHeartbeat, WriteLine
-from bronzekeel.core.routing.evacuations import take_evacuated
+from bronzekeel.core.routing.evacuations import apply_evacuated
 from bronzekeel.core.routing.events import HeartbeatHeard, ViewFailed, ViewFetched
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.heartbeats import answer_to, far_heartbeat, near_heartbeat
+from bronzekeel.core.routing.heartbeats import local_heartbeat, remote_heartbeat, reply_to
 from bronzekeel.core.routing.learning import take_counts
 from bronzekeel.core.routing.load_moves import hasten_room, is_hurried
-from bronzekeel.core.routing.messages import Heartbeat, Known, MissingEntry, PeerAddress, View
-from bronzekeel.core.routing.readiness import become_ready
+from bronzekeel.core.routing.messages import (
+    Heartbeat,
+    KnownVersions,
+    MissingEntry,
+    PeerAddress,
+    View,
+)
 from bronzekeel.core.routing.model import UpstreamEntry
+from bronzekeel.core.routing.object_updates import (
+    apply_entry,
+    apply_removal,
+    apply_text,
+    note_restore,
+)
+from bronzekeel.core.routing.readiness import become_ready
 from bronzekeel.core.routing.revisions import incarnation_of
-from bronzekeel.core.routing.silence import take_silent
 from bronzekeel.core.routing.state import RoutingState
-from bronzekeel.core.routing.taking import (
-    note_restored,
-    take_entry,
-    take_removal,
-    take_text,
-)
+from bronzekeel.core.routing.unresponsive import apply_unresponsive
 
 
 #: Seconds after which a view that was asked for is asked for again.
@@ -55,29 +61,29 @@
     """Send the heartbeats that are due."""
     effects: list[Effect] = []
     news_at = max(state.flows.silent_at, state.demand.moving.near_news.changed_at)
-    if news_at > state.peers.told_at:
-        state.peers.beat_soon()
+    if news_at > state.peers.last_sent_at:
+        state.peers.send_heartbeats_soon()
     near = state.peers.due_neighbours(now)
     if near:
         counts = state.demand.capacities.counts.tell(now)
-        effects.append(SendHeartbeat(near_heartbeat(state, now, counts), near))
+        effects.append(SendHeartbeat(local_heartbeat(state, now, counts), near))
     far = state.peers.due_seeds(now, ready=state.ready)
     far.extend(
         state.relays.due(
             now,
             direct=state.is_direct(now),
-            strained=is_hurried(state, now),
+            queueing=is_hurried(state, now),
         )
     )
     if far:
-        named = state.peers.next_elsewhere(now)
-        effects.append(SendHeartbeat(far_heartbeat(state, named, now), far))
+        named = state.peers.next_remote(now)
+        effects.append(SendHeartbeat(remote_heartbeat(state, named, now), far))
     return effects
 
 
 def announce_change(state: RoutingState, now: float) -> list[Effect]:
     """Tell peers at once that there is something new."""
-    state.peers.beat_now()
+    state.peers.send_heartbeats_now()
     return beat(state, now)
 
 
@@ -94,13 +100,13 @@
     sender = heartbeat.sender
     joined = state.peers.note_heartbeat(heartbeat, now)
     effects.extend(_take_evacuated(state, heartbeat, now))
-    take_silent(state, heartbeat.unanswered_by_number, now)
+    apply_unresponsive(state, heartbeat.unanswered_by_number, now)
     take_counts(state, heartbeat)
     hasten_room(state, heartbeat)
     if joined:
         effects.append(WriteLine(LogNumber.MEMBER_JOINED, peer=sender.name))
     if joined or (state.text_order and not heartbeat.text_order):
-        effects.append(SendHeartbeat(answer_to(state, sender, now), [sender.address]))
+        effects.append(SendHeartbeat(reply_to(state, sender, now), [sender.address]))
     if not _knows_more(state, heartbeat, now):
         return effects
     if state.behind_since is None:
@@ -118,17 +124,17 @@
     view = event.view
     known = (state.text_order, state.directory.newest_revision)
     state.fetch_until = now
-    restored = note_restored(state, view.newest_revision, now)
+    restored = note_restore(state, view.newest_revision, now)
     effects: list[Effect] = []
     if view.text is not None:
-        effects.extend(take_text(state, view.text))
+        effects.extend(apply_text(state, view.text))
     for entry in view.entries:
-        effects.extend(take_entry(state, entry, now))
+        effects.extend(apply_entry(state, entry, now))
     for missing in view.missing:
         effects.extend(_take_missing(state, missing, now))
     if restored and view.upstreams_followed:
         effects.extend(_remove_untold(state, view, now))
-    state.directory.account_for(view.newest_revision)
+    state.directory.advance_revision(view.newest_revision)
     state.knows_missing = state.knows_missing or view.all_missing
     followers = state.follower_by_collection
     if state.text is not None:
@@ -146,7 +152,7 @@
     effects: list[Effect] = []
     for name in list(state.directory.by_name):
         if name not in told:
-            effects.extend(take_removal(state, name, view.newest_revision, now))
+            effects.extend(apply_removal(state, name, view.newest_revision, now))
     return effects
 
 
@@ -166,7 +172,7 @@
     """
     if state.behind_since is None:
         return False
-    if not state.peers.knows_more(state.text_order, state.directory.newest_revision, now):
+    if not state.peers.is_ahead_of(state.text_order, state.directory.newest_revision, now):
         state.behind_since = None
         return False
     return now >= state.behind_since + BEHIND_S
@@ -195,7 +201,7 @@
     return [_fetch_from(state, ahead, now)]
 
 
-def view_since(state: RoutingState, known: Known, now: float) -> View:
+def view_since(state: RoutingState, known: KnownVersions, now: float) -> View:
     """Return what this balancer knows beyond what is `known`.
 
     What the store's listing does not tell is told to those that have not asked for it yet:
@@ -216,7 +222,7 @@
     )
 
 
-def _entries_since(state: RoutingState, known: Known) -> list[UpstreamEntry]:
+def _entries_since(state: RoutingState, known: KnownVersions) -> list[UpstreamEntry]:
     newest = state.directory.newest_revision
     whole = incarnation_of(known.upstreams_revision) < incarnation_of(newest)
     entries = []
@@ -230,13 +236,13 @@
     # After the entries that hold: taken before them, a doubted one would pass for the newer word.
     entries.extend(
         doubted
-        for doubted in state.directory.doubted_entries
+        for doubted in state.directory.unconfirmed_entries
         if doubted.revision > known.upstreams_revision
     )
     return entries
 
 
-def _missing_since(state: RoutingState, known: Known, now: float) -> list[MissingEntry]:
+def _missing_since(state: RoutingState, known: KnownVersions, now: float) -> list[MissingEntry]:
     return [
         MissingEntry(
             upstream.entry,
@@ -256,11 +262,11 @@
     told is told on at once: here everybody waits for it.
     """
     known = state.evacuated.centres
-    effects = take_evacuated(state, heartbeat.evacuated, heartbeat.sender.name, now)
+    effects = apply_evacuated(state, heartbeat.evacuated, heartbeat.sender.name, now)
     effects.extend(become_ready(state, now))
     if state.evacuated.centres == known:
         return effects
-    state.follower_by_collection[Collection.EVACUATIONS].expect_news(now)
+    state.follower_by_collection[Collection.EVACUATIONS].expect_change(now)
     if heartbeat.sender.data_centre != state.peers.me.data_centre:
         effects.extend(announce_change(state, now))
     return effects
@@ -271,7 +277,7 @@
     state.fetch_until = now + FETCH_S
     newest = state.directory.newest_revision
     removals = newest if state.knows_missing else 0
-    return FetchView(peer.address, Known(state.text_order, newest, removals))
+    return FetchView(peer.address, KnownVersions(state.text_order, newest, removals))
 
 
 def _note_news(state: RoutingState, known: tuple[int, int], now: float) -> list[Effect]:
@@ -283,9 +289,9 @@
     text_order, upstreams_revision = known
     followers = state.follower_by_collection
     if state.text_order > text_order:
-        followers[Collection.TEXT].expect_news(now)
+        followers[Collection.TEXT].expect_change(now)
     if state.directory.newest_revision > upstreams_revision:
-        followers[Collection.UPSTREAMS].expect_news(now)
+        followers[Collection.UPSTREAMS].expect_change(now)
     told = known != (state.text_order, state.directory.newest_revision)
     if told and state.told_elsewhere_at is not None:
         return announce_change(state, now)
@@ -309,7 +315,7 @@
         return False
     if not state.knows_missing:
         return True
-    return heartbeat.knows_more(state.text_order, state.directory.newest_revision)
+    return heartbeat.is_ahead_of(state.text_order, state.directory.newest_revision)
 
 
 def _is_unanswered(state: RoutingState, now: float) -> bool:
@@ -323,8 +329,8 @@
 def _take_missing(state: RoutingState, missing: MissingEntry, now: float) -> list[Effect]:
     """Take a removal; the teller knows how long the entry may still come back."""
     name = missing.entry.name
-    state.directory.remember(missing.entry, now)
-    effects = take_removal(state, name, missing.revision, now)
+    state.directory.add_unlisted(missing.entry, now)
+    effects = apply_removal(state, name, missing.revision, now)
     upstream = state.directory.by_name.get(name)
     if effects and upstream is not None:
         upstream.left = missing.left
--- a/src/bronzekeel/core/routing/siblings.py
+++ b/src/bronzekeel/core/routing/siblings.py
@@ -20,12 +20,14 @@
     return [share.service for share in others]
 
 
-def with_room(upstreams: Iterable[Upstream], data_centre: str, now: float) -> list[Upstream]:
+def with_free_capacity(
+    upstreams: Iterable[Upstream], data_centre: str, now: float
+) -> list[Upstream]:
     """Return the upstreams of a data centre that answer and whose pool has room."""
     return [
         upstream
         for upstream in upstreams
         if upstream.entry.data_centre == data_centre
-        and upstream.pool.has_room
+        and upstream.pool.has_free_capacity
         and now >= upstream.avoided_until
     ]
--- a/src/bronzekeel/core/routing/state.py
+++ b/src/bronzekeel/core/routing/state.py
@@ -14,8 +14,8 @@
 from bronzekeel.core.routing.follower import Collection, Follower
 from bronzekeel.core.routing.messages import Evacuated
 from bronzekeel.core.routing.model import RoutingText
-from bronzekeel.core.routing.overload import OverloadWatch
 from bronzekeel.core.routing.overflow import RoomElsewhere
+from bronzekeel.core.routing.overload import OverloadWatch
 from bronzekeel.core.routing.peers import PeerTable
 from bronzekeel.core.routing.relays import Relays
 from bronzekeel.core.routing.revisions import incarnation_of
@@ -23,7 +23,7 @@
 from bronzekeel.core.routing.stopping import Stopping
 from bronzekeel.core.routing.store_record import StoreRecord
 from bronzekeel.core.routing.waiting import WaitingOrder, WaitingRequests
-from bronzekeel.core.routing.watch_duty import (
+from bronzekeel.core.routing.watcher_selection import (
     has_current_watcher,
     is_watcher,
     reads_newest,
@@ -131,7 +131,7 @@
     @property
     def evacuated(self) -> Evacuated:
         """The newest that is known of evacuations."""
-        return self.directory.closed_centres.told
+        return self.directory.evacuated_centres.reported
 
     @property
     def incarnation(self) -> int:
@@ -182,4 +182,4 @@
 
     def is_settled(self, now: float) -> bool:
         """Whether both views are current, and lapsed entries had time to come back."""
-        return now >= self.directory.unsettled_until and self.is_current(now)
+        return now >= self.directory.grace_until and self.is_current(now)
--- a/src/bronzekeel/core/routing/steering.py
+++ b/src/bronzekeel/core/routing/steering.py
@@ -4,9 +4,9 @@
 from zlib import crc32
 
 from bronzekeel.core.routing.connection_ids import opened, sealed
-from bronzekeel.core.routing.flows import Flow
 from bronzekeel.core.routing.decisions import Decision, DecisionLog
 from bronzekeel.core.routing.departures import Departure
+from bronzekeel.core.routing.flows import Flow
 from bronzekeel.core.routing.model import (
     FlowPacket,
     Route,
@@ -16,7 +16,7 @@
 )
 from bronzekeel.core.routing.placement import Placement
 from bronzekeel.core.routing.pools import Pool
-from bronzekeel.core.routing.siblings import siblings_of, with_room
+from bronzekeel.core.routing.siblings import siblings_of, with_free_capacity
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.verdicts import Deliver, Discard, Reason, Reset, Verdict, Wait
 from bronzekeel.core.routing.waiting import WaitingRequest
@@ -177,7 +177,7 @@
         upstream = self._placement.choose(candidates, now)
         if upstream is None:
             return self._without_upstream(packet, now)
-        if may_wait and not upstream.pool.has_room:
+        if may_wait and not upstream.pool.has_free_capacity:
             elsewhere = self._instead_of_waiting(upstream, candidates, route, now)
             if elsewhere is not None:
                 return self._place(packet, elsewhere, route, text, now, Departure.NO_ROOM)
@@ -276,7 +276,7 @@
         home = self._state.peers.me.data_centre
         for sibling in siblings_of(route, service):
             upstreams = self._state.eligibility.of_service(sibling, route, text, now)
-            chosen = self._placement.choose(with_room(upstreams, home, now), now)
+            chosen = self._placement.choose(with_free_capacity(upstreams, home, now), now)
             if chosen is not None:
                 return chosen
         return None
@@ -296,7 +296,7 @@
     def _waits(self, packet: FlowPacket, pool: Pool, route: Route, now: float) -> bool:
         """Let the request that `packet` begins wait if its pool has no room."""
         waiting = self._state.waiting
-        if pool.has_room or waiting.is_full:
+        if pool.has_free_capacity or waiting.is_full:
             return False
         waiting.add(packet, pool, route, now)
         return True
@@ -349,7 +349,7 @@
         remember an upstream that lives unlisted, so one of them must have been asked: it
         is this balancer that drops the packets, and the repeats tell nothing of the upstream.
         """
-        asked = self._state.knows_missing or not self._state.peers.living(now)
+        asked = self._state.knows_missing or not self._state.peers.live_neighbours(now)
         settled = asked and self._state.is_settled(now)
         if flow.repeats < REPEATS_WHEN_LAPSED or not settled:
             return Discard(Reason.UNKNOWN_CONNECTION_ID)
--- a/src/bronzekeel/core/routing/store_answers.py
+++ b/src/bronzekeel/core/routing/store_answers.py
@@ -2,7 +2,7 @@
 
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import Effect, WriteLine
-from bronzekeel.core.routing.evacuations import STORE, evacuated_after, take_evacuated
+from bronzekeel.core.routing.evacuations import STORE, apply_evacuated, evacuated_with
 from bronzekeel.core.routing.events import (
     CallFailed,
     ChangesRead,
@@ -12,38 +12,38 @@
     StoredObject,
     Unreadable,
 )
-from bronzekeel.core.routing.follower import GATHER_S, LISTEN_S, Collection, Follower
+from bronzekeel.core.routing.follower import BATCH_S, LISTEN_S, Collection, Follower
 from bronzekeel.core.routing.messages import NOTHING_EVACUATED, Evacuated
 from bronzekeel.core.routing.model import RoutingText, UpstreamEntry
+from bronzekeel.core.routing.object_updates import (
+    apply_entry,
+    apply_removal,
+    apply_text,
+    handle_unreadable,
+    note_restore,
+)
 from bronzekeel.core.routing.readiness import become_ready
 from bronzekeel.core.routing.revisions import (
+    format_revision,
     incarnation_of,
     is_same_incarnation,
     revision_of,
-    shown,
 )
 from bronzekeel.core.routing.sharing import announce_change
 from bronzekeel.core.routing.state import RoutingState
-from bronzekeel.core.routing.store_calls import go_on
-from bronzekeel.core.routing.taking import (
-    note_restored,
-    take_entry,
-    take_removal,
-    take_text,
-    take_unreadable,
-)
+from bronzekeel.core.routing.store_calls import continue_watch
 
 
 #: What is wrong, in the log, with an answer from before the store was restored.
-_FORMER = 'a former incarnation of the store answered'
+_OLD_INCARNATION = 'a former incarnation of the store answered'
 
 
 def on_page(state: RoutingState, event: PageRead, now: float) -> list[Effect]:
     follower = state.follower_by_collection[Collection(event.collection)]
     if incarnation_of(event.revision) < state.incarnation:
-        return on_failure(state, CallFailed(event.collection, _FORMER), now)
+        return on_failure(state, CallFailed(event.collection, _OLD_INCARNATION), now)
     follower.answered_at = now
-    effects = _note_regained(state, follower, now)
+    effects = _note_recovered(state, follower, now)
     effects.extend(_note_incarnation(state, follower, event.revision, now))
     # Pages of two incarnations make no whole: what joined between them would look removed.
     if not follower.is_page_of_listing(event.revision):
@@ -52,39 +52,39 @@
     if event.more and last_name:
         return [*effects, follower.next_page(last_name)]
     follower.end_listing(event.revision)
-    effects.extend(_take_listing(state, follower, now))
+    effects.extend(_apply_listing(state, follower, now))
     effects.extend(become_ready(state, now))
     if follower.stale:
         follower.listen(now + LISTEN_S)
         return effects
-    effects.extend(go_on(state, follower, now))
+    effects.extend(continue_watch(state, follower, now))
     return effects
 
 
 def on_changes(state: RoutingState, event: ChangesRead, now: float) -> list[Effect]:
     follower = state.follower_by_collection[Collection(event.collection)]
     if incarnation_of(event.revision) < state.incarnation:
-        return on_failure(state, CallFailed(event.collection, _FORMER), now)
-    effects = _note_regained(state, follower, now)
+        return on_failure(state, CallFailed(event.collection, _OLD_INCARNATION), now)
+    effects = _note_recovered(state, follower, now)
     effects.extend(_note_incarnation(state, follower, event.revision, now))
     # A restored store answers by the watch's number, which it has given out again: changes that
     # are numbered below it would be missed.
     if not is_same_incarnation(event.revision, follower.watched_from):
         return [*effects, *follower.relist(now)]
     follower.relistings = 0
-    known = _news(state)
+    known = _announced_state(state)
     for stored in event.objects:
-        effects.extend(_take(state, follower, stored, now))
+        effects.extend(_apply(state, follower, stored, now))
     if follower.collection is Collection.EVACUATIONS:
-        told = evacuated_after(state.evacuated, event.objects, event.revision)
-        effects.extend(take_evacuated(state, told, STORE, now))
+        reported = evacuated_with(state.evacuated, event.objects, event.revision)
+        effects.extend(apply_evacuated(state, reported, STORE, now))
     follower.revision = max(follower.revision, event.revision)
     effects.extend(become_ready(state, now))
     if event.objects and follower.collection is Collection.UPSTREAMS:
-        follower.rest(now + GATHER_S)
+        follower.delay_next_call(now + BATCH_S)
     else:
-        effects.extend(go_on(state, follower, now))
-    if known != _news(state):
+        effects.extend(continue_watch(state, follower, now))
+    if known != _announced_state(state):
         effects.extend(announce_change(state, now))
     return effects
 
@@ -96,7 +96,7 @@
     line = WriteLine(
         LogNumber.HISTORY_LOST,
         collection=event.collection,
-        revision=shown(follower.revision),
+        revision=format_revision(follower.revision),
     )
     return [*effects, line, *follower.relist(now)]
 
@@ -112,36 +112,36 @@
             LogNumber.PLATFORM_LOST,
             collection=event.collection,
             problem=event.problem,
-            revision=shown(follower.revision),
+            revision=format_revision(follower.revision),
         ),
     ]
 
 
-def _take_listing(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
+def _apply_listing(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
     """Take a listing that is whole.
 
-    What goes wrong with a page at a time: the newest revision on it is told to peers before the
+    What goes wrong with a page at a time: the newest revision on it is reported to peers before the
     other pages are read, and those that have fetched up to there ask for nothing more.
     """
     if follower.collection is Collection.UPSTREAMS:
-        note_restored(state, follower.listing_revision or 0, now)
+        note_restore(state, follower.listing_revision or 0, now)
     effects: list[Effect] = []
     for stored in follower.objects:
-        effects.extend(_take(state, follower, stored, now))
+        effects.extend(_apply(state, follower, stored, now))
     if follower.collection is Collection.UPSTREAMS:
         effects.extend(_remove_unlisted(state, follower, now))
     if follower.collection is Collection.EVACUATIONS:
-        effects.extend(take_evacuated(state, _listed_evacuated(state, follower), STORE, now))
+        effects.extend(apply_evacuated(state, _listed_evacuated(state, follower), STORE, now))
     follower.objects = []
     return effects
 
 
-def _news(state: RoutingState) -> tuple[int, int, frozenset[str]]:
-    """Return what differs when the store has told something that peers should know at once."""
+def _announced_state(state: RoutingState) -> tuple[int, int, frozenset[str]]:
+    """Return what differs when the store has reported something that peers should know at once."""
     return state.text_order, state.directory.newest_revision, state.evacuated.centres
 
 
-def _note_regained(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
+def _note_recovered(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
     """Note that the store answers again.
 
     Entries that lapsed during the outage get time to come back, counted from
@@ -151,7 +151,7 @@
         return []
     follower.lost = False
     if follower.collection is Collection.UPSTREAMS:
-        state.directory.note_regained(now)
+        state.directory.note_recovered(now)
     return [
         WriteLine(
             LogNumber.PLATFORM_BACK,
@@ -164,14 +164,14 @@
 def _note_incarnation(
     state: RoutingState,
     follower: Follower,
-    told: int,
+    reported: int,
     now: float,
 ) -> list[Effect]:
-    """Note which incarnation of the store answered, up to the revision that it `told`.
+    """Note which incarnation of the store answered, up to the revision that it `reported`.
 
     The watches of the other collections are made anew if it is a newer one.
     """
-    incarnation = incarnation_of(told)
+    incarnation = incarnation_of(reported)
     former = state.store_record.incarnation
     if former is not None and incarnation <= former:
         return []
@@ -187,37 +187,37 @@
             collection=follower.collection.value,
             incarnation=incarnation,
             former_incarnation=former,
-            revision=shown(follower.revision),
+            revision=format_revision(follower.revision),
         ),
     ]
 
 
-def _take(
+def _apply(
     state: RoutingState,
     follower: Follower,
     stored: StoredObject,
     now: float,
 ) -> list[Effect]:
     if isinstance(stored.content, RoutingText):
-        return take_text(state, stored.content)
+        return apply_text(state, stored.content)
     if isinstance(stored.content, UpstreamEntry):
-        return take_entry(state, stored.content, now)
+        return apply_entry(state, stored.content, now)
     if isinstance(stored.content, Evacuation):
         return []
     if isinstance(stored.content, Unreadable):
-        return take_unreadable(state, stored.name, stored.revision, stored.content.problem)
+        return handle_unreadable(state, stored.name, stored.revision, stored.content.problem)
     if follower.collection is Collection.EVACUATIONS:
         return []
     if follower.collection is Collection.TEXT:
         removed = 'removed; the last text stays in force'
-        return take_unreadable(state, stored.name, stored.revision, removed)
-    return take_removal(state, stored.name, stored.revision, now)
+        return handle_unreadable(state, stored.name, stored.revision, removed)
+    return apply_removal(state, stored.name, stored.revision, now)
 
 
 def _remove_unlisted(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
     """Note the upstreams that a complete listing does not have.
 
-    One with objects whose names could not be read may have them.  What a peer told of
+    One with objects whose names could not be read may have them.  What a peer reported of
     meanwhile may be newer than the listing, so a removal counts from the listing's own
     revision.
     """
@@ -229,7 +229,7 @@
     for name in list(state.directory.by_name):
         if name in found:
             continue
-        effects.extend(take_removal(state, name, revision, now))
+        effects.extend(apply_removal(state, name, revision, now))
     return effects
 
 
--- a/src/bronzekeel/core/routing/store_calls.py
+++ b/src/bronzekeel/core/routing/store_calls.py
@@ -3,12 +3,12 @@
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import Effect, WriteLine
 from bronzekeel.core.routing.follower import Follower
-from bronzekeel.core.routing.revisions import shown
+from bronzekeel.core.routing.revisions import format_revision
 from bronzekeel.core.routing.sharing import is_long_behind
 from bronzekeel.core.routing.state import RoutingState
 
 
-def follow_on(state: RoutingState, now: float) -> list[Effect]:
+def make_due_calls(state: RoutingState, now: float) -> list[Effect]:
     """Make the calls to the store that are due."""
     effects: list[Effect] = []
     watches = state.is_watcher(now)
@@ -20,7 +20,7 @@
     return effects
 
 
-def go_on(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
+def continue_watch(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
     """Watch on, or leave that to others when enough of them do."""
     effect = follower.watch(now, stale=state.reads_stale(follower.collection, now))
     if state.is_watcher(now):
@@ -38,11 +38,11 @@
     behind: bool,
 ) -> list[Effect]:
     """Return the call that is due for one collection; leave it to others if they do it."""
-    if follower.is_doubtful(now):
-        return _doubt(state, follower, now)
-    if follower.has_rested(now) and (follower.is_current(now) or not watches):
-        return go_on(state, follower, now)
-    if not follower.is_due(now) and not follower.has_rested(now):
+    if follower.is_stalled(now):
+        return _restart_stalled_watch(state, follower, now)
+    if follower.is_delay_over(now) and (follower.is_current(now) or not watches):
+        return continue_watch(state, follower, now)
+    if not follower.is_due(now) and not follower.is_delay_over(now):
         return []
     if behind:
         return [follower.resume()]
@@ -52,11 +52,11 @@
     return []
 
 
-def _doubt(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
+def _restart_stalled_watch(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
     """Begin a watch anew that did not tell what a peer told."""
     line = WriteLine(
         LogNumber.WATCH_DOUBTED,
         collection=follower.collection.value,
-        revision=shown(follower.revision),
+        revision=format_revision(follower.revision),
     )
     return [line, follower.resume(stale=state.reads_stale(follower.collection, now))]
--- a/src/bronzekeel/core/routing/silence.py
+++ b/src/bronzekeel/core/routing/unresponsive.py
@@ -19,43 +19,45 @@
 #: Seconds within which this host must have been answered by some upstream to tell of others.  What
 #: goes wrong without it: a host whose own link is broken keeps all others from upstreams that are
 #: well.  Source: a host of the smallest share has a new flow each 0.3 s.
-HEARD_S = 1.0
+OWN_LINK_CHECK_S = 1.0
 
-#: Upstreams of which it is told at most, those that were silent last.  Source: at 15 bytes each
+#: Upstreams of which it is told at most, those that were unresponsive last.  Source: at 15 bytes each
 #: they are less than half of a heartbeat.
-MOST_SILENT = 12
+MAX_UNRESPONSIVE = 12
 
 #: Seconds for which an own answer is believed more than a neighbour's word.  Source: a neighbour
 #: tells what it found before its last heartbeat, which is a second old in a large data centre.
-ANSWERED_S = 1.0
+OWN_ANSWER_TRUSTED_S = 1.0
 
 
-def silent_upstreams(state: RoutingState, now: float) -> dict[int, int]:
-    """Return the upstreams that this host itself found silent, by short number.
+def unresponsive_upstreams(state: RoutingState, now: float) -> dict[int, int]:
+    """Return the upstreams that this host itself found unresponsive, by short number.
 
     It says how many opening packets in a row nobody answered, its own and those it was told of.
     What it was only told it does not tell on: two hosts would remind each other without end.
     """
-    if now >= state.flows.heard_at + HEARD_S:
+    if now >= state.flows.heard_at + OWN_LINK_CHECK_S:
         return {}
-    silent = [
-        (upstream.silent_until, number, upstream.unanswered)
+    unresponsive = [
+        (upstream.unresponsive_until, number, upstream.unanswered)
         for number, upstream in state.directory.by_number.items()
-        if now < upstream.silent_until
+        if now < upstream.unresponsive_until
     ]
-    silent.sort(reverse=True)
-    return {number: unanswered for _, number, unanswered in silent[:MOST_SILENT]}
+    unresponsive.sort(reverse=True)
+    return {number: unanswered for _, number, unanswered in unresponsive[:MAX_UNRESPONSIVE]}
 
 
-def take_silent(state: RoutingState, unanswered_by_number: Mapping[int, int], now: float) -> None:
-    """Give no new flows to the upstreams that a neighbour found silent, for a while.
+def apply_unresponsive(
+    state: RoutingState, unanswered_by_number: Mapping[int, int], now: float
+) -> None:
+    """Give no new flows to the upstreams that a neighbour found unresponsive, for a while.
 
     Its findings count as own ones, so each further one in the data centre makes the wait longer;
     word that is heard again changes nothing.
     """
     for number, unanswered in unanswered_by_number.items():
         upstream = state.directory.by_number.get(number)
-        if upstream is None or now < upstream.answered_at + ANSWERED_S:
+        if upstream is None or now < upstream.answered_at + OWN_ANSWER_TRUSTED_S:
             continue
         if unanswered > upstream.unanswered:
             upstream.unanswered = unanswered
--- a/src/bronzekeel/core/routing/waiting.py
+++ b/src/bronzekeel/core/routing/waiting.py
@@ -155,7 +155,7 @@
 
     def add(self, packet: FlowPacket, pool: Pool, route: Route, now: float) -> None:
         """Let the request that `packet` begins wait for room in `pool`."""
-        pool.enter(now)
+        pool.enqueue(now)
         if pool.callers is not None:
             pool.callers.note_short(now)
         until = now + wait_s(packet, pool, route, now)
@@ -178,7 +178,7 @@
     def end(self, request: WaitingRequest, now: float) -> None:
         """Let a request wait no longer."""
         request.ended = True
-        request.pool.leave(now)
+        request.pool.dequeue(now)
         request.pool.waiting_open -= not request.opens
         self._bytes -= request.size
         self._by_flow.pop(request.packets[0].flow)
--- a/src/bronzekeel/core/routing/watch_duty.py
+++ b/src/bronzekeel/core/routing/watcher_selection.py
@@ -14,52 +14,52 @@
 #: most.  Source: the store may be silent towards a third of all hosts; with nine, all of them
 #: are deaf in one of twenty thousand such faults.  Where the watchers of one data centre are,
 #: another data centre tells it (``RELAY_S``).
-ALL_WATCHERS = 9
-FEWEST_WATCHERS = 2
-WATCHERS = 3
+TOTAL_WATCHERS = 9
+MIN_WATCHERS_PER_CENTRE = 2
+MAX_WATCHERS_PER_CENTRE = 3
 
 #: Watchers, each of another data centre, that ask the store for its newest upstreams; all others
-#: may be told seconds late, at a tenth of the cost to the store.  Source: two of them are
+#: may be has_watcher seconds late, at a tenth of the cost to the store.  Source: two of them are
 #: seldom deaf or cut off together, and what they know reaches the others within two seconds.
 NEWEST_READERS = 2
 
 #: Balancers that watch where no other data centre is known: nobody tells deaf
 #: watchers there.  All but a third of the hosts must hear, and of many hosts one
-#: in ``HOSTS_A_WATCHER`` watches: with nine watchers, all are deaf in one of
+#: in ``HOSTS_PER_WATCHER`` watches: with nine watchers, all are deaf in one of
 #: twenty thousand such faults.
-LONE_WATCHERS = 4
-HOSTS_A_WATCHER = 3
+MIN_WATCHERS_SINGLE_CENTRE = 4
+HOSTS_PER_WATCHER = 3
 
 #: Balancers of a data centre that the store does not answer from which no further ones try.  What
 #: goes wrong without it: in an outage each takes the place of those before it, until all hosts
 #: of a large data centre call a store that is down.  Source: where the store is silent towards a
 #: third of the hosts, six that are all among them are one case in seven hundred; then another
 #: data centre tells what is new.
-MOST_LOST = 6
+MAX_LOST_WATCHERS = 6
 
 #: Intervals of heartbeats after which a silent host no longer counts as a watcher,
 #: or as one that would become it.  What goes wrong with more: all watchers of a
 #: large data centre are killed at once, and the others go by an old text until they
 #: count as dead.  Source: one heartbeat that is late; a lost one makes a host too
 #: many watch for a moment.
-SILENT_WATCHER_INTERVALS = 1.5
+WATCHER_TIMEOUT_INTERVALS = 1.5
 
 
 def watchers_needed(peers: PeerTable, now: float) -> int:
     """Return how many balancers of the data centre have to watch the store."""
-    elsewhere = len(peers.elsewhere_by_centre())
-    if elsewhere:
-        share = -(-ALL_WATCHERS // (elsewhere + 1))
-        return min(max(share, FEWEST_WATCHERS), WATCHERS)
-    hosts = len(peers.living(now)) + 1
-    return max(LONE_WATCHERS, -(-hosts // HOSTS_A_WATCHER))
+    remote_centres = len(peers.remote_by_centre())
+    if remote_centres:
+        share = -(-TOTAL_WATCHERS // (remote_centres + 1))
+        return min(max(share, MIN_WATCHERS_PER_CENTRE), MAX_WATCHERS_PER_CENTRE)
+    hosts = len(peers.live_neighbours(now)) + 1
+    return max(MIN_WATCHERS_SINGLE_CENTRE, -(-hosts // HOSTS_PER_WATCHER))
 
 
 def is_watcher(peers: PeerTable, now: float, *, direct: bool, lost: bool) -> bool:
     """Whether this balancer has to watch the store.
 
     Those whose watches work do, the first by their names' hashes.  While
-    they are too few, the first of the others try, until ``MOST_LOST`` have tried in
+    they are too few, the first of the others try, until ``MAX_LOST_WATCHERS`` have tried in
     vain; one that the store does not answer (`lost`) goes on trying and takes nobody's place.
     `direct` tells that our own watches work.
     """
@@ -67,8 +67,8 @@
     working = 0
     working_before = 0
     trying_before = 0
-    in_vain = 0
-    for peer in peers.living(now, SILENT_WATCHER_INTERVALS):
+    trying_in_vain = 0
+    for peer in peers.live_neighbours(now, WATCHER_TIMEOUT_INTERVALS):
         heartbeat = peer.heartbeat
         if heartbeat is None or heartbeat.stopping:
             continue
@@ -77,7 +77,7 @@
             working += 1
             working_before += before
         elif heartbeat.lost:
-            in_vain += 1
+            trying_in_vain += 1
         else:
             trying_before += before
     needed = watchers_needed(peers, now)
@@ -85,7 +85,7 @@
         return working_before < needed
     if lost:
         return working < needed
-    return in_vain < MOST_LOST and working + trying_before < needed
+    return trying_in_vain < MAX_LOST_WATCHERS and working + trying_before < needed
 
 
 def reads_newest(relays: Relays, now: float) -> bool:
@@ -100,12 +100,12 @@
     now: float,
 ) -> bool:
     """Whether a living watcher knows nothing newer than these revisions."""
-    told = False
-    for peer in peers.living(now, SILENT_WATCHER_INTERVALS):
+    has_watcher = False
+    for peer in peers.live_neighbours(now, WATCHER_TIMEOUT_INTERVALS):
         heartbeat = peer.heartbeat
         if heartbeat is None or not heartbeat.direct:
             continue
-        if heartbeat.knows_more(text_order, upstreams_revision):
+        if heartbeat.is_ahead_of(text_order, upstreams_revision):
             return False
-        told = True
-    return told
+        has_watcher = True
+    return has_watcher
--- a/src/bronzekeel/entry/decision_log.py
+++ b/src/bronzekeel/entry/decision_log.py
@@ -5,9 +5,9 @@
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.caller_shares import NO_LEVEL
 from bronzekeel.core.routing.decisions import Decision, DecisionLog
-from bronzekeel.core.routing.model import flow_text
+from bronzekeel.core.routing.model import format_flow
 from bronzekeel.core.routing.pools import Pool
-from bronzekeel.core.routing.revisions import shown
+from bronzekeel.core.routing.revisions import format_revision
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.entry.lines import LineLog
 
@@ -36,7 +36,7 @@
             return
         packet = decision.packet
         fields: dict[str, object] = {
-            'flow': flow_text(packet.flow),
+            'flow': format_flow(packet.flow),
             'by': decision.inputs,
             'copy': packet.copy,
             'generation': self._state.text.generation if self._state.text else 0,
@@ -44,7 +44,7 @@
         upstream = decision.upstream
         if upstream is not None:
             fields['upstream'] = upstream.entry.name
-            fields['revision'] = shown(upstream.entry.revision)
+            fields['revision'] = format_revision(upstream.entry.revision)
             fields['busy'] = upstream.busy_flows
             fields['open'] = upstream.open_flows
             fields['unanswered'] = upstream.unanswered
--- a/src/bronzekeel/entry/http_server.py
+++ b/src/bronzekeel/entry/http_server.py
@@ -18,7 +18,7 @@
 _CHUNK_BYTES = 4096
 
 #: Connections that are held at once.  Source: the fabric has one or two, and
-#: all peers of a data centre may ask at the same moment (``MOST_PEERS``).
+#: all peers of a data centre may ask at the same moment (``MAX_NEIGHBOURS``).
 _MOST_CONNECTIONS = 64
 
 
--- a/src/bronzekeel/entry/load_fields.py
+++ b/src/bronzekeel/entry/load_fields.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from bronzekeel.core.routing.field_checks import label
-from bronzekeel.core.routing.messages import Asked, Heartbeat
+from bronzekeel.core.routing.messages import Heartbeat, ServiceDemand
 
 
 #: Fields that list data centres.
@@ -23,10 +23,10 @@
 def encode_load(heartbeat: Heartbeat) -> dict[str, Any]:
     """Return the fields of a heartbeat that tell of load that moves."""
     fields: dict[str, Any] = {}
-    if heartbeat.asked_by_service is not None:
+    if heartbeat.demand_by_service is not None:
         fields['asked'] = [
-            (service, round(asked.rate), asked.lacking)
-            for service, asked in heartbeat.asked_by_service.items()
+            (service, round(asked.rate), asked.unserved)
+            for service, asked in heartbeat.demand_by_service.items()
         ]
     for name in _CENTRES:
         centres = getattr(heartbeat, name)
@@ -35,11 +35,11 @@
     return fields
 
 
-def decode_asked(listed: list[Any] | None) -> dict[str, Asked] | None:
+def decode_asked(listed: list[Any] | None) -> dict[str, ServiceDemand] | None:
     """Return what is asked by service, None if it was not told."""
     if listed is None:
         return None
-    return {str(service): _asked_in(rate, lacking) for service, rate, lacking in listed}
+    return {str(service): _asked_in(rate, unserved) for service, rate, unserved in listed}
 
 
 def decode_centres(name: str, listed: list[Any]) -> tuple[str, ...]:
@@ -49,8 +49,8 @@
     return tuple(label(name, centre) for centre in listed[:_MOST_CENTRES])
 
 
-def _asked_in(rate: Any, lacking: Any) -> Asked:
-    asked = Asked(float(rate), int(lacking))
-    if not 0 <= asked.rate <= _MOST_RATE or not 0 <= asked.lacking <= _MOST_RATE:
-        raise ValueError(f'{rate} and {lacking} are no figures to reckon with')
+def _asked_in(rate: Any, unserved: Any) -> ServiceDemand:
+    asked = ServiceDemand(float(rate), int(unserved))
+    if not 0 <= asked.rate <= _MOST_RATE or not 0 <= asked.unserved <= _MOST_RATE:
+        raise ValueError(f'{rate} and {unserved} are no figures to reckon with')
     return asked
--- a/src/bronzekeel/entry/metrics.py
+++ b/src/bronzekeel/entry/metrics.py
@@ -140,7 +140,7 @@
     """Return the allowances in force of this balancer, by service."""
     allowed_by_service: dict[str, float] = {}
     home = state.peers.me.data_centre
-    for pool in state.directory.pools_elsewhere(home).values():
+    for pool in state.directory.remote_pools(home).values():
         allowed = allowed_by_service.get(pool.service, 0) + pool.allowance
         allowed_by_service[pool.service] = round(allowed, 2)
     return allowed_by_service
@@ -155,10 +155,10 @@
         'store_incarnation': state.store_record.incarnation or 0,
         'generation': state.text.generation if state.text else 0,
         'routes': len(state.text.route_by_key) if state.text else 0,
-        'data_centres_evacuated': len(state.directory.closed_centres.names),
+        'data_centres_evacuated': len(state.directory.evacuated_centres.names),
         'upstreams_listed': state.directory.listed_count,
         'flows_remembered': len(state.flows),
-        'peers_living': len(state.peers.living(now)),
+        'peers_living': len(state.peers.live_neighbours(now)),
     }
 
 
--- a/src/bronzekeel/entry/packets.py
+++ b/src/bronzekeel/entry/packets.py
@@ -173,7 +173,7 @@
         path = self._path_by_key.get(key)
         if path is None or not path.flow.live:
             return False
-        if payload_bytes and not path.flow.busy and not path.pool.has_room:
+        if payload_bytes and not path.flow.busy and not path.pool.has_free_capacity:
             return False
         self._step(path.flow, now, sequence, acknowledged, payload_bytes > 0)
         self._kept += 1
--- a/src/bronzekeel/entry/peer_messages.py
+++ b/src/bronzekeel/entry/peer_messages.py
@@ -13,10 +13,10 @@
 
 from bronzekeel.core.routing.connection_ids import seal_of
 from bronzekeel.core.routing.field_checks import (
-    MOST_COLD_S,
-    MOST_SLOTS,
+    MAX_COLD_S,
+    MAX_SLOTS,
     address,
-    figure,
+    bounded_float,
     label,
     whole_number,
 )
@@ -142,7 +142,7 @@
             },
             callers_by_service=decode_callers(fields.get('callers', [])),
             counts=decode_counts(fields),
-            asked_by_service=decode_asked(fields.get('asked')),
+            demand_by_service=decode_asked(fields.get('asked')),
             hears=decode_centres('hears', fields.get('hears', [])),
             unheard=decode_centres('unheard', fields.get('unheard', [])),
             **flags,
@@ -343,13 +343,13 @@
     host, port = fields['address']
     return UpstreamEntry(
         name=label('name', fields['name']),
-        number=whole_number('number', fields['number'], most=_MOST_NUMBER),
+        number=whole_number('number', fields['number'], maximum=_MOST_NUMBER),
         service=label('service', fields['service']),
         address=address('address', host, port),
         data_centre=label('data_centre', fields['data_centre']),
-        slots=whole_number('slots', fields['slots'], 1, MOST_SLOTS),
+        slots=whole_number('slots', fields['slots'], 1, MAX_SLOTS),
         draining=bool(fields['draining']),
-        cold_s=figure('cold_s', fields['cold_s'], MOST_COLD_S),
+        cold_s=bounded_float('cold_s', fields['cold_s'], MAX_COLD_S),
         revision=decode_revision(*revision),
         started_ms=whole_number('started_ms', fields['started_ms']),
         usable=bool(fields['usable']),
--- a/src/bronzekeel/entry/peers.py
+++ b/src/bronzekeel/entry/peers.py
@@ -13,7 +13,7 @@
 
 from bronzekeel.core.routing.effects import FetchView, SendHeartbeat
 from bronzekeel.core.routing.events import Event, HeartbeatHeard, ViewFailed, ViewFetched
-from bronzekeel.core.routing.messages import Known, View
+from bronzekeel.core.routing.messages import KnownVersions, View
 from bronzekeel.core.routing.sharing import FETCH_S
 from bronzekeel.entry.http_client import Call, HttpConnection, Reply
 from bronzekeel.entry.http_server import (
@@ -52,7 +52,7 @@
 _MOST_DATAGRAM = 8192
 
 _Emit = Callable[[Event], None]
-_ViewSince = Callable[[Known], View]
+_ViewSince = Callable[[KnownVersions], View]
 _Fault = Callable[[str, bytes], None]
 
 
@@ -164,7 +164,7 @@
         revisions = target.removeprefix(_PATH).split('/')
         if len(revisions) != _REVISIONS or not all(map(_is_whole, revisions)):
             return Answer(BAD_REQUEST)
-        view = self._view_since(Known(*map(int, revisions)))
+        view = self._view_since(KnownVersions(*map(int, revisions)))
         return Answer(OK, packed(encode_view(view)))
 
 
@@ -172,6 +172,6 @@
     return text.isascii() and text.isdecimal() and len(text) <= _MOST_DIGITS
 
 
-def _target_of(known: Known) -> str:
+def _target_of(known: KnownVersions) -> str:
     revisions = (known.text_order, known.upstreams_revision, known.removals_revision)
     return _PATH + '/'.join(map(str, revisions))
--- a/src/bronzekeel/entry/revision_fields.py
+++ b/src/bronzekeel/entry/revision_fields.py
@@ -5,7 +5,7 @@
 
 from typing import Any
 
-from bronzekeel.core.routing.field_checks import MOST_INCARNATION, whole_number
+from bronzekeel.core.routing.field_checks import MAX_INCARNATION, whole_number
 from bronzekeel.core.routing.revisions import (
     generation_in,
     incarnation_of,
@@ -24,7 +24,7 @@
 def decode_revision(incarnation: Any, number: Any) -> int:
     """Return the revision that has these parts.  Raises FieldError."""
     return revision_of(
-        whole_number('incarnation', incarnation, most=MOST_INCARNATION),
+        whole_number('incarnation', incarnation, maximum=MAX_INCARNATION),
         whole_number('revision', number),
     )
 
--- a/src/bronzekeel/platform/entries.py
+++ b/src/bronzekeel/platform/entries.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from bronzekeel.core.routing.field_checks import (
-    MOST_COLD_S,
-    MOST_SLOTS,
+    MAX_COLD_S,
+    MAX_SLOTS,
     FieldError,
     address,
-    figure,
+    bounded_float,
     label,
     whole_number,
 )
@@ -43,9 +43,9 @@
         service=label('service', spec.get('service')),
         address=_address(spec.get('address')),
         data_centre=label('zone', spec.get('zone')),
-        slots=whole_number('capacity', spec.get('capacity'), 1, MOST_SLOTS),
+        slots=whole_number('capacity', spec.get('capacity'), 1, MAX_SLOTS),
         draining=_is_draining(spec.get('state')),
-        cold_s=figure('warmupLeftMs', spec.get('warmupLeftMs'), MOST_COLD_S * _MS) / _MS,
+        cold_s=bounded_float('warmupLeftMs', spec.get('warmupLeftMs'), MAX_COLD_S * _MS) / _MS,
         revision=revision,
         started_ms=whole_number('born', spec.get('born', 0)),
     )
--- a/src/bronzekeel/platform/incarnations.py
+++ b/src/bronzekeel/platform/incarnations.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from bronzekeel.core.routing.field_checks import MOST_INCARNATION, FieldError, whole_number
+from bronzekeel.core.routing.field_checks import MAX_INCARNATION, FieldError, whole_number
 from bronzekeel.platform.calls import INCARNATION_HEADER
 
 
@@ -15,4 +15,4 @@
     digits = told.strip()
     if not digits.isascii() or not digits.isdecimal():
         raise FieldError(INCARNATION_HEADER, told, 'a whole number')
-    return whole_number(INCARNATION_HEADER, int(digits), most=MOST_INCARNATION)
+    return whole_number(INCARNATION_HEADER, int(digits), maximum=MAX_INCARNATION)
--- a/src/bronzekeel/platform/objects.py
+++ b/src/bronzekeel/platform/objects.py
@@ -25,25 +25,23 @@
     StoredObject,
     Unreadable,
 )
+from bronzekeel.core.routing.field_checks import (
+    MAX_OBJECTIVE_S,
+    MAX_RATE,
+    bounded_float,
+    label,
+    whole_number,
+)
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.model import (
-    USUAL_TIMEOUT_S,
+    DEFAULT_TIMEOUT_S,
     Route,
     RoutingText,
     ServiceShare,
 )
-from bronzekeel.core.routing.field_checks import (
-    MOST_OBJECTIVE_S,
-    MOST_RATE,
-    figure,
-    label,
-    whole_number,
-)
 from bronzekeel.core.routing.revisions import number_of, revision_of
 from bronzekeel.entry.ports import NO_HEADERS, StoreCalls
 from bronzekeel.platform.bodies import BODY_FAULTS, decode_body
-from bronzekeel.platform.entries import read_entry
-from bronzekeel.platform.incarnations import incarnation_told
 from bronzekeel.platform.calls import (
     EVACUATIONS_KIND,
     TEXT_KIND,
@@ -52,6 +50,8 @@
     list_target,
     watch_target,
 )
+from bronzekeel.platform.entries import read_entry
+from bronzekeel.platform.incarnations import incarnation_told
 
 
 _KIND_BY_COLLECTION = MappingProxyType(
@@ -199,7 +199,9 @@
     `warmupPerS` is zero for a service that states none.
     """
     rates = {
-        label('name', item['name']): figure('warmupPerS', item.get('warmupPerS') or 0, MOST_RATE)
+        label('name', item['name']): bounded_float(
+            'warmupPerS', item.get('warmupPerS') or 0, MAX_RATE
+        )
         for item in services
     }
     return {service: rate for service, rate in rates.items() if rate > 0}
@@ -220,7 +222,7 @@
         shares,
         seal_of(key),
         int(item.get('priority') or 0),
-        timeout_ms / _MS if timeout_ms > 0 else USUAL_TIMEOUT_S,
+        timeout_ms / _MS if timeout_ms > 0 else DEFAULT_TIMEOUT_S,
         frozenset(label('allowedRegions', region) for region in item.get('allowedRegions') or ()),
         _objective_s(item),
     )
@@ -235,4 +237,4 @@
     if isinstance(found, bool) or not isinstance(found, int | float):
         return 0
     objective_s = found / _MS
-    return objective_s if 0 < objective_s <= MOST_OBJECTIVE_S else 0
+    return objective_s if 0 < objective_s <= MAX_OBJECTIVE_S else 0
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,10 +12,10 @@
 from bronzekeel.core.routing.overflow import claims_of, put_in_force, rooms_of
 from bronzekeel.core.routing.overload import OverloadWatch
 from bronzekeel.core.routing.pools import (
-    CALM_S,
-    LEAST_PATIENCE_S,
+    MIN_ANSWER_TIMEOUT_S,
     NO_LIMIT,
-    REQUESTS_A_SLOT,
+    QUEUE_GAP_S,
+    REQUESTS_PER_SLOT,
     Pool,
 )
 from bronzekeel.core.routing.reducer import reduce
@@ -75,7 +75,7 @@
         Cause: no limit before the first tick.
         """
         state = limited_state(entry(1))
-        self.assertEqual(3 * REQUESTS_A_SLOT, pool_of(state).limit)
+        self.assertEqual(3 * REQUESTS_PER_SLOT, pool_of(state).limit)
 
     def test_idle_pools_have_fresh_limits(self) -> None:
         """Symptom: after a quiet hour the first callers of a burst are refused.
@@ -86,7 +86,7 @@
         state = limited_state(entry(1))
         pool_of(state).limit = 1
         state.admission.reckon(2)
-        self.assertEqual(3 * REQUESTS_A_SLOT, pool_of(state).limit)
+        self.assertEqual(3 * REQUESTS_PER_SLOT, pool_of(state).limit)
 
     def test_flows_that_were_given_up_take_no_room(self) -> None:
         """Symptom: for half a second after a start callers wait while upstreams idle.
@@ -99,8 +99,8 @@
         chosen = steering(state)
         for number in range(6):
             chosen.decide(opening(number), 0)
-        self.assertFalse(pool_of(state).has_room)
-        state.flows.expire(15, LEAST_PATIENCE_S)
+        self.assertFalse(pool_of(state).has_free_capacity)
+        state.flows.expire(15, MIN_ANSWER_TIMEOUT_S)
         self.assertEqual(0, pool_of(state).busy)
         first = state.directory.by_name[entry(1).name]
         self.assertEqual(6, first.busy_flows)
@@ -115,7 +115,7 @@
         state = limited_state(entry(1), entry(2))
         chosen = steering(state)
         crashed = delivered_to(chosen.decide(opening(1), 0))
-        state.flows.expire(15, LEAST_PATIENCE_S)
+        state.flows.expire(15, MIN_ANSWER_TIMEOUT_S)
         names = {delivered_to(chosen.decide(opening(number), 0.06)) for number in range(2, 6)}
         self.assertNotIn(crashed, names)
         self.assertEqual(1, state.directory.by_name[crashed].unanswered)
@@ -125,7 +125,7 @@
         state = limited_state(entry(1), entry(2))
         chosen = steering(state)
         silent = delivered_to(chosen.decide(opening(1), 0))
-        state.flows.expire(15, LEAST_PATIENCE_S)
+        state.flows.expire(15, MIN_ANSWER_TIMEOUT_S)
         chosen.decide(opening(1, copy=1), 0.2)
         self.assertEqual(1, state.directory.by_name[silent].unanswered)
 
@@ -138,7 +138,7 @@
         state = limited_state(entry(1))
         pool = pool_of(state)
         for way_s in (0.1, 0.15) * 20:
-            pool.note_way(way_s)
+            pool.note_rtt(way_s)
         steering(state).decide(opening(1), 0)
         state.flows.expire(15, 0.15)
         self.assertEqual(0, state.directory.by_name[entry(1).name].unanswered)
@@ -150,8 +150,8 @@
         state = limited_state(entry(1))
         chosen = steering(state)
         given = id_given(chosen.decide(opening(1), 0))
-        state.flows.expire(15, LEAST_PATIENCE_S)
-        chosen.decide(asking(1, given), LEAST_PATIENCE_S)
+        state.flows.expire(15, MIN_ANSWER_TIMEOUT_S)
+        chosen.decide(asking(1, given), MIN_ANSWER_TIMEOUT_S)
         self.assertEqual(1, pool_of(state).busy)
         chosen.decide(acknowledging(1, given, 20), 1)
         self.assertEqual(0, pool_of(state).busy)
@@ -161,7 +161,7 @@
         cold = entry(2, cold_s=5)
         state = limited_state(entry(1), cold, entry(3, draining=True))
         self._use(state)
-        self.assertEqual((3 + 3 / 2) * REQUESTS_A_SLOT, pool_of(state).limit)
+        self.assertEqual((3 + 3 / 2) * REQUESTS_PER_SLOT, pool_of(state).limit)
 
     def test_requests_on_their_way_take_no_slot(self) -> None:
         """Symptom: callers far away are refused while upstreams are idle.
@@ -173,11 +173,11 @@
         self._use(state)
         pool = pool_of(state)
         for _ in range(50):
-            pool.note_way(0.1)
+            pool.note_rtt(0.1)
         for tick in range(1, 40):
             pool.answered += 10
             state.admission.reckon(tick / 10)
-        self.assertAlmostEqual(3 * REQUESTS_A_SLOT + 10, pool.limit, 1)
+        self.assertAlmostEqual(3 * REQUESTS_PER_SLOT + 10, pool.limit, 1)
 
     def test_silent_upstreams_do_not_fill_the_limit(self) -> None:
         """Symptom: callers wait while the slots of two thirds of the upstreams are free.
@@ -194,7 +194,7 @@
         other.busy_flows = 1
         pool.busy = 8
         state.admission.reckon(1)
-        self.assertEqual(3 * REQUESTS_A_SLOT + 7, pool.limit)
+        self.assertEqual(3 * REQUESTS_PER_SLOT + 7, pool.limit)
 
     def test_a_slow_upstream_does_not_fill_the_limit(self) -> None:
         """Symptom: callers wait for one upstream that is slow.
@@ -210,7 +210,7 @@
         pool_of(state).busy = 14
         state.admission.reckon(1)
         beyond = 12 - 2 * STUCK_FACTOR - STUCK_SLACK
-        self.assertEqual(6 * REQUESTS_A_SLOT + beyond, pool_of(state).limit)
+        self.assertEqual(6 * REQUESTS_PER_SLOT + beyond, pool_of(state).limit)
 
     def _use(self, state: RoutingState) -> None:
         """Let one request be in progress, and reckon."""
@@ -267,7 +267,7 @@
             self.chosen.decide(opening(number), now)
             resumed(self.chosen, now)
             number += 1
-            now += CALM_S / 2
+            now += QUEUE_GAP_S / 2
         self.chosen.decide(opening(number), now)
         outcomes = self._ends(now + MOST_OPENING_WAIT_S)
         self.assertIn('Reset overloaded', outcomes)
@@ -474,7 +474,7 @@
         """A peer that knows a service before this balancer does no harm."""
         state = limited_state(entry(1))
         put_in_force(state.directory, HOME, [Allowance(INTAKE, 'dc-b', 2)], {INTAKE: 1}, ())
-        self.assertEqual(3 * REQUESTS_A_SLOT, pool_of(state).limit)
+        self.assertEqual(3 * REQUESTS_PER_SLOT, pool_of(state).limit)
 
 
 class OverloadWatchTest(TestCase):
@@ -486,15 +486,15 @@
         watch = OverloadWatch()
         told: list[WriteLine] = []
         now: float = 0
-        pool.enter(now)
+        pool.enqueue(now)
         while now < OVERLOAD_S * 3:
             told.extend(watch.look([pool], now))
             pool.refused += 1
-            now += CALM_S
-        pool.leave(now)
+            now += QUEUE_GAP_S
+        pool.dequeue(now)
         told.extend(watch.look([pool], now))
-        told.extend(watch.look([pool], now + CALM_S))
-        told.extend(watch.look([pool], now + CALM_S * 2))
+        told.extend(watch.look([pool], now + QUEUE_GAP_S))
+        told.extend(watch.look([pool], now + QUEUE_GAP_S * 2))
         numbers = [line.number for line in told]
         self.assertEqual([LogNumber.OVERLOADED, LogNumber.OVERLOAD_ENDED], numbers)
         self.assertEqual(PORTAL, told[0].fields['service'])
@@ -504,7 +504,7 @@
         """Nothing is told of what is over before it counts."""
         pool = Pool(PORTAL, HOME)
         watch = OverloadWatch()
-        pool.enter(0)
+        pool.enqueue(0)
         self.assertEqual([], watch.look([pool], OVERLOAD_S / 2))
-        pool.leave(OVERLOAD_S / 2)
+        pool.dequeue(OVERLOAD_S / 2)
         self.assertEqual([], watch.look([pool], OVERLOAD_S * 2))
--- a/tests/test_caller_shares.py
+++ b/tests/test_caller_shares.py
@@ -31,7 +31,7 @@
 from bronzekeel.core.routing.effects import WriteLine
 from bronzekeel.core.routing.events import ChangesRead, HeartbeatHeard, StoredObject, Ticked
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.heartbeats import near_heartbeat
+from bronzekeel.core.routing.heartbeats import local_heartbeat
 from bronzekeel.core.routing.messages import Heartbeat, PeerAddress
 from bronzekeel.core.routing.model import Route
 from bronzekeel.core.routing.pools import Pool
@@ -174,19 +174,19 @@
     def test_nothing_is_told_while_nothing_is_short(self) -> None:
         """Guards against heartbeats that cost more on a quiet day."""
         state = _covered_state()
-        heartbeat = near_heartbeat(state, 0)
+        heartbeat = local_heartbeat(state, 0)
         self.assertEqual({}, heartbeat.callers_by_service)
         self.assertNotIn(b'callers', encode_heartbeat(heartbeat))
 
     def test_a_short_service_is_told_in_few_bytes(self) -> None:
         """Guards against heartbeats that grow with the callers."""
         state = _covered_state()
-        quiet = len(encode_heartbeat(near_heartbeat(state, 0)))
+        quiet = len(encode_heartbeat(local_heartbeat(state, 0)))
         shares = _shares_of(state)
         shares.note_short(0)
         for number in range(1000):
             shares.note(flow(number), 0, given=True)
-        raw = encode_heartbeat(near_heartbeat(state, 0))
+        raw = encode_heartbeat(local_heartbeat(state, 0))
         self.assertLess(len(raw) - quiet, 90)
         word = decode_heartbeat(raw).callers_by_service[PORTAL]
         self.assertEqual((True, 1000, MOST_TOLD), (word.short, word.given, len(word.heaviest)))
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -8,7 +8,7 @@
 from bronzekeel.core.routing.eligibility import Eligibility
 from bronzekeel.core.routing.events import ChangesRead, StoredObject
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.messages import Heartbeat, Known, PeerAddress
+from bronzekeel.core.routing.messages import Heartbeat, KnownVersions, PeerAddress
 from bronzekeel.core.routing.model import RoutingText, Upstream
 from bronzekeel.core.routing.peers import PeerTable
 from bronzekeel.core.routing.reducer import reduce
@@ -188,7 +188,7 @@
         bound = route(PORTAL_KEY, PORTAL)
         bound.homes = frozenset(('north', 'south'))
         _put(state, RoutingText(9, 9, {bound.key: bound}, 15, {PORTAL: 2.5}))
-        told = decode_view(encode_view(view_since(state, Known(0, 0, 0), 1))).text
+        told = decode_view(encode_view(view_since(state, KnownVersions(0, 0, 0), 1))).text
         self.assertIsNotNone(told)
         if told is not None:
             self.assertEqual({PORTAL: 2.5}, told.cold_rate_by_service)
--- a/tests/test_demand_control.py
+++ b/tests/test_demand_control.py
@@ -8,9 +8,9 @@
     DemandControl,
     DemandControlMode,
 )
+from bronzekeel.core.routing.messages import View
 from bronzekeel.core.routing.model import Route, RoutingText, ServiceShare
 from bronzekeel.entry.peer_messages import decode_view, encode_view
-from bronzekeel.core.routing.messages import View
 
 
 _KEY = bytes((198, 18, 0, 1, 1, 187))
@@ -60,4 +60,4 @@
         text = _text(_route(_KEY, 0.552, 'portal'), _route(_OTHER_KEY, 0.7, 'archive'))
         told = decode_view(encode_view(View(text, 1, [], [], 1))).text
         assert told is not None
-        self.assertEqual(0.552, told.least_objective_s)
+        self.assertEqual(0.552, told.min_objective_s)
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -361,7 +361,7 @@
         await until(lambda: balancer.state.ready)
         balancer.loop.call_at(0, lambda: setattr(balancer.state, 'admission', _Full(balancer)))
         await until(lambda: isinstance(balancer.state.admission, _Full))
-        await until(lambda: not balancer.state.directory.pools_of('dc-a')[0].has_room)
+        await until(lambda: not balancer.state.directory.pools_of('dc-a')[0].has_free_capacity)
         await around.send(opening_from(around.caller), balancer)
         refusal = await around.taken(around.caller)
         self.assertEqual(_RESET, refusal[22])
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -19,7 +19,7 @@
     Unreadable,
 )
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.heartbeats import MOST_EVACUATED, near_heartbeat
+from bronzekeel.core.routing.heartbeats import MAX_EVACUATED, local_heartbeat
 from bronzekeel.core.routing.messages import Evacuated, Heartbeat, PeerAddress
 from bronzekeel.core.routing.pools import NO_LIMIT
 from bronzekeel.core.routing.reducer import reduce
@@ -111,7 +111,7 @@
         listed = StoredObject('i-00000009', 60, entry(9, revision=60, data_centre='dc-c'))
         reduce(self.state, ChangesRead(Collection.UPSTREAMS, [listed], 60), 1)
         upstream = self.state.directory.by_name['i-00000009']
-        self.assertFalse(upstream.takes_flows(1))
+        self.assertFalse(upstream.accepts_flows(1))
 
     def test_a_repeat_is_not_sent_to_an_evacuated_data_centre(self) -> None:
         """Symptom: opening packets reach a data centre long after its evacuation.
@@ -305,7 +305,7 @@
     @rule(teller=_HOST, host=_HOST)
     def tell(self, teller: int, host: int) -> None:
         """Let a host hear another, and keep the word for later."""
-        heartbeat = near_heartbeat(self.states[teller], 1)
+        heartbeat = local_heartbeat(self.states[teller], 1)
         self.kept_heartbeats.append(heartbeat)
         reduce(self.states[host], HeartbeatHeard(heartbeat), 1)
 
@@ -433,7 +433,7 @@
         """What is told is what is known."""
         state = ready_state(entry(1))
         _change(state, 50, HOME)
-        back = decode_heartbeat(encode_heartbeat(near_heartbeat(state, 1)))
+        back = decode_heartbeat(encode_heartbeat(local_heartbeat(state, 1)))
         self.assertEqual((50, {HOME}), (back.evacuated.as_of, back.evacuated.centres))
 
     def test_thousands_of_names_stay_out_of_heartbeats(self) -> None:
@@ -444,9 +444,9 @@
         """
         state = ready_state(entry(1))
         _change(state, 50, HOME)
-        for number in range(MOST_EVACUATED * 2):
+        for number in range(MAX_EVACUATED * 2):
             _change(state, 51 + number, f'nowhere-{number}')
-        told = near_heartbeat(state, 1).evacuated
+        told = local_heartbeat(state, 1).evacuated
         self.assertEqual({HOME}, told.centres)
 
     def test_a_heartbeat_with_a_wrong_revision_is_unreadable(self) -> None:
@@ -455,7 +455,7 @@
         Sequence: a peer of another version tells a revision that is no number.
         Cause: it is newer than every other.
         """
-        raw = encode_heartbeat(near_heartbeat(ready_state(entry(1)), 1))
+        raw = encode_heartbeat(local_heartbeat(ready_state(entry(1)), 1))
         broken = raw.replace(b'"evacuated":[[0,0],', b'"evacuated":[[0,1e400],')
         self.assertNotEqual(raw, broken)
         with self.assertRaises(MessageError):
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -3,7 +3,7 @@
 from unittest import TestCase
 
 from bronzekeel.core.log_numbers import LogNumber
-from bronzekeel.core.routing.directory import REMEMBERED_S, RETURN_GRACE_S, Directory
+from bronzekeel.core.routing.directory import RETENTION_S, RETURN_GRACE_S, Directory
 from bronzekeel.core.routing.effects import Effect, ReadPage, WatchChanges, WriteLine
 from bronzekeel.core.routing.events import (
     CallFailed,
@@ -20,7 +20,7 @@
     ViewFetched,
 )
 from bronzekeel.core.routing.follower import LISTEN_S, Collection, Follower
-from bronzekeel.core.routing.messages import Known, View
+from bronzekeel.core.routing.messages import KnownVersions, View
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.state import RoutingState
@@ -143,7 +143,7 @@
     def _ask(self, asker: RoutingState, teller: RoutingState) -> None:
         """Let a host take what another has beyond its own newest revision."""
         revision = asker.directory.newest_revision
-        known = Known(asker.text_order, revision, revision)
+        known = KnownVersions(asker.text_order, revision, revision)
         reduce(asker, ViewFetched(('b1', 9), view_since(teller, known, 1)), 1)
 
 
@@ -277,7 +277,7 @@
         Cause: waiting for every lapsed entry to come back.
         """
         directory = Directory()
-        directory.take(entry(1), 0)
+        directory.apply(entry(1), 0)
         missed = directory.note_removed(entry(1).name, 9, 5)
         if missed is None:
             self.fail('not missed')
@@ -290,21 +290,21 @@
         Cause: taking entries in the order in which they arrive.
         """
         directory = Directory()
-        directory.take(entry(1, revision=5), 0)
+        directory.apply(entry(1, revision=5), 0)
         directory.note_removed(entry(1).name, 9, 1)
-        self.assertFalse(directory.take(entry(1, revision=5), 2))
+        self.assertFalse(directory.apply(entry(1, revision=5), 2))
         self.assertFalse(directory.by_name[entry(1).name].listed)
-        self.assertTrue(directory.take(entry(1, revision=12), 3))
+        self.assertTrue(directory.apply(entry(1, revision=12), 3))
         self.assertTrue(directory.by_name[entry(1).name].listed)
 
     def test_upstreams_long_gone_are_forgotten(self) -> None:
         """What is gone costs no memory for ever."""
         directory = Directory()
-        directory.take(entry(1), 0)
+        directory.apply(entry(1), 0)
         directory.note_removed(entry(1).name, 9, 1)
-        directory.forget_old(REMEMBERED_S)
+        directory.forget_old(RETENTION_S)
         self.assertIn(entry(1).name, directory.by_name)
-        directory.forget_old(REMEMBERED_S + 1)
+        directory.forget_old(RETENTION_S + 1)
         self.assertEqual({}, directory.by_name)
         self.assertEqual({}, directory.by_number)
         self.assertEqual([], directory.of_service(PORTAL))
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -11,10 +11,16 @@
 
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import WriteLine
-from bronzekeel.core.routing.events import ChangesRead, Event, PageRead, StoredObject, Unreadable
-from bronzekeel.core.routing.events import ViewFetched
+from bronzekeel.core.routing.events import (
+    ChangesRead,
+    Event,
+    PageRead,
+    StoredObject,
+    Unreadable,
+    ViewFetched,
+)
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.messages import Known
+from bronzekeel.core.routing.messages import KnownVersions
 from bronzekeel.core.routing.model import UpstreamEntry
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.sharing import view_since
@@ -224,7 +230,7 @@
         reduce(fresh, page(Collection.EVACUATIONS), 1)
         bad = StoredObject(entry(1).name, 60, Unreadable('bytes'))
         reduce(fresh, PageRead(Collection.UPSTREAMS, [bad], 60, more=False), 1)
-        view = decode_view(encode_view(view_since(known, Known(1, 60, 0), 1)))
+        view = decode_view(encode_view(view_since(known, KnownVersions(1, 60, 0), 1)))
         reduce(fresh, ViewFetched(('p', 9), view), 1)
         steers = steering(fresh)
         self.assertEqual(entry(1).name, delivered_to(steers.decide(asking(1, given), 1)))
--- a/tests/test_learned_capacity.py
+++ b/tests/test_learned_capacity.py
@@ -190,7 +190,7 @@
         self.answers: list[_SentRequest] = []
         self.lines: Counter[LogNumber] = Counter()
         for number in range(1, upstreams + 1):
-            self.directory.remember(entry(number, slots=2), 0)
+            self.directory.add_unlisted(entry(number, slots=2), 0)
         for upstream in self.upstreams:
             upstream.pool.controlled = True
 
@@ -446,7 +446,7 @@
     def setUp(self) -> None:
         """Let a host hear of one upstream."""
         self.directory = Directory()
-        self.directory.remember(entry(1), 0)
+        self.directory.add_unlisted(entry(1), 0)
         self.upstream = self.directory.of_service(PORTAL)[0]
         self.upstream.pool.controlled = True
         self.host = Capacities()
@@ -501,7 +501,7 @@
         hosts.directory.forget_old(hosts.now + 100)
         restarted = entry(1, slots=2)
         restarted.started_ms = 77
-        hosts.directory.remember(restarted, 0)
+        hosts.directory.add_unlisted(restarted, 0)
         hosts.free_at_by_name.clear()
         hosts.answers.clear()
         hosts.run(0.5)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -134,18 +134,18 @@
         Cause: looking only at the upstreams that peers tell of now.
         """
         directory = Directory()
-        directory.take(entry(1), 0)
+        directory.apply(entry(1), 0)
         shared = SharedLoads()
         shared.note(directory, {entry(1).short_number: 6})
-        self.assertEqual(6, directory.by_name[entry(1).name].busy_elsewhere)
+        self.assertEqual(6, directory.by_name[entry(1).name].busy_at_peers)
         shared.note(directory, {})
-        self.assertEqual(0, directory.by_name[entry(1).name].busy_elsewhere)
+        self.assertEqual(0, directory.by_name[entry(1).name].busy_at_peers)
         self.assertEqual(0, directory.by_name[entry(1).name].shared_load)
 
     def _loads(self, busy_by_number: dict[int, int]) -> list[float]:
         directory = Directory()
         for number in busy_by_number:
-            directory.take(entry(number), 0)
+            directory.apply(entry(number), 0)
         by_short = {entry(number).short_number: busy for number, busy in busy_by_number.items()}
         SharedLoads().note(directory, by_short)
         alone = load_of(directory.by_name[entry(1).name], 1) - 1 / 3
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -38,7 +38,7 @@
     Evacuated,
     FlowShare,
     Heartbeat,
-    Known,
+    KnownVersions,
     MissingEntry,
     PeerAddress,
     View,
@@ -364,7 +364,7 @@
         self.assertIsNone(back.shares)
         state = ready_state(entry(1), entry(2))
         state.directory.note_removed(entry(2).name, 40, 0)
-        view = decode_view(encode_view(view_since(state, Known(0, 0, 0), 0)))
+        view = decode_view(encode_view(view_since(state, KnownVersions(0, 0, 0), 0)))
         self.assertEqual([entry(1).address], [told.address for told in view.entries])
         self.assertEqual(
             [(entry(2).name, 40)], [(gone.entry.name, gone.revision) for gone in view.missing]
--- a/tests/test_pool_members.py
+++ b/tests/test_pool_members.py
@@ -9,7 +9,7 @@
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.events import HeartbeatHeard, Ticked
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.messages import Asked, Evacuated, Heartbeat, PeerAddress
+from bronzekeel.core.routing.messages import Evacuated, Heartbeat, PeerAddress, ServiceDemand
 from bronzekeel.core.routing.model import Upstream
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.shared_load import OUTLIER_FACTOR, OUTLIER_SLACK, SharedLoads
@@ -31,7 +31,7 @@
         self.directory = Directory()
         self.revision = _UPSTREAMS
         for number in range(1, _UPSTREAMS + 1):
-            self.directory.take(entry(number, data_centre=_CENTRES[number % 2]), 0)
+            self.directory.apply(entry(number, data_centre=_CENTRES[number % 2]), 0)
 
     def test_capacity_matches_full_scan_after_each_change(self) -> None:
         """Guards against sharing out flows by the capacity of upstreams that have left."""
@@ -78,7 +78,7 @@
         centre = _CENTRES[number % 2]
         draining = self.random.choice((True, False, False))
         taken = entry(number, revision=self.revision, data_centre=centre, draining=draining)
-        self.directory.take(taken, step)
+        self.directory.apply(taken, step)
 
     def _withhold_entry(self, step: int) -> None:
         self.directory.withhold(self._random_name(), self.revision)
@@ -89,14 +89,14 @@
 
     def _evacuate_centres(self, step: int) -> None:
         closed = frozenset(self.random.sample(_CENTRES, self.random.randint(0, 2)))
-        self.directory.closed_centres.take(Evacuated(self.revision, closed), step)
-        self.directory.close_pools()
+        self.directory.evacuated_centres.apply(Evacuated(self.revision, closed), step)
+        self.directory.update_evacuated_pools()
 
     def _restart_upstream(self, step: int) -> None:
         number = self.random.randint(1, _UPSTREAMS)
         restarted = entry(number, revision=self.revision, data_centre=_CENTRES[step % 2], slots=2)
         restarted.started_ms = step + 1
-        self.directory.take(restarted, step)
+        self.directory.apply(restarted, step)
 
     def _random_name(self) -> str:
         return entry(self.random.randint(1, _UPSTREAMS)).name
@@ -110,7 +110,7 @@
         random = Random(2)
         directory = Directory()
         for number in range(1, _UPSTREAMS + 1):
-            directory.take(entry(number), 0)
+            directory.apply(entry(number), 0)
         upstreams = directory.of_service(PORTAL)
         loads = SharedLoads()
         for step in range(_STEPS):
@@ -129,7 +129,7 @@
     """Return the capacity for new flows by data centre, from a scan of all upstreams."""
     capacity_by_centre: dict[str, float] = {}
     for upstream in upstreams:
-        if upstream.listed and upstream.entry.takes_flows and not upstream.pool.evacuated:
+        if upstream.listed and upstream.entry.accepts_flows and not upstream.pool.evacuated:
             centre = upstream.entry.data_centre
             capacity_by_centre[centre] = capacity_by_centre.get(centre, 0) + upstream.capacity
     return capacity_by_centre
@@ -141,9 +141,9 @@
     others = sum(other.capacity for other in listed) - upstream.capacity
     if others <= 0:
         return 0
-    busy = sum(other.busy_elsewhere for other in listed) - upstream.busy_elsewhere
+    busy = sum(other.busy_at_peers for other in listed) - upstream.busy_at_peers
     usual = busy / others
-    load = upstream.busy_elsewhere / upstream.capacity
+    load = upstream.busy_at_peers / upstream.capacity
     return max(0, load - usual * OUTLIER_FACTOR - OUTLIER_SLACK)
 
 
@@ -159,9 +159,9 @@
 
 def _hear_heartbeat_and_tick(state: RoutingState, peer: PeerAddress, now: float) -> None:
     """Pass a heartbeat of a peer and a tick to the reducer."""
-    asked = {PORTAL: Asked(10, 0)}
+    asked = {PORTAL: ServiceDemand(10, 0)}
     loads = {PORTAL: 0.5}
     heartbeat = Heartbeat(peer, 1, 1, {}, (), {PORTAL: 10.0}, load_by_service=loads)
-    heartbeat.asked_by_service = asked
+    heartbeat.demand_by_service = asked
     reduce(state, HeartbeatHeard(heartbeat), now)
     reduce(state, Ticked(), now)
--- a/tests/test_restarted_upstreams.py
+++ b/tests/test_restarted_upstreams.py
@@ -4,11 +4,11 @@
 from unittest import TestCase
 
 from bronzekeel.core.log_numbers import LogNumber
-from bronzekeel.core.routing.directory import OLDER_START_S
+from bronzekeel.core.routing.directory import OLDER_START_CONFIRM_S
 from bronzekeel.core.routing.effects import WriteLine
 from bronzekeel.core.routing.events import ChangesRead, StoredObject, Ticked, ViewFetched
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.messages import Known, View
+from bronzekeel.core.routing.messages import KnownVersions, View
 from bronzekeel.core.routing.model import UpstreamEntry
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.sharing import view_since
@@ -140,9 +140,9 @@
         _tell(state, _started(_FIRST_MS, 60), 1)
         self.assertIs(known, state.directory.by_name[_NAME])
         _tell(state, _started(_SECOND_MS, 61, port=81), 1.8)
-        reduce(state, Ticked(), 1 + OLDER_START_S)
+        reduce(state, Ticked(), 1 + OLDER_START_CONFIRM_S)
         self.assertEqual(81, state.directory.by_name[_NAME].entry.address[1])
-        self.assertEqual([], state.directory.doubted_entries)
+        self.assertEqual([], state.directory.unconfirmed_entries)
 
     def test_a_start_by_a_clock_that_was_set_back(self) -> None:
         """Symptom: an upstream is sent to its former address for as long as it lives.
@@ -152,15 +152,15 @@
         """
         state = ready_state(_started(_SECOND_MS, 50))
         _tell(state, _started(_FIRST_MS, 60, port=81), 1)
-        reduce(state, Ticked(), 1 + OLDER_START_S / 2)
+        reduce(state, Ticked(), 1 + OLDER_START_CONFIRM_S / 2)
         self.assertEqual(80, state.directory.by_name[_NAME].entry.address[1])
-        reduce(state, Ticked(), 1 + OLDER_START_S)
+        reduce(state, Ticked(), 1 + OLDER_START_CONFIRM_S)
         self.assertEqual(81, state.directory.by_name[_NAME].entry.address[1])
 
     def test_a_peer_that_still_knows_the_former_start(self) -> None:
         """A view is ordered by the store's revisions, as everything is."""
         old = ready_state(_started(_FIRST_MS, 1))
-        view = decode_view(encode_view(view_since(old, Known(0, 0, 0), 1)))
+        view = decode_view(encode_view(view_since(old, KnownVersions(0, 0, 0), 1)))
         state = ready_state(_started(_SECOND_MS, 50, port=81))
         reduce(state, ViewFetched(_PEER, view), 1)
         self.assertEqual(81, state.directory.by_name[_NAME].entry.address[1])
@@ -175,10 +175,10 @@
         watcher = ready_state(_started(_SECOND_MS, 50))
         _tell(watcher, _started(_FIRST_MS, 60, port=81), 1)
         peer = ready_state(_started(_SECOND_MS, 50))
-        view = decode_view(encode_view(view_since(watcher, Known(1, 50, 50), 1)))
+        view = decode_view(encode_view(view_since(watcher, KnownVersions(1, 50, 50), 1)))
         reduce(peer, ViewFetched(_PEER, view), 1.1)
         for state in (watcher, peer):
-            reduce(state, Ticked(), 1.1 + OLDER_START_S)
+            reduce(state, Ticked(), 1.1 + OLDER_START_CONFIRM_S)
             self.assertEqual(81, state.directory.by_name[_NAME].entry.address[1])
 
     def test_a_late_removal_of_the_former_start(self) -> None:
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -3,9 +3,9 @@
 from unittest import TestCase
 
 from bronzekeel.core.log_numbers import LogNumber
-from bronzekeel.core.routing.closed_centres import COPY_DOUBTED_S
 from bronzekeel.core.routing.directory import RETURN_GRACE_S
 from bronzekeel.core.routing.effects import Effect, ReadPage, WatchChanges, WriteLine
+from bronzekeel.core.routing.evacuated_centres import RESTORE_CONFIRM_S
 from bronzekeel.core.routing.events import (
     ChangesRead,
     Evacuation,
@@ -18,7 +18,7 @@
     ViewFetched,
 )
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.messages import Evacuated, Heartbeat, Known, PeerAddress
+from bronzekeel.core.routing.messages import Evacuated, Heartbeat, KnownVersions, PeerAddress
 from bronzekeel.core.routing.model import RoutingText, UpstreamEntry
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.revisions import revision_of
@@ -364,7 +364,7 @@
         reduce(teller, page(Collection.TEXT, text(revision_of(_SECOND, 3))), 0)
         reduce(teller, page_of_copy(1, 4), 0)
         asker = known_state(1, 2)
-        known = Known(asker.text_order, asker.directory.newest_revision, 0)
+        known = KnownVersions(asker.text_order, asker.directory.newest_revision, 0)
         reduce(asker, ViewFetched(('b1', 9), view_since(teller, known, 1)), 1)
         listed = {name for name, upstream in asker.directory.by_name.items() if upstream.listed}
         self.assertEqual({entry(1).name, entry(4).name}, listed)
@@ -373,9 +373,9 @@
     def test_what_is_still_listed_is_not_taken_for_lost(self) -> None:
         """An entry that the teller goes by from before the restore is told with the others."""
         teller = known_state(1, 2)
-        teller.directory.account_for(revision_of(_SECOND, 9))
+        teller.directory.advance_revision(revision_of(_SECOND, 9))
         asker = known_state(1, 2)
-        known = Known(asker.text_order, asker.directory.newest_revision, 0)
+        known = KnownVersions(asker.text_order, asker.directory.newest_revision, 0)
         reduce(asker, ViewFetched(('b1', 9), view_since(teller, known, 1)), 1)
         self.assertEqual(2, asker.directory.listed_count)
 
@@ -391,17 +391,19 @@
         """
         state = leaving_state()
         relist(state, 2)
-        self.assertFalse(state.directory.by_name[entry(2).name].takes_flows(2))
-        for tick in range(1, 10 * int(COPY_DOUBTED_S)):
+        self.assertFalse(state.directory.by_name[entry(2).name].accepts_flows(2))
+        for tick in range(1, 10 * int(RESTORE_CONFIRM_S)):
             reduce(state, Ticked(), 2 + tick / 10)
-        self.assertFalse(state.directory.by_name[entry(2).name].takes_flows(2 + COPY_DOUBTED_S / 2))
+        self.assertFalse(
+            state.directory.by_name[entry(2).name].accepts_flows(2 + RESTORE_CONFIRM_S / 2)
+        )
 
     def test_what_a_copy_says_for_long_is_believed(self) -> None:
         """The upstream goes on after all: its entry stands as the copy has it."""
         state = leaving_state()
         relist(state, 2)
-        reduce(state, Ticked(), 2 + COPY_DOUBTED_S)
-        self.assertTrue(state.directory.by_name[entry(2).name].takes_flows(2 + COPY_DOUBTED_S))
+        reduce(state, Ticked(), 2 + RESTORE_CONFIRM_S)
+        self.assertTrue(state.directory.by_name[entry(2).name].accepts_flows(2 + RESTORE_CONFIRM_S))
 
     def test_what_is_written_since_is_believed_at_once(self) -> None:
         """The upstream writes that it is ready after the restore."""
@@ -410,7 +412,7 @@
         told = revision_of(_SECOND, 12)
         ready = StoredObject(entry(2).name, told, entry(2, revision=told))
         reduce(state, ChangesRead(Collection.UPSTREAMS, [ready], told), 2.5)
-        self.assertTrue(state.directory.by_name[entry(2).name].takes_flows(2.5))
+        self.assertTrue(state.directory.by_name[entry(2).name].accepts_flows(2.5))
 
     def test_a_second_copy_takes_no_leaving_back_either(self) -> None:
         """The store came back twice within seconds, both times from before the leaving."""
@@ -420,10 +422,10 @@
         ready = entry(2, revision=told)
         state.follower_by_collection[Collection.UPSTREAMS].begin_listing()
         reduce(state, page(Collection.UPSTREAMS, ready), 3)
-        self.assertFalse(state.directory.by_name[entry(2).name].takes_flows(3))
-        reduce(state, Ticked(), 2.1 + COPY_DOUBTED_S)
+        self.assertFalse(state.directory.by_name[entry(2).name].accepts_flows(3))
+        reduce(state, Ticked(), 2.1 + RESTORE_CONFIRM_S)
         leaving = state.directory.by_name[entry(2).name]
-        self.assertFalse(leaving.takes_flows(2.1 + COPY_DOUBTED_S))
+        self.assertFalse(leaving.accepts_flows(2.1 + RESTORE_CONFIRM_S))
 
     def test_a_former_start_in_a_copy_is_believed_late(self) -> None:
         """All that was known of an upstream's newest start was dropped for that of a dead one.
@@ -439,7 +441,7 @@
         state.follower_by_collection[Collection.UPSTREAMS].begin_listing()
         former = started_entry(7, revision_of(_SECOND, 5), 1000)
         reduce(state, page(Collection.UPSTREAMS, entry(1, revision=former.revision), former), 2)
-        for wait_s, start_ms in ((COPY_DOUBTED_S - 0.5, 2000), (COPY_DOUBTED_S, 1000)):
+        for wait_s, start_ms in ((RESTORE_CONFIRM_S - 0.5, 2000), (RESTORE_CONFIRM_S, 1000)):
             reduce(state, Ticked(), 2 + wait_s)
             known = state.directory.by_name[newest.name].entry
             self.assertEqual(start_ms, known.started_ms)
@@ -459,20 +461,20 @@
         removed = StoredObject(entry(2).name, revision_of(_FIRST, 11), None)
         reduce(state, ChangesRead(Collection.UPSTREAMS, [removed], removed.revision), 1.5)
         relist(state, 2)
-        self.assertTrue(state.directory.by_name[entry(2).name].takes_flows(2))
+        self.assertTrue(state.directory.by_name[entry(2).name].accepts_flows(2))
 
     def test_peers_hear_of_what_is_not_believed_yet(self) -> None:
         """A host that hears the copy's word from a peer believes it no sooner."""
         teller = leaving_state()
         relist(teller, 2)
         asker = leaving_state()
-        known = Known(asker.text_order, asker.directory.newest_revision, 0)
+        known = KnownVersions(asker.text_order, asker.directory.newest_revision, 0)
         reduce(asker, ViewFetched(('b1', 9), view_since(teller, known, 2)), 2)
         leaving = asker.directory.by_name[entry(2).name]
         self.assertTrue(leaving.listed)
-        self.assertFalse(leaving.takes_flows(2))
-        reduce(asker, Ticked(), 2 + COPY_DOUBTED_S)
-        self.assertTrue(leaving.takes_flows(2 + COPY_DOUBTED_S))
+        self.assertFalse(leaving.accepts_flows(2))
+        reduce(asker, Ticked(), 2 + RESTORE_CONFIRM_S)
+        self.assertTrue(leaving.accepts_flows(2 + RESTORE_CONFIRM_S))
 
 
 def started_entry(number: int, revision: int, started_ms: int) -> UpstreamEntry:
@@ -507,16 +509,16 @@
         """
         state = evacuated_state()
         relist_evacuations(state, 2)
-        self.assertFalse(takes_flows(state, 2))
-        reduce(state, Ticked(), 2 + COPY_DOUBTED_S / 2)
-        self.assertFalse(takes_flows(state, 2 + COPY_DOUBTED_S / 2))
+        self.assertFalse(accepts_flows(state, 2))
+        reduce(state, Ticked(), 2 + RESTORE_CONFIRM_S / 2)
+        self.assertFalse(accepts_flows(state, 2 + RESTORE_CONFIRM_S / 2))
 
     def test_one_that_is_not_written_again_ends(self) -> None:
         """The operators had taken it back meanwhile, which a restored store has no word of."""
         state = evacuated_state()
         relist_evacuations(state, 2)
-        told = reduce(state, Ticked(), 2 + COPY_DOUBTED_S)
-        self.assertTrue(takes_flows(state, 2 + COPY_DOUBTED_S))
+        told = reduce(state, Ticked(), 2 + RESTORE_CONFIRM_S)
+        self.assertTrue(accepts_flows(state, 2 + RESTORE_CONFIRM_S))
         self.assertEqual(1, len(lines_of(told, LogNumber.TAKEN_BACK)))
 
     def test_one_that_is_written_again_stands_on(self) -> None:
@@ -527,12 +529,14 @@
         written = StoredObject(HOME, told, Evacuation())
         effects = reduce(state, ChangesRead(Collection.EVACUATIONS, [written], told), 2.5)
         self.assertEqual([], lines_of(effects, LogNumber.EVACUATED))
-        reduce(state, Ticked(), 2 + COPY_DOUBTED_S)
-        self.assertFalse(takes_flows(state, 2 + COPY_DOUBTED_S))
+        reduce(state, Ticked(), 2 + RESTORE_CONFIRM_S)
+        self.assertFalse(accepts_flows(state, 2 + RESTORE_CONFIRM_S))
         ended = revision_of(_SECOND, 11)
         removed = StoredObject(HOME, ended, None)
-        reduce(state, ChangesRead(Collection.EVACUATIONS, [removed], ended), 2.6 + COPY_DOUBTED_S)
-        self.assertTrue(takes_flows(state, 2.6 + COPY_DOUBTED_S))
+        reduce(
+            state, ChangesRead(Collection.EVACUATIONS, [removed], ended), 2.6 + RESTORE_CONFIRM_S
+        )
+        self.assertTrue(accepts_flows(state, 2.6 + RESTORE_CONFIRM_S))
 
     def test_one_that_is_written_again_and_taken_back_ends(self) -> None:
         """The operators' word is obeyed at once, also soon after a restore."""
@@ -542,7 +546,7 @@
             told = revision_of(_SECOND, number)
             stored = StoredObject(HOME, told, content)
             reduce(state, ChangesRead(Collection.EVACUATIONS, [stored], told), 2.5)
-        self.assertTrue(takes_flows(state, 2.5))
+        self.assertTrue(accepts_flows(state, 2.5))
 
     def test_peers_word_of_a_restored_store_ends_none_at_once(self) -> None:
         """A host that does not watch hears from a peer what the copy has."""
@@ -550,15 +554,15 @@
         sender = PeerAddress('a2', HOME, ('a2', 9))
         word = Evacuated(revision_of(_SECOND, 9), frozenset())
         reduce(state, HeartbeatHeard(Heartbeat(sender, 1, 1, {}, evacuated=word)), 2)
-        self.assertFalse(takes_flows(state, 2))
-        reduce(state, Ticked(), 2 + COPY_DOUBTED_S)
-        self.assertTrue(takes_flows(state, 2 + COPY_DOUBTED_S))
+        self.assertFalse(accepts_flows(state, 2))
+        reduce(state, Ticked(), 2 + RESTORE_CONFIRM_S)
+        self.assertTrue(accepts_flows(state, 2 + RESTORE_CONFIRM_S))
 
     def test_one_that_the_copy_has_is_obeyed(self) -> None:
         """Nobody can tell an evacuation of the copy from one written just now."""
         state = known_state(1, 2)
         relist_evacuations(state, 2, HOME)
-        self.assertFalse(takes_flows(state, 2))
+        self.assertFalse(accepts_flows(state, 2))
 
     def test_upstreams_listed_meanwhile_get_nothing(self) -> None:
         """An upstream joins a data centre whose evacuation the restore lost."""
@@ -570,7 +574,7 @@
         state.follower_by_collection[Collection.UPSTREAMS].begin_listing()
         reduce(state, page_of_copy(1, 2), 2)
         reduce(state, joined, 2.1)
-        self.assertFalse(state.directory.by_name[listed.name].takes_flows(2.1))
+        self.assertFalse(state.directory.by_name[listed.name].accepts_flows(2.1))
 
 
 def evacuated_state() -> RoutingState:
@@ -590,6 +594,6 @@
     reduce(state, PageRead(Collection.EVACUATIONS, objects, told, more=False), now)
 
 
-def takes_flows(state: RoutingState, now: float) -> bool:
+def accepts_flows(state: RoutingState, now: float) -> bool:
     """Whether an upstream of the own data centre takes new flows."""
-    return state.directory.by_name[entry(1).name].takes_flows(now)
+    return state.directory.by_name[entry(1).name].accepts_flows(now)
--- a/tests/test_room_elsewhere.py
+++ b/tests/test_room_elsewhere.py
@@ -10,8 +10,8 @@
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.effects import Effect, WriteLine
 from bronzekeel.core.routing.flow_lengths import MOST_ROUTES, FlowLengths
-from bronzekeel.core.routing.heartbeats import far_heartbeat, near_heartbeat
-from bronzekeel.core.routing.messages import Asked, Heartbeat, PeerAddress
+from bronzekeel.core.routing.heartbeats import local_heartbeat, remote_heartbeat
+from bronzekeel.core.routing.messages import Heartbeat, PeerAddress, ServiceDemand
 from bronzekeel.core.routing.moving_load import (
     CROWD_SEEN_S,
     RISE_S,
@@ -152,10 +152,10 @@
         self._look(meter, state.directory, 5 * _LOOK_S, 1)
         told = meter.by_service or {}
         self.assertAlmostEqual(7 / WINDOW_S, told[PORTAL].rate)
-        self.assertEqual(7, told[PORTAL].lacking)
+        self.assertEqual(7, told[PORTAL].unserved)
         self._look(meter, state.directory, 6 * _LOOK_S, 9)
         told = meter.by_service or {}
-        self.assertEqual((0, 0), (told[PORTAL].rate, told[PORTAL].lacking))
+        self.assertEqual((0, 0), (told[PORTAL].rate, told[PORTAL].unserved))
 
     def test_uneven_ticks_change_no_rate(self) -> None:
         """Guards against ticks a little apart from a tenth of a second: twice the rate was told."""
@@ -204,22 +204,22 @@
             1,
             1,
             {},
-            asked_by_service={PORTAL: Asked(81, 3)},
+            demand_by_service={PORTAL: ServiceDemand(81, 3)},
             hears=('dc-b',),
             unheard=('dc-c',),
         )
         back = decode_heartbeat(encode_heartbeat(sent))
-        asked = (back.asked_by_service or {})[PORTAL]
-        self.assertEqual((81, 3), (asked.rate, asked.lacking))
+        asked = (back.demand_by_service or {})[PORTAL]
+        self.assertEqual((81, 3), (asked.rate, asked.unserved))
         self.assertEqual((('dc-b',), ('dc-c',)), (back.hears, back.unheard))
         former = decode_heartbeat(encode_heartbeat(Heartbeat(me, 1, 1, {})))
-        self.assertIsNone(former.asked_by_service)
+        self.assertIsNone(former.demand_by_service)
         self.assertEqual(((), ()), (former.hears, former.unheard))
 
     def test_unreadable_fields_are_refused(self) -> None:
         """Guards against a peer's nonsense that is reckoned with."""
         me = PeerAddress('a1', 'dc-a', ('a1', 9))
-        raw = encode_heartbeat(Heartbeat(me, 1, 1, {}, asked_by_service={}))
+        raw = encode_heartbeat(Heartbeat(me, 1, 1, {}, demand_by_service={}))
         for asked in ('5', '[["portal",-1,0]]', '[["portal",1e999,0]]', '[["portal",1,-1]]'):
             broken = raw.replace(b'"asked":[]', f'"asked":{asked}'.encode())
             self.assertNotEqual(raw, broken)
@@ -231,7 +231,7 @@
     def test_a_service_that_is_not_covered_adds_nothing(self) -> None:
         """Guards against bytes and decisions for services whose demand is not controlled."""
         state = ready_state(entry(1))
-        for heartbeat in (near_heartbeat(state, 1), far_heartbeat(state, (), 1)):
+        for heartbeat in (local_heartbeat(state, 1), remote_heartbeat(state, (), 1)):
             raw = encode_heartbeat(heartbeat)
             self.assertNotIn(b'asked', raw)
             self.assertNotIn(b'hear', raw)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -2,15 +2,24 @@
 
 from unittest import TestCase
 
-from bronzekeel.core.routing.directory import REMEMBERED_S
+from bronzekeel.core.routing.directory import RETENTION_S
 from bronzekeel.core.routing.events import ViewFetched
-from bronzekeel.core.routing.follower import NEWS_S, Collection, Follower
-from bronzekeel.core.routing.messages import Heartbeat, Known, PeerAddress
-from bronzekeel.core.routing.peers import FORGET_S, MOST_PEERS, NAMED_S, SEED_S, PeerTable
-from bronzekeel.core.routing.relays import RELAY_S, RELAYS
-from bronzekeel.core.routing.watch_duty import LONE_WATCHERS, WATCHERS
+from bronzekeel.core.routing.follower import MAX_WATCH_LAG_S, Collection, Follower
+from bronzekeel.core.routing.messages import Heartbeat, KnownVersions, PeerAddress
+from bronzekeel.core.routing.peers import (
+    FORGET_S,
+    MAX_NAMED_AGE_S,
+    MAX_NEIGHBOURS,
+    SEED_INTERVAL_S,
+    PeerTable,
+)
 from bronzekeel.core.routing.reducer import reduce
+from bronzekeel.core.routing.relays import RELAY_S, RELAYS
 from bronzekeel.core.routing.sharing import BEHIND_S, view_since
+from bronzekeel.core.routing.watcher_selection import (
+    MAX_WATCHERS_PER_CENTRE,
+    MIN_WATCHERS_SINGLE_CENTRE,
+)
 from bronzekeel.core.store_waits import ANSWER_S, PROVING_WATCH_S, WATCH_S
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from tests.routing_cases import (
@@ -63,7 +72,7 @@
         fleet.run(0.5)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
         calls = sum(node.calls for node in fleet.running) - before
-        self.assertLessEqual(calls, 2 * LONE_WATCHERS)
+        self.assertLessEqual(calls, 2 * MIN_WATCHERS_SINGLE_CENTRE)
 
     def test_all_are_current_though_few_watch(self) -> None:
         """A host that is told may refuse what is not in force, like a watcher."""
@@ -99,7 +108,7 @@
         fleet = fleet_of(6, ('dc-a',))
         fleet.run(_SETTLED_S)
         watching = [node.me.name for node in fleet.running if node.state.is_direct(fleet.now)]
-        self.assertEqual(LONE_WATCHERS, len(watching))
+        self.assertEqual(MIN_WATCHERS_SINGLE_CENTRE, len(watching))
         for name in watching:
             fleet.kill(name)
         newest = put_text(fleet)
@@ -164,7 +173,7 @@
         put_upstream(fleet, 2)
         fleet.run(_SETTLED_S)
         deaf = [name for name in _watching(fleet) if name.startswith('dc-c')]
-        self.assertEqual(WATCHERS, len(deaf))
+        self.assertEqual(MAX_WATCHERS_PER_CENTRE, len(deaf))
         fleet.lose_store(deaf, 'silent')
         newest = put_text(fleet)
         fleet.store.remove(Collection.UPSTREAMS, entry(2).name)
@@ -186,9 +195,9 @@
         deaf = [name for name in _watching(fleet) if name.startswith('dc-a')][:2]
         fleet.lose_store(deaf, 'silent')
         put_text(fleet)
-        fleet.run(NEWS_S + PROVING_WATCH_S + ANSWER_S + 1)
+        fleet.run(MAX_WATCH_LAG_S + PROVING_WATCH_S + ANSWER_S + 1)
         working = [name for name in _watching(fleet) if name.startswith('dc-a')]
-        self.assertEqual(WATCHERS, len(working))
+        self.assertEqual(MAX_WATCHERS_PER_CENTRE, len(working))
         self.assertFalse(set(working) & set(deaf))
 
     def test_other_data_centres_are_told_by_few(self) -> None:
@@ -200,9 +209,9 @@
         fleet = fleet_of(12, ('dc-a', 'dc-b', 'dc-c'))
         fleet.run(_SETTLED_S)
         before = fleet.heartbeats_elsewhere
-        fleet.run(2 * SEED_S)
-        told = (fleet.heartbeats_elsewhere - before) / (2 * SEED_S)
-        seeds = 2 * len(fleet.running) / SEED_S
+        fleet.run(2 * SEED_INTERVAL_S)
+        told = (fleet.heartbeats_elsewhere - before) / (2 * SEED_INTERVAL_S)
+        seeds = 2 * len(fleet.running) / SEED_INTERVAL_S
         self.assertLessEqual(told, 6 * RELAYS * RELAYS / RELAY_S + seeds)
 
     def test_a_watch_that_tells_late_is_not_doubted(self) -> None:
@@ -214,12 +223,12 @@
         follower = Follower(Collection.TEXT, 'dc-a-1')
         follower.adopt(1)
         follower.watch(1)
-        follower.expect_news(2)
-        self.assertFalse(follower.is_doubtful(2 + NEWS_S / 2))
-        follower.watch(2 + NEWS_S / 2)
-        self.assertFalse(follower.is_doubtful(2 + 2 * NEWS_S))
-        follower.expect_news(5)
-        self.assertTrue(follower.is_doubtful(5 + NEWS_S))
+        follower.expect_change(2)
+        self.assertFalse(follower.is_stalled(2 + MAX_WATCH_LAG_S / 2))
+        follower.watch(2 + MAX_WATCH_LAG_S / 2)
+        self.assertFalse(follower.is_stalled(2 + 2 * MAX_WATCH_LAG_S))
+        follower.expect_change(5)
+        self.assertTrue(follower.is_stalled(5 + MAX_WATCH_LAG_S))
 
     def test_a_silent_store_is_noticed(self) -> None:
         """Symptom: a host believes for ever that nothing changes.
@@ -342,9 +351,9 @@
         Cause: taking a view because it came last.
         """
         paused = ready_state(entry(1), entry(2))
-        view = view_since(paused, Known(0, 0, 0), 1)
+        view = view_since(paused, KnownVersions(0, 0, 0), 1)
         state = ready_state(entry(1, revision=30, draining=True))
-        state.directory.take(entry(2), 1)
+        state.directory.apply(entry(2), 1)
         state.directory.note_removed(entry(2).name, 40, 1)
         reduce(state, ViewFetched(('p', 9), view), 2)
         self.assertTrue(state.directory.by_name[entry(1).name].entry.draining)
@@ -362,7 +371,7 @@
         fleet.run(1)
         fleet.store.remove(Collection.UPSTREAMS, entry(2).name)
         fleet.tell_watches()
-        fleet.run(REMEMBERED_S + 10)
+        fleet.run(RETENTION_S + 10)
         fleet.lose_store(['dc-a-3'], 'refuses')
         fleet.kill('dc-a-3')
         fleet.run(1)
@@ -375,7 +384,7 @@
     def test_only_what_is_new_is_told(self) -> None:
         """A view holds what changed after the asker's revisions."""
         state = ready_state(entry(1), entry(2), entry(3))
-        view = view_since(state, Known(state.text_order, 2, 2), 1)
+        view = view_since(state, KnownVersions(state.text_order, 2, 2), 1)
         self.assertIsNone(view.text)
         self.assertEqual([entry(3).name], [told.name for told in view.entries])
 
@@ -403,9 +412,9 @@
         """
         table = PeerTable(PeerAddress('me', 'dc', ('me', 9)), ())
         table.note_heartbeat(Heartbeat(PeerAddress('old', 'dc', ('old', 9)), 1, 1, {}), 0)
-        named = [peer.name for peer in table.some_others('dc', 1)]
+        named = [peer.name for peer in table.peers_to_name('dc', 1)]
         self.assertEqual(['old'], named)
-        self.assertEqual((), table.some_others('dc', NAMED_S + 1))
+        self.assertEqual((), table.peers_to_name('dc', MAX_NAMED_AGE_S + 1))
 
     def test_heartbeats_are_bounded_in_a_large_data_centre(self) -> None:
         """Symptom: control traffic grows with the square of the fleet.
@@ -417,7 +426,7 @@
         for number in range(200):
             sender = PeerAddress(f'h{number}', 'dc', (f'h{number}', 9))
             table.note_heartbeat(Heartbeat(sender, 1, 1, {}), 0)
-        self.assertEqual(MOST_PEERS, len(table.neighbours()))
+        self.assertEqual(MAX_NEIGHBOURS, len(table.neighbours()))
         sent = sum(len(table.due_neighbours(step / 10)) for step in range(100))
         self.assertLessEqual(sent / 10, 30)
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -4,12 +4,16 @@
 
 from bronzekeel.core.routing.events import HeartbeatHeard, Ticked
 from bronzekeel.core.routing.flows import AVOID_S
-from bronzekeel.core.routing.heartbeats import near_heartbeat
+from bronzekeel.core.routing.heartbeats import local_heartbeat
 from bronzekeel.core.routing.messages import Heartbeat, PeerAddress
-from bronzekeel.core.routing.pools import LEAST_PATIENCE_S
+from bronzekeel.core.routing.pools import MIN_ANSWER_TIMEOUT_S
 from bronzekeel.core.routing.reducer import TICK_S, reduce
-from bronzekeel.core.routing.silence import ANSWERED_S, HEARD_S, MOST_SILENT
 from bronzekeel.core.routing.state import RoutingState
+from bronzekeel.core.routing.unresponsive import (
+    MAX_UNRESPONSIVE,
+    OWN_ANSWER_TRUSTED_S,
+    OWN_LINK_CHECK_S,
+)
 from bronzekeel.core.routing.verdicts import Deliver
 from bronzekeel.entry.peer_messages import MessageError, decode_heartbeat, encode_heartbeat
 from bronzekeel.replay.routing_fleet import RoutingFleet
@@ -51,7 +55,7 @@
         """
         alone = _lost_in_a_crash(tell=False)
         together = _lost_in_a_crash(tell=True)
-        on_their_way = (LEAST_PATIENCE_S + 2 * TICK_S) * _HOSTS / _FLOW_S / 2
+        on_their_way = (MIN_ANSWER_TIMEOUT_S + 2 * TICK_S) * _HOSTS / _FLOW_S / 2
         self.assertGreater(alone, _TRIES * _DEAD + on_their_way)
         self.assertLessEqual(together, _TRIES * _DEAD + on_their_way)
 
@@ -73,11 +77,11 @@
     def test_a_silent_upstream_is_told(self) -> None:
         """Also over the wire; and no longer after a while."""
         told = decode_heartbeat(
-            encode_heartbeat(near_heartbeat(self.state, 0.3))
+            encode_heartbeat(local_heartbeat(self.state, 0.3))
         ).unanswered_by_number
         self.assertEqual({entry(2).short_number: 1}, told)
         _open(self.state, 3, 'i-00000001', answered=True, now=1)
-        self.assertEqual({}, near_heartbeat(self.state, 1.2).unanswered_by_number)
+        self.assertEqual({}, local_heartbeat(self.state, 1.2).unanswered_by_number)
 
     def test_a_host_that_hears_nobody_says_nothing(self) -> None:
         """Symptom: one host with a broken link empties its data centre.
@@ -85,7 +89,7 @@
         Sequence: no upstream's answer passes its link; it tells that all are silent.
         Cause: what one host does not hear is taken for what nobody hears.
         """
-        self.assertEqual({}, near_heartbeat(self.state, HEARD_S).unanswered_by_number)
+        self.assertEqual({}, local_heartbeat(self.state, OWN_LINK_CHECK_S).unanswered_by_number)
 
     def test_the_word_is_taken(self) -> None:
         """A neighbour places its next flow elsewhere, for as long as after its own finding."""
@@ -104,7 +108,7 @@
         """An upstream that has just answered here is not avoided."""
         other = ready_state(entry(1), now=9)
         _open(other, 1, 'i-00000001', answered=True, now=10)
-        _tell(other, {entry(1).short_number: 1}, 10 + ANSWERED_S / 2)
+        _tell(other, {entry(1).short_number: 1}, 10 + OWN_ANSWER_TRUSTED_S / 2)
         self.assertEqual(0, other.directory.by_name['i-00000001'].avoided_until)
 
     def test_nobody_is_better_than_a_silent_one(self) -> None:
@@ -118,15 +122,15 @@
         state = ready_state(*(entry(number) for number in range(1, 60)))
         for number, upstream in enumerate(state.directory.by_name.values()):
             upstream.unanswered = 1
-            upstream.silent_until = 2 + number / 1000
+            upstream.unresponsive_until = 2 + number / 1000
         state.flows.heard_at = 1
-        told = near_heartbeat(state, 1.5).unanswered_by_number
-        self.assertEqual(MOST_SILENT, len(told))
+        told = local_heartbeat(state, 1.5).unanswered_by_number
+        self.assertEqual(MAX_UNRESPONSIVE, len(told))
         self.assertIn(entry(59).short_number, told)
 
     def test_a_number_that_is_none_is_unreadable(self) -> None:
         """A peer of another version is not half understood."""
-        raw = encode_heartbeat(near_heartbeat(self.state, 0.3))
+        raw = encode_heartbeat(local_heartbeat(self.state, 0.3))
         with self.assertRaises(MessageError):
             decode_heartbeat(raw.replace(b'"unanswered":[', b'"unanswered":["x",'))
 
@@ -183,4 +187,4 @@
     """Let every host go by what it found itself."""
     for node in fleet.running:
         for upstream in node.state.directory.by_name.values():
-            upstream.avoided_until = upstream.silent_until
+            upstream.avoided_until = upstream.unresponsive_until
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -4,16 +4,16 @@
 
 from bronzekeel.core.routing.effects import WatchChanges
 from bronzekeel.core.routing.events import ChangesRead, Paused, Started, StoredObject, Ticked
-from bronzekeel.core.routing.follower import GATHER_S, LISTEN_S, Collection
+from bronzekeel.core.routing.follower import BATCH_S, LISTEN_S, Collection
+from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.sharing import STORE_FIRST_S
-from bronzekeel.core.routing.watch_duty import (
-    ALL_WATCHERS,
-    FEWEST_WATCHERS,
-    MOST_LOST,
+from bronzekeel.core.routing.watcher_selection import (
+    MAX_LOST_WATCHERS,
+    MAX_WATCHERS_PER_CENTRE,
+    MIN_WATCHERS_PER_CENTRE,
     NEWEST_READERS,
-    WATCHERS,
+    TOTAL_WATCHERS,
 )
-from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.store_waits import PROVING_WATCH_S
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from tests.routing_cases import (
@@ -58,8 +58,8 @@
             put_upstream(fleet, 1, draining=change % 2 == 0)
             fleet.run(_CHANGE_S)
         fleet.run(1)
-        gathered = _CHANGES * _CHANGE_S / GATHER_S + _COLLECTIONS
-        watchers = len(_FIVE) * FEWEST_WATCHERS
+        gathered = _CHANGES * _CHANGE_S / BATCH_S + _COLLECTIONS
+        watchers = len(_FIVE) * MIN_WATCHERS_PER_CENTRE
         texts = watchers * _COLLECTIONS
         self.assertLessEqual(_newest_reads(fleet) - before[0], NEWEST_READERS * gathered + texts)
         self.assertLessEqual(_calls(fleet) - before[1], watchers * gathered + texts)
@@ -74,13 +74,16 @@
 
     def test_watchers_are_few_in_all(self) -> None:
         """Nine or so, whatever the number of data centres, and two at least in each."""
-        for centres, each in ((_FIVE[:3], WATCHERS), (_FIVE, FEWEST_WATCHERS)):
+        for centres, each in (
+            (_FIVE[:3], MAX_WATCHERS_PER_CENTRE),
+            (_FIVE, MIN_WATCHERS_PER_CENTRE),
+        ):
             with self.subTest(centres=len(centres)):
                 fleet = fleet_of(6, centres)
                 fleet.run(_SETTLED_S)
                 watching = [node for node in fleet.running if node.state.is_direct(fleet.now)]
                 self.assertEqual(each * len(centres), len(watching))
-                self.assertGreaterEqual(len(watching), ALL_WATCHERS)
+                self.assertGreaterEqual(len(watching), TOTAL_WATCHERS)
 
     def test_hosts_that_start_list_at_a_tenth(self) -> None:
         """Symptom: a rolling restart costs more than all changes of a day.
@@ -94,7 +97,7 @@
         for name in restarted:
             fleet.restart(name)
             fleet.run(1)
-        usual = len(_FIVE) * FEWEST_WATCHERS * _COLLECTIONS
+        usual = len(_FIVE) * MIN_WATCHERS_PER_CENTRE * _COLLECTIONS
         self.assertLessEqual(_newest_reads(fleet) - before, usual + len(restarted))
 
     def test_an_outage_is_not_called_by_everybody(self) -> None:
@@ -113,7 +116,7 @@
                 for node in fleet.running
                 if node.state.is_lost and node.me.data_centre == centre
             ]
-            self.assertLessEqual(len(lost), MOST_LOST + WATCHERS)
+            self.assertLessEqual(len(lost), MAX_LOST_WATCHERS + MAX_WATCHERS_PER_CENTRE)
         for node in fleet.running:
             node.store = 'serves'
         newest = put_text(fleet)
--- a/tests/test_view_model.py
+++ b/tests/test_view_model.py
@@ -15,7 +15,7 @@
 
 from bronzekeel.core.routing.events import PageRead, ViewFetched
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.messages import Known, View
+from bronzekeel.core.routing.messages import KnownVersions, View
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.state import RoutingState
@@ -123,7 +123,7 @@
     @rule(teller=_HOSTS, host=_HOSTS)
     def tell(self, teller: int, host: int) -> None:
         """Let a host take another's whole view, and keep the view for later."""
-        view = view_since(self.states[teller], Known(0, 0, 0), self.now)
+        view = view_since(self.states[teller], KnownVersions(0, 0, 0), self.now)
         self.kept_views.append(view)
         self._take(host, ViewFetched(_PEER, view))
 
