--- a/src/bronzekeel/core/routing/directory.py
+++ b/src/bronzekeel/core/routing/directory.py
@@ -1,8 +1,8 @@
-"""Know the upstreams: listed, missing for now, or gone.
+"""Track the upstreams and whether they are listed, missing or gone.
 
-An entry in the store is a hint.  Entries lapse while the store is away, and
-come back soon after it if their upstream lives; only what is still missing
-after ``RETURN_GRACE_S`` counts as gone.
+An entry in the store is only a hint.  Entries lapse while the store is down, and come back soon
+after it if their upstream is alive; only what is still missing after ``RETURN_GRACE_S`` counts as
+gone.
 """
 
 from bronzekeel.core.routing.evacuated_centres import RESTORE_CONFIRM_S, EvacuatedCentres
@@ -12,27 +12,26 @@
 from bronzekeel.core.routing.revisions import is_same_incarnation
 
 
-#: Seconds that a lapsed entry has to come back after the store does.
-#: Source: the users say about two seconds; half a second is for reading it.
+#: Seconds within which a lapsed entry may come back after an outage of the store.  Live upstreams
+#: take about two seconds; half a second is added for reading the entry.
 RETURN_GRACE_S = 2.5
 
-#: Lapses that make an outage at least: as many as are still listed, and these.
-#: Source: a service of three of which two crash is no outage.
+#: Lapses that count as an outage: at least this many, and at least as many as there are upstreams
+#: still listed.  Two crashes in a service of three are no outage.
 _MIN_OUTAGE_LAPSES = 3
 
-#: Seconds for which upstreams that are gone are remembered, so that packets
-#: of their flows still reach one that lives unlisted.  Source: the users'
-#: bound on the age of a flow.
+#: Seconds for which gone upstreams are remembered, so that packets of their flows still reach an
+#: upstream that is alive but unlisted.  It is the users' bound on the age of a flow.
 RETENTION_S = 60.0
 
-#: Seconds for which the word of an older start must have stood before it is believed.
-#: Source: an upstream that lives writes its entry each 0.8 s or so, and one that does not
-#: write it for three times that is no longer listed.
+#: Seconds for which an entry with an older start time must stand before it is applied.  A live
+#: upstream writes its entry about every 0.8 s, and is unlisted if it does not write it for three
+#: times that.
 OLDER_START_CONFIRM_S = 3.0
 
 
 class _UnconfirmedEntry:
-    """Hold what is told of an upstream and looks outdated, to be believed at `confirmed_at`."""
+    """Hold an entry that looks outdated; it is applied at `confirmed_at` if it still stands."""
 
     __slots__ = ('confirmed_at', 'entry')
 
@@ -44,13 +43,13 @@
 class Directory:
     """Hold all upstreams by name, by service and by short number.
 
-    `pools_by_service` has the pools of a service by data centre.
-    `changes` counts what changed where packets go.
-    `ordered` is off only where a test shows what the order by revision is for.
+    `pools_by_service` has the pools of a service by data centre.  `changes` counts changes that
+    affect where packets go.  `ordered` is disabled only by tests that show the effect of the order
+    by revision.
     """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without upstreams."""
         self.by_name: dict[str, Upstream] = {}
         self.by_number: dict[int, Upstream] = {}
         self.pools_by_service: dict[str, dict[str, Pool]] = {}
@@ -70,7 +69,7 @@
         return sum(upstream.listed for upstream in self.by_name.values())
 
     def of_service(self, service: str) -> list[Upstream]:
-        """Return the upstreams of a service in the order in which they came, gone ones too."""
+        """Return the upstreams of a service in the order they were added, including gone ones."""
         return list(self._by_service.get(service, {}).values())
 
     def pools_of(self, data_centre: str) -> list[Pool]:
@@ -97,11 +96,11 @@
         return frozenset(centre for by_centre in by_service for centre in by_centre)
 
     def is_queueing(self, data_centre: str, now: float) -> bool:
-        """Whether requests wait for room at a data centre's upstreams."""
+        """Whether requests wait for free capacity at a data centre's upstreams."""
         return any(pool.queued_s(now) for pool in self.pools_of(data_centre))
 
     def update_evacuated_pools(self) -> None:
-        """Keep new flows away from the upstreams of closed data centres, and of no others."""
+        """Mark the pools of evacuated data centres, so that they get no new flows."""
         closed = self.evacuated_centres.names
         for pool_by_centre in self.pools_by_service.values():
             for centre, pool in pool_by_centre.items():
@@ -109,27 +108,27 @@
         self.pool_members.invalidate_all_capacities()
 
     def advance_revision(self, revision: int) -> None:
-        """Note that every change up to `revision` is known."""
+        """Record that every change up to `revision` is known."""
         self.newest_revision = max(self.newest_revision, revision)
 
     def note_recovered(self, now: float) -> None:
-        """Give entries that lapsed during an outage the time to come back."""
+        """Start the grace period in which entries that lapsed during an outage may come back."""
         self.grace_until = now + RETURN_GRACE_S
 
     @property
     def unconfirmed_entries(self) -> list[UpstreamEntry]:
-        """Entries that are not believed yet.
+        """Entries that are not applied yet.
 
-        They are of older starts than those that are known, or of a copy of the store that was made
-        before an upstream announced its leaving.
+        They have an older start time than the known entry, or come from a backup of the store that
+        was made before the upstream announced its drain.
         """
         return [unconfirmed.entry for unconfirmed in self._unconfirmed_by_name.values()]
 
     def apply(self, entry: UpstreamEntry, now: float) -> bool:
-        """Take a listed entry; return whether it is new or says something new.
+        """Apply a listed entry; return whether the upstream is new or has changed.
 
-        An upstream that started again holds nothing of before: all that is known of its
-        former start ends, and it is put among the upstreams of what it now says.
+        A restarted upstream keeps nothing: all state of its former process is dropped, and it joins
+        the pool of its new entry.
         """
         known = self.by_name.get(entry.name)
         self.advance_revision(entry.revision)
@@ -155,7 +154,7 @@
         return True
 
     def due_unconfirmed(self, now: float) -> list[UpstreamEntry]:
-        """Return the unconfirmed entries that are to be believed now."""
+        """Return the unconfirmed entries that are due to be applied."""
         return [
             unconfirmed.entry
             for unconfirmed in self._unconfirmed_by_name.values()
@@ -163,9 +162,9 @@
         ]
 
     def withhold(self, name: str, revision: int) -> bool:
-        """Note that `revision` made an entry unreadable; return whether it was in use.
+        """Record that `revision` made an entry unreadable; return whether it was usable before.
 
-        Its upstream may live: it gets no new flows, and keeps those that it has.
+        The upstream may be alive: it gets no new flows, and keeps its open ones.
         """
         known = self.by_name.get(name)
         if known is None or revision <= max(known.entry.revision, known.removed_revision):
@@ -179,15 +178,15 @@
         return used
 
     def add_unlisted(self, entry: UpstreamEntry, now: float) -> None:
-        """Know an upstream that the store no longer lists, if it is not known yet."""
+        """Add an upstream that the store no longer lists, unless it is known."""
         if entry.name not in self.by_name:
             self._add(entry, now)
 
     def note_removed(self, name: str, revision: int, now: float) -> Upstream | None:
-        """Note that an entry was removed by `revision`; return it if it was there.
+        """Record the removal of an entry by `revision`; return the upstream if it was listed.
 
-        One that was draining has left.  One that vanished while the store was
-        settled is gone at once; after an outage it may come back.
+        An upstream that was draining has left.  One that vanished while the store was available is
+        gone at once; after an outage it may come back.
         """
         self.advance_revision(revision)
         known = self.by_name.get(name)
@@ -207,7 +206,7 @@
         return known
 
     def forget_old(self, now: float) -> None:
-        """Forget upstreams that have been gone for long, and half of what was asked."""
+        """Remove upstreams that have been gone for long, and halve the request counts of all."""
         for name, upstream in list(self.by_name.items()):
             upstream.asked /= 2
             if upstream.missing_at is None or now < upstream.missing_at + RETENTION_S:
@@ -215,11 +214,11 @@
             self._remove(name)
 
     def _restart(self, former: UpstreamEntry, entry: UpstreamEntry, now: float) -> bool:
-        """Put a new start in the place of a former one; return whether that is done.
+        """Replace an upstream by its restarted process; return whether that is done.
 
-        What goes wrong without the wait: a call of the former process is carried out after
-        those of the new one, or the store comes back from a copy, and takes everybody back.  An
-        older start that stays is that of a host whose clock was set back.
+        An older start time is applied only after a wait.  Without the wait, a delayed write of the
+        former process, or a restore of the store from a backup, would bring the former process
+        back.  An older start time that persists is that of a host whose clock was set back.
         """
         unconfirmed = self._unconfirmed_by_name.get(entry.name)
         if entry.started_ms < former.started_ms:
@@ -235,11 +234,11 @@
         return True
 
     def _is_from_backup(self, entry: UpstreamEntry, now: float) -> bool:
-        """Whether an entry of a restored store is likely that of its copy; doubt it then.
+        """Whether an entry likely comes from the backup that the store was restored from.
 
-        What goes wrong without it: an upstream announces its leaving, the store comes back from a
-        copy made before, and new flows go to the upstream while it ends, or to its
-        address after that.  A second word of the same incarnation was written since the restore.
+        Such an entry stays unconfirmed for a while.  Otherwise, if an upstream announced its drain
+        after the backup was made, new flows would go to it while it stops, or to its address after
+        that.  A second entry of the same incarnation was written after the restore.
         """
         unconfirmed = self._unconfirmed_by_name.get(entry.name)
         if unconfirmed is None or not is_same_incarnation(
@@ -252,12 +251,12 @@
         return now < unconfirmed.confirmed_at and entry.revision <= unconfirmed.entry.revision
 
     def _suspect_outage(self, lapsed: Upstream, now: float) -> None:
-        """Take entries that lapse together for an outage of the store.
+        """Treat entries that lapse together as an outage of the store.
 
-        What goes wrong without it: a watch that waits through an outage tells
-        of all lapses at once when the store is back, before the entries are
-        written again, and every caller is refused until then.  Crashes take
-        one upstream at a time, and a cut a data centre's.
+        A watch that waits through an outage reports all lapses at once when the store is back,
+        before the entries are written again.  Without the grace period, every caller would be
+        refused until then.  Crashes affect one upstream at a time, and a network partition those of
+        one data centre.
         """
         self._lapsed = [
             other
@@ -273,8 +272,8 @@
     def _add(self, entry: UpstreamEntry, now: float) -> None:
         """Add an upstream.
 
-        Two upstreams may fold to the same short number.  The first keeps it;
-        the other gets no flows, since its packets would go to the first.
+        Two upstreams may have the same short number.  The first keeps it; the other gets no flows,
+        since its packets would go to the first.
         """
         upstream = Upstream(entry, now, self._pool_of(entry))
         holder = self.by_number.setdefault(entry.short_number, upstream)
@@ -284,7 +283,7 @@
             self.pool_members.add(upstream)
 
     def _pool_of(self, entry: UpstreamEntry) -> Pool:
-        """Return the pool that an upstream belongs to; pools are few and stay."""
+        """Return the pool that an upstream belongs to; pools are few and never removed."""
         by_centre = self.pools_by_service.setdefault(entry.service, {})
         centre = entry.data_centre
         created = Pool(entry.service, centre, evacuated=centre in self.evacuated_centres.names)
@@ -302,7 +301,7 @@
 
 
 def _reverts_drain(known: UpstreamEntry, entry: UpstreamEntry) -> bool:
-    """Whether another incarnation of the store has an upstream ready that is known to leave."""
+    """Whether another incarnation of the store lists a draining upstream as not draining."""
     if is_same_incarnation(known.revision, entry.revision):
         return False
     return known.draining and not entry.draining
--- a/src/bronzekeel/core/routing/evacuated_centres.py
+++ b/src/bronzekeel/core/routing/evacuated_centres.py
@@ -1,38 +1,38 @@
-"""Know which data centres are closed to new flows, also after the store has lost word of it.
+"""Track the evacuated data centres, also after a restore of the store has lost them.
 
-What goes wrong with the store's word alone: operators evacuate a data centre, the store comes back
-from a copy made before, and new flows go to upstreams that people work on, until the
-operators have written it again.
+If only the store's current content counted, new flows would go to upstreams under maintenance when
+operators evacuate a data centre and the store is then restored from an older backup, until the
+operators have written the evacuation again.
 """
 
 from bronzekeel.core.routing.messages import NOTHING_EVACUATED, Evacuated
 from bronzekeel.core.routing.revisions import is_same_incarnation
 
 
-#: Seconds for which a restored store's word must have stood before it ends a leaving or an
-#: evacuation.  Source: an upstream that lives writes its entry each 1.2 s at the slowest, and one
-#: that does not write it for three times that is no longer listed; a second more to hear of it.
+#: Seconds for which content of a restored store must stand before it ends a drain or an evacuation.
+#: A live upstream writes its entry every 1.2 s at the slowest, and is unlisted if it does not write
+#: it for three times that; one second is added for the transmission.
 RESTORE_CONFIRM_S = 5.0
 
 
 class EvacuatedCentres:
-    """Hold the store's newest word, `reported`, and what a restore has lost, until `_retained_until`."""
+    """Hold the newest evacuations `reported`, and those a restore lost until `_retained_until`."""
 
     __slots__ = ('_retained', '_retained_until', 'reported')
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without evacuations."""
         self.reported: Evacuated = NOTHING_EVACUATED
         self._retained: frozenset[str] = frozenset()
         self._retained_until: float = 0
 
     @property
     def names(self) -> frozenset[str]:
-        """Data centres whose upstreams get no new flows."""
+        """Names of the data centres whose upstreams get no new flows."""
         return self.reported.centres | self._retained
 
     def apply(self, reported: Evacuated, now: float) -> None:
-        """Go by a newer word; one of another incarnation ends nothing for a while."""
+        """Apply a newer report; one of another incarnation ends no evacuation for a while."""
         former = self.reported
         self.reported = reported
         if former.as_of and not is_same_incarnation(former.as_of, reported.as_of):
@@ -41,7 +41,7 @@
         self._retained -= reported.centres
 
     def expire_retained(self, now: float) -> frozenset[str]:
-        """Return the data centres that operators did not name again in time; they open."""
+        """Return the retained data centres whose time is over; they get new flows again."""
         if now < self._retained_until:
             return frozenset()
         ended = self._retained
--- a/src/bronzekeel/core/routing/evacuations.py
+++ b/src/bronzekeel/core/routing/evacuations.py
@@ -1,12 +1,12 @@
-"""Take word of evacuations, from the store or a peer, in the order of the store's revisions.
+"""Apply evacuations reported by the store or a peer, in the order of the store's revisions.
 
 Operators evacuate a data centre before they work on it: from then on no new flow goes to its
-upstreams, until they take that back.  Flows that are open stay where they are, since none
-can be moved without a reset (docs/design/shifted-work.md, "Evacuations").
+upstreams, until they revoke the evacuation.  Open flows stay where they are, since none can be
+moved without a reset (docs/design/shifted-work.md, "Evacuations").
 
-What goes wrong without the order: a host that was cut off, or a read that is seconds old, brings
-back an evacuation that was taken back, or ends one that stands.  One notices by a data
-centre that gets nothing for no reason, or gets flows while people work on it.
+Without the order, a host that was cut off, or a stale read, would restore an evacuation that was
+revoked or end one that stands.  The symptom is a data centre that gets no flows for no reason, or
+that gets flows during maintenance.
 """
 
 from bronzekeel.core.log_numbers import LogNumber
@@ -18,7 +18,7 @@
 from bronzekeel.core.routing.state import RoutingState
 
 
-#: Who reported, in the log, where it was no peer.
+#: Source of a report in the log if it is not a peer.
 STORE = 'store'
 
 
@@ -27,9 +27,9 @@
     changes: list[StoredObject],
     revision: int,
 ) -> Evacuated:
-    """Return what is evacuated after `changes`, which are all up to `revision`.
+    """Return the evacuations after applying `changes`, which are complete up to `revision`.
 
-    Changes that are known already do no harm: the last one of a data centre decides.
+    Changes that were already applied do no harm: the last one of a data centre decides.
     """
     centres = set(evacuated.centres)
     for stored in changes:
@@ -48,9 +48,10 @@
     source: str,
     now: float,
 ) -> list[Effect]:
-    """Put what `source` says in force if it is newer; the newest word holds as a whole.
+    """Put the evacuations reported by `source` in force if they are newer.
 
-    What a restored store does not have is kept for a while.
+    A report replaces all earlier ones.  Evacuations that a restored store has lost are retained for
+    a while.
     """
     if reported.as_of <= state.evacuated.as_of:
         return []
--- a/src/bronzekeel/core/routing/field_checks.py
+++ b/src/bronzekeel/core/routing/field_checks.py
@@ -1,37 +1,37 @@
-"""Check single fields of entries, from whatever source, against their bounds.
+"""Check single fields of entries, from the store or from peers, against their bounds.
 
-What goes wrong without it: somebody else writes an entry with a negative number of slots or an
-address that is none.  Read as it stands, such an upstream looks like the minimum busy one of
-all, and every new flow goes there.
+Without these checks, an entry of another writer with a negative number of slots or an invalid
+address would be used as it is: such an upstream looks like the least busy one of all, and every new
+flow would go there.
 """
 
 from typing import Any
 
 
-#: Characters of a name at maximum.  Source: the longest name of a host on the internet.
+#: Maximum characters of a name: the longest host name on the internet.
 MAX_NAME_LENGTH = 253
 
-#: Requests that an upstream works on at once at maximum.  Source: far above what a process does
-#: on the largest hosts; a figure beyond it is a mistake.
+#: Maximum requests that an upstream processes at once.  This is far above what a process handles on
+#: the largest hosts; a larger value is a mistake.
 MAX_SLOTS = 100_000
 
-#: Seconds for which an upstream may be slow after its start.  Source: one that takes longer
-#: than an hour to warm up is described wrongly.
+#: Maximum seconds of a cold start.  An upstream that takes longer than an hour to warm up is
+#: described wrongly.
 MAX_COLD_S = 3600
 
-#: Requests a second at maximum that a service may state.  Source: far above what a process does
-#: on the largest hosts.
+#: Maximum requests per second that a service may state, far above what a process handles on the
+#: largest hosts.
 MAX_RATE = 1e6
 
-#: Longest latency objective in seconds that a route may state.  Source: callers who wait for
-#: longer than an hour have no objective.
+#: Maximum latency objective in seconds that a route may state.  Callers who wait for longer than an
+#: hour have no objective.
 MAX_OBJECTIVE_S = 3600
 
-#: Times at maximum that a store has come back from a copy.  Source: a figure beyond a billion is a
+#: Maximum number of times that a store was restored from a backup; a value above a billion is a
 #: mistake.
 MAX_INCARNATION = 1_000_000_000
 
-#: Largest revision and time that are counted with.  Source: 64 bits, as stores use.
+#: Largest revision and time, 64 bits as in stores.
 MAX_INTEGER = 0x7FFFFFFFFFFFFFFF
 
 _MAX_OCTET = 255
@@ -41,16 +41,16 @@
 
 
 class FieldError(ValueError):
-    """Tell that a field of an entry is unreadable; correct it where it is written."""
+    """An unreadable field of an entry, to be corrected where the entry is written."""
 
     def __init__(self, field: str, found: object, wanted: str) -> None:
-        """Name the `field`, what it holds, and what it should hold."""
+        """Compose the message from the `field`, its value and the expected value."""
         found_text = repr(found)[:MAX_NAME_LENGTH]
         super().__init__(f'{field}: {found_text} is not {wanted}')
 
 
 def whole_number(field: str, found: Any, minimum: int = 0, maximum: int = MAX_INTEGER) -> int:
-    """Return a whole number within bounds.  Raises FieldError."""
+    """Return an integer within bounds.  Raises FieldError."""
     if not isinstance(found, int) or isinstance(found, bool) or not minimum <= found <= maximum:
         raise FieldError(field, found, f'a whole number from {minimum} to {maximum}')
     return found
@@ -64,7 +64,7 @@
 
 
 def label(field: str, found: Any) -> str:
-    """Return a name that can be told on.  Raises FieldError."""
+    """Return a printable name that can be sent to peers.  Raises FieldError."""
     if (
         not isinstance(found, str)
         or not 0 < len(found) <= MAX_NAME_LENGTH
@@ -83,7 +83,7 @@
 
 
 def _is_octet(text: str) -> bool:
-    """Whether it is a number without leading zeros, which some read as octal."""
+    """Whether it is a number without leading zeros, which some programs read as octal."""
     if not text.isascii() or not text.isdecimal() or len(text) > _MAX_DIGITS:
         return False
     return int(text) <= _MAX_OCTET and text == str(int(text))
--- a/src/bronzekeel/core/routing/follower.py
+++ b/src/bronzekeel/core/routing/follower.py
@@ -1,11 +1,11 @@
 """Follow one collection of the store: list it, then watch it.
 
-What goes wrong: the store is down, slow, silent, refuses calls, loses its
-history or cuts a watch off.  One notices by an answer that is a refusal or does
-not come.  After each failure it is called again later (`core.store_waits`); after a
-lost history the collection is listed anew, and what is missing then was removed
-meanwhile.  A store that came back from a copy is listed anew too: it answers a watch by
-the number, which means something else there.
+The store may be down, slow or unresponsive, refuse calls, lose its history or cut a watch off; each
+of these shows as a refusal or a missing answer.  After a failure the call is repeated with a
+backoff (`core.store_waits`).  After the history was lost the collection is listed again, and what
+is missing from the listing was removed in the meantime.  It is also listed again if the store was
+restored from a backup, because the store would continue a watch by a number that now stands for
+another change.
 """
 
 from enum import StrEnum
@@ -16,26 +16,26 @@
 from bronzekeel.core.store_waits import ANSWER_S, PROVING_WATCH_S, WATCH_S, retry_wait_s
 
 
-#: Seconds within which the own watch must tell what a peer has told.  Source: a
-#: store sixty times slower than its usual 4 ms answers in half of it.
+#: Seconds within which this balancer's own watch must report a change that a peer reported.  A
+#: store sixty times slower than its usual 4 ms answers in half of this time.
 MAX_WATCH_LAG_S = 0.5
 
-#: The same for a stale watch.  Source: the users' store may be "seconds" behind there.
+#: The same for a stale watch, since stale reads may be seconds behind in the users' store.
 MAX_STALE_WATCH_LAG_S = 3.0
 
-#: Seconds between an answer that tells of changed upstreams and the next watch.  What goes wrong
-#: without it: upstreams are replaced one after the other, and each of their entries' changes costs
-#: the store a call from every watcher.  Source: a sixth of the shortest bound on an upstream that
-#: leaves (3 s); a change after a quiet time is still told at once.
+#: Seconds between an answer with changed upstreams and the next watch.  Without this delay, when
+#: upstreams are replaced one after the other, each change of an entry would cost the store a call
+#: from every watcher.  It is a sixth of the shortest bound on an upstream that leaves (3 s), and a
+#: change after a quiet period is still reported at once.
 BATCH_S = 0.5
 
-#: Seconds after its first listing for which a host listens whether others watch, before it does.
-#: Source: a neighbour is heard within one of its heartbeats (0.25 s).
+#: Seconds after the first listing for which a host waits for heartbeats of watchers before it
+#: watches itself.  A neighbour sends a heartbeat every 0.25 s.
 LISTEN_S = 0.3
 
 
 class Collection(StrEnum):
-    """Name the collections that a balancer follows."""
+    """Collections of the store that a balancer follows."""
 
     TEXT = 'text'
     UPSTREAMS = 'upstreams'
@@ -43,16 +43,16 @@
 
 
 class Follower:
-    """Hold how far one collection was read.
+    """Hold the progress of following one collection.
 
     `revision` is the store's revision that is known here, `watched_from` the one from which the
-    last watch began; a page was read at `answered_at`.
-    At `current_until` the last answer no longer proves that the view is current; at
-    `stalled_at` the watch must have told what a peer has told.  The listing in progress has
-    the `objects` of its pages so far, read from `listing_revision` on; it `has_gaps` when some have
-    no name that can be read.  Until `delayed_until` no call is made; `stale` tells that the last one
-    was.  `relistings` counts the lists that were needed since a watch was last answered; the next
-    call `must_list` when no watch can go on.
+    last watch began; a page was read at `answered_at`.  At `current_until` the last answer no
+    longer proves that the view is current.  At `stalled_at` the watch must have reported what a
+    peer reported.  The listing in progress has the `objects` of its pages so far, read from
+    `listing_revision` on; it `has_gaps` if some have no readable name.  No call is made before
+    `delayed_until`; `stale` is set if the last call allowed stale reads.  `relistings` counts the
+    listings since a watch was last answered; the next call `must_list` if the watch cannot be
+    continued.
     """
 
     __slots__ = (
@@ -106,7 +106,7 @@
         return now < self.current_until
 
     def pause(self) -> None:
-        """Leave the store to other balancers."""
+        """Stop calling the store and leave it to other balancers."""
         self.paused = True
         self.current_until = 0
         self.stalled_at = None
@@ -116,24 +116,24 @@
         self.failures = 0
 
     def is_due(self, now: float) -> bool:
-        """Whether no call is in progress and the next may be made."""
+        """Whether no call is in progress and the next one may be made."""
         if self.paused:
             return True
         return self.retry_at is not None and now >= self.retry_at
 
     def is_delay_over(self, now: float) -> bool:
-        """Whether a rest has ended and the next watch may begin."""
+        """Whether a delay has ended and the next watch may begin."""
         return self.delayed_until is not None and now >= self.delayed_until
 
     def adopt(self, revision: int) -> None:
-        """Note that a peer told everything up to `revision`."""
+        """Record that a peer sent everything up to `revision`."""
         self.listed = True
         self.revision = max(self.revision, revision)
 
     def expect_change(self, now: float) -> None:
-        """Note that a peer told what the own watch has to tell too.
+        """Expect the own watch to report a change that a peer reported.
 
-        One that is yet to begin goes on from there, and has nothing of it to tell.
+        A watch that has yet to begin starts after that change and need not report it.
         """
         if self.delayed_until is not None:
             return
@@ -142,29 +142,29 @@
             self.stalled_at = now + wait_s
 
     def expect_incarnation(self, incarnation: int, now: float) -> None:
-        """Note that the store has this incarnation now.
+        """Record the store's current incarnation and restart a watch of an earlier one.
 
-        What goes wrong without it: a watch that began in a former one waits for changes beyond
-        a number that the store has yet to give out again, and hears of none before.
+        Such a watch would wait for changes beyond a number that the store has yet to give out
+        again, and would miss all changes before.
         """
         waits = self.listed and not self.paused and self.retry_at is None
         if waits and incarnation_of(self.watched_from) < incarnation:
             self.stalled_at = now
 
     def is_stalled(self, now: float) -> bool:
-        """Whether the own watch did not tell what a peer told.
+        """Whether the own watch did not report in time what a peer reported.
 
-        What goes wrong without it: the store falls silent towards a host and closes
-        nothing.  Until the watch ends the host claims that its view is current, and
-        no other takes its place as a watcher.
+        Without this check, if the store stops answering a host without closing the connection, the
+        host would claim until the end of the watch that its view is current, and no other host
+        would replace it as a watcher.
         """
         return self.stalled_at is not None and now >= self.stalled_at
 
     def begin_listing(self) -> Effect:
-        """Ask for the first page.
+        """Return the request for the first page.
 
-        The first listing of all is stale: a host that starts catches up by its watch, or by what
-        its peers tell.  One after lost history must be newer than what is known.
+        The very first listing is stale: a host that starts catches up by its watch or through its
+        peers.  A listing after lost history must be newer than what is known.
         """
         self.objects = []
         self.has_gaps = False
@@ -177,11 +177,11 @@
         return ReadPage(self.collection, '', stale=self.stale)
 
     def relist(self, now: float) -> list[Effect]:
-        """List anew, since the watch cannot go on: at once, or later if the last list was in vain.
+        """List again because the watch cannot be continued: at once, or after a wait if repeated.
 
-        What goes wrong without the pause: a store that can go on with no watch answers each at
-        once, and each host calls it a hundred times a second.  Until the list is read nothing
-        proves that the view is current.
+        Without the wait, if the store cannot continue any watch and answers each one at once, each
+        host would call it a hundred times a second.  Until the listing is complete, nothing proves
+        that the view is current.
         """
         self.invalidate(now)
         self.relistings += 1
@@ -192,13 +192,13 @@
         return []
 
     def is_page_of_listing(self, revision: int) -> bool:
-        """Whether a page read at `revision` fits those that were read before it."""
+        """Whether a page read at `revision` belongs to the listing in progress."""
         if self.listing_revision is None:
             return True
         return is_same_incarnation(revision, self.listing_revision)
 
     def add_page(self, objects: list[StoredObject], revision: int) -> str:
-        """Add a page to the listing; return the last name on it, if it has any."""
+        """Add a page to the listing; return the last name on it, or an empty string."""
         if self.listing_revision is None:
             self.listing_revision = revision
         self.objects.extend(objects)
@@ -207,42 +207,42 @@
         return names[-1] if names else ''
 
     def next_page(self, after: str) -> Effect:
-        """Ask for the page after a name."""
+        """Return the request for the page after a name."""
         return ReadPage(self.collection, after, stale=self.stale)
 
     def end_listing(self, revision: int) -> None:
-        """Note that the listing is whole.
+        """Record that the listing is complete.
 
-        Watching from the first page's revision repeats changes made while
+        The watch begins at the revision of the first page, which repeats changes made while the
         pages were read instead of missing them.
         """
         self.revision = max(self.revision, self.listing_revision or revision)
         self.listed = True
 
     def delay_next_call(self, until: float) -> None:
-        """Make no call before `until`; what was read last counts as current meanwhile."""
+        """Make no call before `until`; the view counts as current in the meantime."""
         self._note_answer(until)
         self.delayed_until = until
 
     def listen(self, until: float) -> None:
-        """Make no call before `until`; what was read may be behind."""
+        """Make no call before `until`; the view does not count as current."""
         self.delay_next_call(until)
         self.current_until = 0
 
     def invalidate(self, now: float) -> None:
-        """Take nothing for current before the next answer."""
+        """Treat the view as not current until the next answer."""
         self.current_until = 0
         if self.delayed_until is not None:
             self.delayed_until = None
             self.retry_at = now
 
     def watch(self, now: float, *, stale: bool = False) -> Effect:
-        """Wait for changes after `revision`."""
+        """Return a watch for changes after `revision`."""
         self._note_answer(now)
         return self._watch(WATCH_S, stale=stale)
 
     def fail(self, now: float) -> None:
-        """Plan the next try."""
+        """Record a failed call and schedule the next attempt."""
         self.failures += 1
         self.lost = True
         self.stalled_at = None
@@ -250,9 +250,9 @@
         self.retry_at = now + self._wait_s(self.failures)
 
     def resume(self, *, stale: bool = False) -> Effect:
-        """Go on where a failure or a pause was, from what peers told meanwhile.
+        """Continue after a failure or a pause, from what peers reported in the meantime.
 
-        A call in progress is given up.
+        A call in progress is abandoned.
         """
         self.paused = False
         self.current_until = 0
@@ -272,7 +272,7 @@
         return WatchChanges(self.collection, self.revision, wait_s, stale=stale)
 
     def _note_answer(self, next_call_at: float) -> None:
-        """Note that the store answered, and when the next call begins."""
+        """Record that the store answered, and when the next call begins."""
         self.failures = 0
         self.lost = False
         self.retry_at = None
--- a/src/bronzekeel/core/routing/heartbeats.py
+++ b/src/bronzekeel/core/routing/heartbeats.py
@@ -1,4 +1,4 @@
-"""Compose what a balancer tells each of its peers."""
+"""Compose the heartbeats that a balancer sends to its peers."""
 
 from collections.abc import Mapping
 from typing import TypeVar
@@ -17,15 +17,15 @@
 from bronzekeel.core.routing.unresponsive import unresponsive_upstreams
 
 
-#: Upstreams whose load a heartbeat tells at most, the busiest first.
+#: Maximum number of upstreams whose load a heartbeat reports, the busiest first.
 MAX_LOADS = 24
 
-#: Services whose requests a heartbeat tells at most, the most asked first.  Source: at
-#: 15 bytes each, half of what its sender's name and flags take.
+#: Maximum number of services whose request rate a heartbeat reports, the highest first.  At 15
+#: bytes each, they take half of the size of the sender's name and flags.
 MAX_RATES = 8
 
-#: Evacuated data centres that a heartbeat tells at most, whether they have upstreams or not.
-#: Source: ten times the data centres of docs/CAPACITY.md; anybody may write to the store, and a
+#: Maximum number of evacuated data centres that a heartbeat reports, with or without upstreams.
+#: This is ten times the data centres of docs/CAPACITY.md.  Anybody may write to the store, and a
 #: heartbeat with thousands of names fits in no datagram.
 MAX_EVACUATED = 60
 
@@ -34,7 +34,7 @@
 
 
 def reply_to(state: RoutingState, peer: PeerAddress, now: float) -> Heartbeat:
-    """Return the heartbeat that answers a peer's; it names hosts near to that."""
+    """Return the heartbeat that answers a peer's; it names hosts of the peer's data centre."""
     if peer.data_centre == state.peers.me.data_centre:
         return local_heartbeat(state, now)
     return remote_heartbeat(state, state.peers.peers_to_name(peer.data_centre, now), now)
@@ -45,10 +45,10 @@
     others: tuple[PeerAddress, ...],
     now: float,
 ) -> Heartbeat:
-    """Return what hosts of other data centres need.
+    """Return the heartbeat for hosts of other data centres.
 
-    Who this is, how new its views are, what its data centre's callers ask for, and how
-    much of its upstreams that takes.
+    It has this balancer's address, how new its views are, the demand of its data centre's callers,
+    and how much of its upstreams that takes.
     """
     rate_by_service = _largest(rates_of_centre(state, now), MAX_RATES)
     return Heartbeat(
@@ -76,7 +76,7 @@
     now: float,
     counts: ToldCounts | None = None,
 ) -> Heartbeat:
-    """Return all that a neighbour may use; `counts` only in one that all neighbours get."""
+    """Return the heartbeat for neighbours; `counts` only in one that all neighbours get."""
     busy_by_number = {
         number: upstream.busy_flows
         for number, upstream in state.directory.by_number.items()
@@ -107,15 +107,15 @@
 
 
 def _announced_evacuated(state: RoutingState) -> Evacuated:
-    """Return what is evacuated; of too many names only those of data centres with upstreams."""
+    """Return the evacuations; if there are too many, only data centres with upstreams."""
     evacuated = state.evacuated
     if len(evacuated.centres) <= MAX_EVACUATED:
         return evacuated
     return Evacuated(evacuated.as_of, evacuated.centres & state.directory.data_centres)
 
 
-def _largest(by_key: Mapping[KeyT, NumberT], most: int) -> dict[KeyT, NumberT]:
-    """Return the entries with the largest figures, `most` at most."""
-    if len(by_key) <= most:
+def _largest(by_key: Mapping[KeyT, NumberT], maximum: int) -> dict[KeyT, NumberT]:
+    """Return the entries with the largest values, at most `maximum`."""
+    if len(by_key) <= maximum:
         return dict(by_key)
-    return dict(sorted(by_key.items(), key=lambda entry: -entry[1])[:most])
+    return dict(sorted(by_key.items(), key=lambda entry: -entry[1])[:maximum])
--- a/src/bronzekeel/core/routing/messages.py
+++ b/src/bronzekeel/core/routing/messages.py
@@ -1,4 +1,4 @@
-"""Define what balancers tell each other."""
+"""Define the messages between balancers."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -14,7 +14,7 @@
 
 
 class FlowShare:
-    """Say which share of a service's new flows another data centre is to get."""
+    """Hold the share of a service's new flows that another data centre gets."""
 
     __slots__ = ('data_centre', 'service', 'share')
 
@@ -26,24 +26,24 @@
 
 
 class Allowance:
-    """Say how many requests of a data centre's callers another one has room for."""
+    """Hold how many requests of local callers another data centre has free capacity for."""
 
     __slots__ = ('data_centre', 'requests', 'service')
 
     def __init__(self, service: str, data_centre: str, requests: float) -> None:
-        """Let `requests` of `service` be in progress at `data_centre`."""
+        """Allow `requests` of `service` to be in progress at `data_centre`."""
         self.service = service
         self.data_centre = data_centre
         self.requests = requests
 
 
 class ServiceDemand:
-    """Say what callers ask of a service: requests a second, and how many `unserved` room."""
+    """Hold callers' demand for a service: its request `rate` and the `unserved` requests."""
 
     __slots__ = ('rate', 'unserved')
 
     def __init__(self, rate: float, unserved: int) -> None:
-        """Keep the `rate`; `unserved` counts those that wait or were refused in the last second."""
+        """Store requests per second, and those that wait or were refused in the last second."""
         self.rate = rate
         self.unserved = unserved
 
@@ -51,54 +51,53 @@
 class Evacuated:
     """Name the data centres that operators have evacuated.
 
-    It is whole up to the store's revision `as_of`, zero if nothing is known.
+    The names are complete up to the store's revision `as_of`, zero if nothing is known.
     """
 
     __slots__ = ('as_of', 'centres')
 
     def __init__(self, as_of: int, centres: frozenset[str]) -> None:
-        """Keep the names as they were at a revision."""
+        """Store the names as of a revision."""
         self.as_of = as_of
         self.centres = centres
 
 
-#: What a balancer goes by that has just started.
+#: Evacuations known to a balancer that has just started.
 NOTHING_EVACUATED = Evacuated(0, frozenset())
 
 
 class PeerAddress:
-    """Say where a balancer takes what its peers tell."""
+    """Hold the address at which a balancer receives messages from its peers."""
 
     __slots__ = ('address', 'data_centre', 'name')
 
     def __init__(self, name: str, data_centre: str, address: tuple[str, int]) -> None:
-        """Keep where `name` is found."""
+        """Store the address of `name`."""
         self.name = name
         self.data_centre = data_centre
         self.address = address
 
 
 class Heartbeat:
-    """Tell that a balancer lives, how new its views are, and its load.
-
-    `text_order` is of the text in force there, `upstreams_revision` of the newest change that it
-    knows.  `direct` tells that its own watches of the store work, `lost` that
-    the store does not answer it.
-    `busy_by_number` has the requests in progress that it sees, by the short
-    number of their upstream.  `rate_by_service` has the requests a second of its
-    callers, or to other data centres those of all its data centre.  `shares` are
-    those that it reckoned, None if it has heard too little from other data centres.
-    `load_by_service` tells other data centres how many requests of its data centre's callers
-    are in progress there, for each slot.  `allowances` say what others have room for, None if it
-    has heard too little from them.  `unanswered_by_number` says how many opening packets in a row
-    upstreams left unanswered, by their short numbers.  `evacuated` says what it knows of
-    evacuations: all of it, so that nobody has to ask.  `callers_by_service` says what callers of
-    services that are short asked for and were given.  `counts` are the answers that its sender saw
-    since it last told neighbours, None if there is none.  `others` are peers that it knows.
-    `demand_by_service` says what its callers ask of services whose demand is controlled, or to
-    other data centres those of all its data centre; None if it does not know yet.  `hears` tells
-    neighbours which data centres it has heard of late, `unheard` tells other data centres which
-    ones nobody in its own hears any more.
+    """Announce a live balancer, how new its views are, and its load.
+
+    `text_order` is that of the text in force, `upstreams_revision` the newest change of upstreams
+    that the sender knows.  `direct` is set if its own watches of the store work, `lost` if the
+    store does not answer it.  `busy_by_number` has the requests in progress that it observes, by
+    the short number of their upstream.  `rate_by_service` has the requests per second of its
+    callers, or in messages to other data centres those of its whole data centre.  `shares` are
+    those that it computed, None if it lacks reports of other data centres.  `load_by_service`
+    reports to other data centres how many requests of its data centre's callers are in progress
+    there, per slot.  `allowances` state the free capacity of other data centres, None if it lacks
+    their reports.  `unanswered_by_number` has the number of consecutive unanswered opening packets
+    of upstreams, by their short numbers.  `evacuated` has all evacuations that it knows, so that
+    nobody has to ask.  `callers_by_service` has what callers of overloaded services asked for and
+    were given.  `counts` are the answers that the sender observed since its last heartbeat to
+    neighbours, None if there are none.  `others` are peers that it knows.  `demand_by_service` has
+    its callers' demand for services whose demand is controlled, or in messages to other data
+    centres that of its whole data centre; None if not known yet.  `hears` reports to neighbours the
+    data centres from which it recently received heartbeats, `unheard` reports to other data centres
+    those from which its own data centre receives none any more.
     """
 
     __slots__ = (
@@ -146,7 +145,7 @@
         lost: bool = False,
         stopping: bool = False,
     ) -> None:
-        """Keep the fields as they are sent."""
+        """Store the fields as they are sent."""
         self.sender = sender
         self.text_order = text_order
         self.upstreams_revision = upstreams_revision
@@ -175,10 +174,10 @@
 
 
 class MissingEntry:
-    """Tell that an upstream's `entry` was removed at `revision`.
+    """Report that an upstream's `entry` was removed at `revision`.
 
-    `gone_in_s` is how much longer it may come back; `left` that it announced
-    its leaving before.
+    `gone_in_s` is the remaining time in which it may come back; `left` is set if it announced a
+    drain before.
     """
 
     __slots__ = ('entry', 'gone_in_s', 'left', 'revision')
@@ -191,7 +190,7 @@
         *,
         left: bool,
     ) -> None:
-        """Keep what is known of the missing entry."""
+        """Store the fields as they are sent."""
         self.entry = entry
         self.revision = revision
         self.gone_in_s = gone_in_s
@@ -199,11 +198,11 @@
 
 
 class KnownVersions:
-    """Say what the asker of a view knows already.
+    """Hold what the requester of a view knows already.
 
-    The order of its text, the revisions of the newest change of upstreams and of the newest
-    removal; the last is zero for one that has just started, which learns from the
-    store what is listed and not what was.
+    These are the order of its text, and the revisions of the newest change and of the newest
+    removal of upstreams.  The last is zero for a balancer that has just started, since the store
+    lists only what is present and not what was removed.
     """
 
     __slots__ = ('removals_revision', 'text_order', 'upstreams_revision')
@@ -214,20 +213,20 @@
         upstreams_revision: int,
         removals_revision: int,
     ) -> None:
-        """Keep the order and the two revisions."""
+        """Store the order and the two revisions."""
         self.text_order = text_order
         self.upstreams_revision = upstreams_revision
         self.removals_revision = removals_revision
 
 
 class View:
-    """Hold what a balancer knows, or what of it is new to a peer.
+    """Hold a balancer's knowledge, or the part of it that is new to a peer.
 
-    `text_followed` and `upstreams_followed` are the store's revisions up to
-    which the teller has read; from there a watch can go on.  `text` is None if
-    the peer has it.  `newest_revision` is of the newest change of upstreams that
-    the view accounts for; the teller may have forgotten what changed.  `all_missing` tells
-    that `missing` has all that the teller remembers.
+    `text_followed` and `upstreams_followed` are the store's revisions up to which the sender has
+    read; a watch can continue from there.  `text` is None if the peer has it.  `newest_revision` is
+    that of the newest change of upstreams that the view accounts for, even if the sender has
+    forgotten what changed.  `all_missing` is set if `missing` has all missing entries that the
+    sender remembers.
     """
 
     __slots__ = (
@@ -251,7 +250,7 @@
         *,
         all_missing: bool = False,
     ) -> None:
-        """Keep the parts of the view."""
+        """Store the parts of the view."""
         self.text = text
         self.text_followed = text_followed
         self.entries = entries
--- a/src/bronzekeel/core/routing/model.py
+++ b/src/bronzekeel/core/routing/model.py
@@ -1,7 +1,7 @@
-"""Hold what a balancer knows of routes and upstreams.
+"""Define routes, upstreams and packets.
 
-Modules of this package import little: a balancer that has just started is in
-the dark until its first packet is forwarded.
+Modules of this package import little, because imports delay the first packet that a balancer
+forwards after its start.
 """
 
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 from bronzekeel.core.routing.revisions import text_order_of
 
 
-#: Bits of a connection id: both ends of a flow echo four bytes.
+#: Bits of a connection id; both ends of a flow echo four bytes.
 CONNECTION_ID_BITS = 32
 _CONNECTION_ID_MASK = (1 << CONNECTION_ID_BITS) - 1
 
@@ -22,27 +22,27 @@
     __slots__ = ('service', 'weight')
 
     def __init__(self, service: str, weight: int) -> None:
-        """Let `service` take `weight` parts."""
+        """Give `service` a `weight` relative to the other services."""
         self.service = service
         self.weight = weight
 
 
-#: Seconds after which callers of a route give a request up when the text does not say.
-#: Source: the shortest that the users' texts give for requests of 50 ms.
+#: Seconds after which callers of a route abandon a request, if the text does not state it.  This is
+#: the shortest timeout in the users' texts for requests of 50 ms.
 DEFAULT_TIMEOUT_S = 1.0
 
 
-#: Homes of a route that may lead to any region.
+#: Regions of a route that is not restricted to any.
 ANY_REGION: frozenset[str] = frozenset()
 
 
 class Route:
-    """Say which services take the new flows of one address and port.
+    """Map the new flows of one address and port to services.
 
-    `key` is the address and the port as six bytes.  Requests of the smallest `priority` go
-    first when not all can; their callers give up after `timeout_s` seconds and want an answer
-    within `objective_s`, zero if the text states none.  They must not leave
-    the regions that are its `homes`; a route without homes may lead anywhere.
+    `key` is the address and the port as six bytes.  If capacity is short, requests of the lowest
+    `priority` value go first.  Callers give up after `timeout_s` seconds and want an answer within
+    `objective_s`, zero if the text states none.  Flows must not leave the regions in `homes`; a
+    route without homes may lead to any region.
     """
 
     __slots__ = ('homes', 'key', 'objective_s', 'priority', 'seal', 'shares', 'timeout_s')
@@ -57,7 +57,7 @@
         homes: frozenset[str] = ANY_REGION,
         objective_s: float = 0,
     ) -> None:
-        """Keep the route with the `seal` that marks its connection ids."""
+        """Store the route; `seal` marks its connection ids."""
         self.key = key
         self.shares = shares
         self.seal = seal
@@ -70,10 +70,10 @@
 class RoutingText:
     """Hold one accepted version of the operators' text.
 
-    `order` orders texts from all sources: by `generation`, the operators'
-    own number, then by `revision`.  A flow that is silent for `idle_s` seconds may be forgotten.
-    A cold upstream of a service in `cold_rate_by_service` bears so many requests a second.
-    `min_objective_s` is the shortest latency objective of all routes, zero if one states none.
+    `order` orders texts from all sources: by `generation`, the operators' own number, then by
+    `revision`.  A flow without packets for `idle_s` seconds may be forgotten.
+    `cold_rate_by_service` has the requests per second that a cold upstream of a service can handle.
+    `min_objective_s` is the shortest latency objective of all routes, zero if none states one.
     """
 
     __slots__ = (
@@ -94,7 +94,7 @@
         idle_s: float,
         cold_rate_by_service: Mapping[str, float] | None = None,
     ) -> None:
-        """Keep the routes by their address and port."""
+        """Store the routes by their address and port."""
         self.cold_rate_by_service = cold_rate_by_service or {}
         self.generation = generation
         self.revision = revision
@@ -108,13 +108,13 @@
 
 
 class UpstreamEntry:
-    """Hold what one upstream says of itself in the store.
+    """Hold the entry that an upstream stores of itself.
 
-    `number` is its identity in packets.  A process that starts anew may keep it and knows
-    nothing of before: `started_ms` is the Unix millisecond of its start, zero if it does not
-    say.  `cold_s` is how many more seconds it works slowly, counted from when the entry was
-    read.  `revision` orders entries of one upstream.  One that is not `usable` was written
-    over by something that cannot be read; the other fields are those of before.
+    `number` is its identity in packets.  A restarted process may keep the number but has no state
+    of the former one: `started_ms` is its start time in Unix milliseconds, zero if not stated.
+    `cold_s` is the remaining time of its cold start in seconds, counted from when the entry was
+    read.  `revision` orders entries of one upstream.  An entry that is not `usable` was overwritten
+    by something unreadable; its other fields are those from before.
     """
 
     __slots__ = (
@@ -146,7 +146,7 @@
         started_ms: int = 0,
         usable: bool = True,
     ) -> None:
-        """Keep the fields as they were read."""
+        """Store the fields as they were read."""
         self.name = name
         self.number = number
         self.service = service
@@ -163,21 +163,21 @@
     def short_number(self) -> int:
         """The number and the service folded to the width of a connection id.
 
-        What goes wrong without the service: an upstream starts again under its name in another
-        service, and packets of the flows that it had reach that.
+        Without the service, packets of the former flows of an upstream that restarts under its name
+        in another service would reach that service.
         """
         folded = self.number ^ self.number >> CONNECTION_ID_BITS ^ crc32(self.service.encode())
         return folded & _CONNECTION_ID_MASK
 
     @property
     def accepts_flows(self) -> bool:
-        """Whether it may get new flows by what it says of itself."""
+        """Whether it may get new flows according to its own entry."""
         return self.usable and not self.draining
 
     def is_restart_of(self, former: 'UpstreamEntry') -> bool:
-        """Whether this is of another process than `former`, or of one that moved.
+        """Whether this is the entry of another process than `former`, or of one that moved.
 
-        A start that is not told is taken for the same.
+        If either start time is not stated, the process counts as the same.
         """
         if self.service != former.service or self.data_centre != former.data_centre:
             return True
@@ -186,7 +186,7 @@
         return self.started_ms != former.started_ms
 
     def unusable(self, revision: int) -> 'UpstreamEntry':
-        """Return the entry as it stands after `revision` made it unreadable."""
+        """Return a copy of the entry that `revision` made unreadable."""
         return UpstreamEntry(
             name=self.name,
             number=self.number,
@@ -203,21 +203,20 @@
 
 
 class Upstream:
-    """Hold one upstream: its newest entry, and what this balancer saw of it.
-
-    Presence: `missing_at` is when the store stopped listing it, None while it
-    is listed; from `gone_at` on it counts as gone; `removed_revision` is of the
-    removal.
-    Own sight: `open_flows` and `busy_flows` as packets of callers show them,
-    with `busy_at_peers` what other balancers of the data centre see, and
-    `shared_load` what that makes of it for a slot;
-    `unanswered` counts opening packets in a row that nothing came of, for
-    which it gets no new flows before `avoided_until`, `unresponsive_until` by own sight alone; one was
-    answered at `answered_at`.  `asked` counts the requests that this
-    balancer saw of late, new flows too.  `pool` counts what is in progress at all upstreams of
-    its service in its data centre.  `speed` is how fast it works beside the mean of its service,
-    one unless that was learned; `spare` the capacity that its open flows leave, None if that is
-    not known.
+    """Hold one upstream: its newest entry, and what this balancer observed.
+
+    Presence: `missing_at` is when the store stopped listing it, None while it is listed; from
+    `gone_at` on it counts as gone; `removed_revision` is the revision of the removal.
+
+    Own observations: `open_flows` and `busy_flows` are counted from packets of callers.
+    `busy_at_peers` is what other balancers of the data centre count, and `shared_load` the
+    resulting load per slot.  `unanswered` counts consecutive opening packets without an answer,
+    after which it gets no new flows before `avoided_until`; `unresponsive_until` is the same from
+    own observations alone.  The last answer was at `answered_at`.  `asked` counts the recent
+    requests that this balancer forwarded, including new flows.  `pool` counts what is in progress
+    at all upstreams of its service in its data centre.  `speed` is its speed relative to the mean
+    of its service, one unless it was learned.  `spare` is the capacity that its open flows leave,
+    None if unknown.
     """
 
     __slots__ = (
@@ -264,7 +263,7 @@
 
     @property
     def capacity(self) -> float:
-        """What it can work on at a time, in slots of an upstream of mean speed, once it is warm."""
+        """Its capacity when warm, in slots of an upstream of mean speed."""
         return self.entry.slots * self.speed
 
     @property
@@ -278,20 +277,20 @@
         return self.missing_at is None
 
     def is_gone(self, now: float) -> bool:
-        """Whether its entry is gone and had the time to come back."""
+        """Whether its entry is missing and its grace period is over."""
         return self.missing_at is not None and now >= self.gone_at
 
     def accepts_flows(self, now: float) -> bool:
-        """Whether new flows may be sent to it by what the store says."""
+        """Whether new flows may be sent to it according to the store."""
         return self.entry.accepts_flows and not self.pool.evacuated and not self.is_gone(now)
 
 
 class FlowPacket:
-    """Hold one packet of a caller, decoded.
+    """Hold one decoded packet of a caller.
 
-    `flow` names the flow by twelve bytes: caller's address and port, then the
-    route's.  `copy` counts the repeats of an opening packet.  `sequence` and
-    `acknowledged` are positions in the two byte streams.
+    `flow` identifies the flow by twelve bytes: the caller's address and port, then the route's.
+    `copy` counts the repeats of an opening packet.  `sequence` and `acknowledged` are positions in
+    the two byte streams.
     """
 
     __slots__ = (
@@ -321,7 +320,7 @@
         closes: bool = False,
         copy: int = 0,
     ) -> None:
-        """Keep the fields as they were decoded."""
+        """Store the fields as they were decoded."""
         self.flow = flow
         self.route = route
         self.connection_id = connection_id
@@ -335,7 +334,7 @@
 
 
 def format_flow(flow: bytes) -> str:
-    """Return a flow's name for people: ``caller:port>address:port``."""
+    """Return a flow in readable form: ``caller:port>address:port``."""
     if len(flow) != _FLOW_BYTES:
         return flow.hex()
     ends = []
--- a/src/bronzekeel/core/routing/object_updates.py
+++ b/src/bronzekeel/core/routing/object_updates.py
@@ -1,8 +1,8 @@
-"""Take texts and entries, from whatever source, in their order.
+"""Apply texts and entries from the store and from peers, in revision order.
 
-What goes wrong without the order: an answer that was under way while the
-watch moved on, a peer that was paused, a read that is seconds old, or a store that came
-back from a copy takes a balancer back to a text that is no longer in force.
+Without the order, a balancer could return to a text that is no longer in force, because of an
+answer that was in flight while the watch moved on, a peer that was paused, a stale read, or a store
+that was restored from a backup.
 """
 
 from bronzekeel.core.log_numbers import LogNumber
@@ -13,7 +13,7 @@
 
 
 def apply_text(state: RoutingState, text: RoutingText) -> list[Effect]:
-    """Put a text in force unless a newer one is."""
+    """Put a text in force unless the current one is newer."""
     known = state.text
     if known is not None and text.order == known.order:
         return []
@@ -32,7 +32,7 @@
 
 
 def _refused(state: RoutingState, text: RoutingText, known: RoutingText) -> list[Effect]:
-    """Tell of a text that is not put in force, since `known` counts as newer."""
+    """Log a text that is not put in force because `known` is newer."""
     state.store_record.texts_refused += 1
     return [
         WriteLine(
@@ -46,7 +46,7 @@
 
 
 def apply_entry(state: RoutingState, entry: UpstreamEntry, now: float) -> list[Effect]:
-    """Take what an upstream says of itself."""
+    """Apply an upstream's entry."""
     former = state.directory.by_name.get(entry.name)
     if not state.directory.apply(entry, now):
         return []
@@ -76,7 +76,7 @@
 
 
 def handle_unreadable(state: RoutingState, name: str, revision: int, problem: str) -> list[Effect]:
-    """Leave out what cannot be read; an upstream whose entry it was gets no new flows."""
+    """Ignore an unreadable object; an upstream with an unreadable entry gets no new flows."""
     state.store_record.unreadable_objects += 1
     withheld = state.directory.withhold(name, revision)
     return [
@@ -91,10 +91,10 @@
 
 
 def note_restore(state: RoutingState, revision: int, now: float) -> bool:
-    """Note that `revision` tells of upstreams; return whether the store was restored meanwhile.
+    """Return whether the store was restored before `revision`, and start the grace period if so.
 
-    Upstreams whose entries the restored store does not have write them again: without the time
-    for that all that joined after the copy was made would look gone at once.
+    Upstreams that are missing in the restored store write their entries again.  Without the grace
+    period, all upstreams that joined after the backup was made would count as gone at once.
     """
     known = state.directory.newest_revision
     if not known or incarnation_of(revision) <= incarnation_of(known):
@@ -104,7 +104,7 @@
 
 
 def apply_confirmed(state: RoutingState, now: float) -> list[Effect]:
-    """Believe the doubted entries that have stood for long."""
+    """Apply the unconfirmed entries that have stood long enough."""
     effects: list[Effect] = []
     for entry in state.directory.due_unconfirmed(now):
         effects.extend(apply_entry(state, entry, now))
@@ -112,7 +112,7 @@
 
 
 def apply_removal(state: RoutingState, name: str, revision: int, now: float) -> list[Effect]:
-    """Note that the store no longer has an entry."""
+    """Record that the store no longer has an entry."""
     missed = state.directory.note_removed(name, revision, now)
     if missed is None:
         return []
--- a/src/bronzekeel/core/routing/peers.py
+++ b/src/bronzekeel/core/routing/peers.py
@@ -1,9 +1,9 @@
-"""Know the other balancers, and decide who watches the store for whom.
+"""Track the other balancers and schedule heartbeats to them.
 
-Balancers find each other by the seeds in their settings and by gossip: a
-heartbeat names others.  One that was recent gets heartbeats even while it is
-silent: a host that restarts in a data centre that is cut off from the store
-hears from its neighbours before it could find them.
+Balancers find each other by the seeds in their settings and by gossip: a heartbeat names other
+peers.  A peer that was seen once gets heartbeats even while it sends none, so that a host that
+restarts in a data centre that is cut off from the store receives heartbeats of its neighbours
+before it could find them.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,58 +12,59 @@
 from bronzekeel.core.routing.messages import Allowance, FlowShare, Heartbeat, PeerAddress
 
 
-#: Least interval in seconds between two heartbeats to the same peer.  Source:
-#: loads change within a request's mean work of some fifty milliseconds; five
-#: of them are late enough to cost little and early enough to see a burst.
+#: Minimum interval in seconds between two heartbeats to the same peer.  Loads change within the
+#: mean processing time of a request, some fifty milliseconds; five times that costs little and
+#: still shows a burst early.
 HEARTBEAT_S = 0.25
 
-#: Seconds of heartbeats that one peer more adds to the interval, so that a
-#: host sends at most 25 a second.  Source: at 386 bytes each, six peers named and
-#: no load, this is 10 KB/s; docs/CAPACITY.md allows 6 and says what follows.
+#: Seconds that each further peer adds to the interval, so that a host sends at most 25 heartbeats
+#: per second.  At 386 bytes each, with six peers named and no load, this is 10 KB/s;
+#: docs/CAPACITY.md allows 6 and states the consequences.
 _INTERVAL_PER_PEER_S = 0.04
 
-#: Intervals of silence after which a peer is not relied on.
+#: Intervals without a heartbeat after which a peer times out.
 PEER_TIMEOUT_INTERVALS = 4
 
-#: Seconds of silence that are no sign of death.  Source: four heartbeats of a small
-#: data centre; three lost in a row are a matter of minutes at one in thirty.
+#: Minimum timeout of a peer in seconds: four heartbeats in a small data centre.  At a loss of one
+#: in thirty, three lost in a row happen within minutes.
 MIN_PEER_TIMEOUT_S = 1.0
 
-#: Interval in seconds of heartbeats to the seeds of other data centres.  Source:
-#: bytes between data centres are dear, and with 300 hosts each 2 s they were
-#: the largest price; a host that starts asks its seeds at once.
+#: Interval in seconds of heartbeats to the seeds of other data centres.  Traffic between data
+#: centres is expensive, and with 300 hosts and an interval of 2 s these heartbeats were the largest
+#: cost; a host that starts asks its seeds at once.
 SEED_INTERVAL_S = 10.0
 
 #: Interval in seconds of heartbeats to the seeds while nothing is known here.
 _UNREADY_SEED_INTERVAL_S = 0.2
 
-#: Interval in seconds at which other data centres are told of a host of a third one.  Source:
-#: bytes between data centres are dear, and each host that is recent has its turn in a minute.
+#: Interval in seconds at which a host of a third data centre is named to other data centres.
+#: Traffic between data centres is expensive, and at this interval each live host is named within a
+#: minute.
 REMOTE_NAMING_INTERVAL_S = 5.0
 
-#: Seconds for which a silent peer is remembered.  Source: a host that loses
-#: power is back within seconds; one that is replaced never comes back.
+#: Seconds without a heartbeat after which a peer is forgotten.  A host that loses power is back
+#: within seconds; one that is replaced never comes back.
 FORGET_S = 60.0
 
-#: Seconds after which a silent peer is no longer named to others.  Source: more
-#: than two intervals between heartbeats to seeds.
+#: Seconds without a heartbeat after which a peer is no longer named to others, more than two
+#: intervals between heartbeats to seeds.
 MAX_NAMED_AGE_S = 25.0
 
-#: Peers that a heartbeat names at most; the rest has its turn later.
+#: Maximum number of peers named in a heartbeat; the others follow in later ones.
 _MAX_OTHERS = 6
 
-#: Peers of the own data centre that get heartbeats at most.  Source: the interval
-#: grows with each; with 48 it is two seconds, which a change can still bear.
+#: Maximum number of peers of the local data centre that get heartbeats.  The interval grows with
+#: each; with 48 it is two seconds, which is still soon enough for a change.
 MAX_NEIGHBOURS = 48
 
 
 class Peer:
-    """Hold one other balancer and the newest that it said."""
+    """Hold one other balancer and its newest heartbeat."""
 
     __slots__ = ('address', 'discovered_at', 'heartbeat', 'received_at')
 
     def __init__(self, address: PeerAddress, now: float) -> None:
-        """Start with one that was named by others."""
+        """Start with a peer that was named by others."""
         self.address = address
         self.discovered_at = now
         self.received_at: float | None = None
@@ -71,15 +72,15 @@
 
     @property
     def last_seen_at(self) -> float:
-        """When something was last recent of it."""
+        """When the peer last sent a heartbeat, or else when it was discovered."""
         return self.discovered_at if self.received_at is None else self.received_at
 
 
 class PeerTable:
-    """Hold the peers by name; the neighbours were told last at `last_sent_at`."""
+    """Hold the peers by name; neighbours last got heartbeats at `last_sent_at`."""
 
     def __init__(self, me: PeerAddress, seeds: tuple[tuple[str, int], ...]) -> None:
-        """Start with nobody but the addresses of the seeds."""
+        """Start with the addresses of the seeds only."""
         self.me = me
         self.by_name: dict[str, Peer] = {}
         self._seeds = tuple(seed for seed in seeds if seed != me.address)
@@ -95,10 +96,10 @@
         return max(HEARTBEAT_S, len(self.neighbours()) * _INTERVAL_PER_PEER_S)
 
     def neighbours(self) -> list[Peer]:
-        """Return the peers of the own data centre, at most ``MAX_NEIGHBOURS``.
+        """Return the peers of the local data centre, at most ``MAX_NEIGHBOURS``.
 
-        With more, each takes those that follow it in the order of their names'
-        hashes, so that everybody hears from as many.
+        If there are more, each balancer takes those that follow it in the order of their names'
+        hashes, so that all receive from the same number of peers.
         """
         local = [peer for peer in self.by_name.values() if self._is_local(peer)]
         if len(local) <= MAX_NEIGHBOURS:
@@ -108,9 +109,9 @@
         return local[:MAX_NEIGHBOURS]
 
     def live_neighbours(self, now: float, intervals: float = PEER_TIMEOUT_INTERVALS) -> list[Peer]:
-        """Return the peers of the own data centre that were recent within some intervals.
+        """Return the peers of the local data centre seen within the given heartbeat intervals.
 
-        It is ``MIN_PEER_TIMEOUT_S`` at least.
+        The timeout is at least ``MIN_PEER_TIMEOUT_S``.
         """
         timeout_s = max(self.interval_s * intervals, MIN_PEER_TIMEOUT_S)
         return [
@@ -130,7 +131,7 @@
         return by_centre
 
     def note_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Note a heartbeat; return whether its sender was not known."""
+        """Record a heartbeat; return whether its sender was unknown."""
         name = heartbeat.sender.name
         if name == self.me.name:
             return False
@@ -148,20 +149,20 @@
         return not known
 
     def expire_all(self) -> None:
-        """Rely on no peer before it is recent again."""
+        """Treat no peer as live before its next heartbeat."""
         for peer in self.by_name.values():
             if peer.received_at is not None:
                 peer.discovered_at = peer.received_at
             peer.received_at = None
 
     def forget_expired(self, now: float) -> None:
-        """Forget those of whom nothing was recent for long."""
+        """Remove the peers without a heartbeat for ``FORGET_S``."""
         for name, peer in list(self.by_name.items()):
             if now >= peer.last_seen_at + FORGET_S:
                 self.by_name.pop(name)
 
     def due_neighbours(self, now: float) -> list[tuple[str, int]]:
-        """Return the addresses of the own data centre that are to get a heartbeat now."""
+        """Return the addresses in the local data centre that are due for a heartbeat."""
         if now < self._heartbeat_at:
             return []
         self.last_sent_at = now
@@ -169,9 +170,9 @@
         return [peer.address.address for peer in self.neighbours()]
 
     def due_seeds(self, now: float, *, ready: bool) -> list[tuple[str, int]]:
-        """Return the addresses of seeds that are to get a heartbeat now.
+        """Return the addresses of seeds that are due for a heartbeat.
 
-        Those that get one as neighbours are left out.
+        Seeds that get one as neighbours are left out.
         """
         if now < self._next_seed_at:
             return []
@@ -181,24 +182,23 @@
         return [seed for seed in self._seeds if seed not in local]
 
     def send_heartbeats_now(self) -> None:
-        """Send the next heartbeats at once: there is something new to tell."""
+        """Send the next heartbeats at once because there is something new to announce."""
         self._heartbeat_at = 0
 
     def send_heartbeats_soon(self) -> None:
         """Send the next heartbeats as soon as a small data centre would.
 
-        What goes wrong with at once: hundreds of upstreams crash, and each finding is a round of
-        heartbeats to all neighbours.
+        If they were sent at once and hundreds of upstreams crashed, each observation would cost a
+        round of heartbeats to all neighbours.
         """
         self._heartbeat_at = min(self._heartbeat_at, self.last_sent_at + HEARTBEAT_S)
 
     def peers_to_name(self, data_centre: str, now: float) -> tuple[PeerAddress, ...]:
-        """Return peers to name to those in `data_centre`, all of them in turn.
+        """Return the peers to name to those in `data_centre`, all of them in turn.
 
-        Neighbours get the names of hosts elsewhere too: any of them may have to
-        tell those what is new.  Only hosts that were recent here of late: if silent
-        ones were named too, two balancers would remind each other of a host that
-        is long gone.
+        Neighbours also get the names of remote hosts, because any of them may have to send those
+        what is new.  Only recently seen hosts are named: otherwise two balancers would keep
+        reminding each other of a host that is long gone.
         """
         self._turn += 1
         local = data_centre == self.me.data_centre
@@ -213,10 +213,10 @@
         return tuple((named[start:] + named[:start])[:_MAX_OTHERS])
 
     def next_remote(self, now: float) -> tuple[PeerAddress, ...]:
-        """Return one host of another data centre that is recent, each in turn, every ``REMOTE_NAMING_INTERVAL_S``.
+        """Return one live host of another data centre in turn, at the interval for remote naming.
 
-        What goes wrong without it: data centres that have no seed know those that have, and not
-        each other; when these are cut off, nobody tells them what they miss.
+        Without this, data centres that have no seed would know those that have one but not each
+        other, and would receive no reports while these are cut off.
         """
         if now < self._next_naming_at:
             return ()
@@ -232,7 +232,7 @@
         return (recent[self._turn % len(recent)],)
 
     def is_ahead_of(self, text_order: int, upstreams_revision: int, now: float) -> bool:
-        """Whether a living peer knows something newer than these revisions."""
+        """Whether a live peer knows something newer than these revisions."""
         for peer in self.live_neighbours(now):
             heartbeat = peer.heartbeat
             if heartbeat is not None and heartbeat.is_ahead_of(text_order, upstreams_revision):
@@ -240,7 +240,7 @@
         return False
 
     def busy_at_peers(self, now: float) -> dict[int, int]:
-        """Return the requests in progress that living peers see, by upstream."""
+        """Return the requests in progress that live peers count, by upstream."""
         total: dict[int, int] = {}
         for peer in self.live_neighbours(now):
             if peer.heartbeat is None:
@@ -250,7 +250,7 @@
         return total
 
     def local_rates(self, now: float) -> list[Mapping[str, float]]:
-        """Return the requests a second by service that living neighbours see."""
+        """Return the requests per second by service that live neighbours count."""
         return [
             peer.heartbeat.rate_by_service
             for peer in self.live_neighbours(now)
@@ -258,17 +258,17 @@
         ]
 
     def local_shares(self, now: float) -> tuple[FlowShare, ...]:
-        """Return the shares that a living neighbour reckoned last, none if nobody did."""
+        """Return the shares last computed by a live neighbour, none if there are none."""
         newest = self._newest_local(now, lambda heartbeat: heartbeat.shares is not None)
         return (newest and newest.shares) or ()
 
     def local_allowances(self, now: float) -> tuple[Allowance, ...]:
-        """Return the allowances that a living neighbour reckoned last, none if nobody did."""
+        """Return the allowances last computed by a live neighbour, none if there are none."""
         newest = self._newest_local(now, lambda heartbeat: heartbeat.allowances is not None)
         return (newest and newest.allowances) or ()
 
     def _newest_local(self, now: float, has: Callable[[Heartbeat], bool]) -> Heartbeat | None:
-        """Return the newest heartbeat of a living neighbour that `has` something."""
+        """Return the newest heartbeat of a live neighbour for which `has` is true."""
         newest: Peer | None = None
         for peer in self.live_neighbours(now):
             if peer.heartbeat is None or not has(peer.heartbeat):
@@ -286,7 +286,7 @@
 
 
 def rank_of(name: str) -> tuple[int, str]:
-    """Return the place of a balancer in the order of their names' hashes."""
+    """Return the sort key of a balancer in the order of their names' hashes."""
     return crc32(name.encode()), name
 
 
--- a/src/bronzekeel/core/routing/pools.py
+++ b/src/bronzekeel/core/routing/pools.py
@@ -1,50 +1,49 @@
-"""Count what this balancer has in progress at the upstreams of one service in one data centre."""
+"""Count the requests in progress at the upstreams of one service in one data centre."""
 
 from bronzekeel.core.routing.caller_shares import CallerShares
 
 
-#: What no number of requests reaches.
+#: Limit that no number of requests reaches.
 NO_LIMIT = float('inf')
 
-#: Requests in progress for each slot of the upstreams from which further ones wait: one that
-#: is worked on, and one that begins the moment it ends.  Source: with one and a half
-#: a slot idles for the way of the next request; with more, answers wait in queues at upstreams,
-#: where nothing can be put before them.
+#: Requests in progress per slot of the upstreams, beyond which further requests wait: one that is
+#: processed, and one that starts as soon as that one ends.  With one and a half, a slot idles for
+#: the travel time of the next request; with more, requests queue at the upstreams, where they
+#: cannot be overtaken by more important ones.
 REQUESTS_PER_SLOT = 2.0
 
-#: Weights of the newest flow in the mean time on the way and in its deviation, and how many
-#: deviations beyond the mean are waited for.  Source: RFC 6298, which does the same for
-#: acknowledgements.
+#: Weights of the newest sample in the mean round-trip time and in its deviation, and the number of
+#: deviations added to the mean for the timeout, as RFC 6298 does for acknowledgements.
 _MEAN_WEIGHT = 0.125
 _DEVIATION_WEIGHT = 0.25
 _DEVIATIONS = 4
 
-#: Seconds that are waited for the answer to an opening packet at least.  Source: five times the
-#: way between the users' callers and upstreams, and a quarter of the time after which
-#: callers repeat an opening packet.
+#: Minimum seconds to wait for the answer to an opening packet.  This is five times the travel time
+#: between the users' callers and upstreams, and a quarter of the time after which callers repeat an
+#: opening packet.
 MIN_ANSWER_TIMEOUT_S = 0.05
 
-#: Seconds on the way that a flow counts for at most: a longer one waited for something else.
+#: Upper bound of a round-trip sample in seconds; longer ones include other delays.
 _MAX_RTT_S = 0.5
 
-#: Seconds for which nothing must have waited for a queue to count as a new one.  Source: twice
-#: the usual work of an upstream; in an overload a queue is empty for a moment now and then.
+#: Seconds without waiting requests after which a queue counts as a new one.  This is twice the
+#: usual processing time of an upstream; in an overload a queue is briefly empty now and then.
 QUEUE_GAP_S = 0.1
 
 
 class Pool:
-    """Hold the requests in progress, and how many there may be.
-
-    New flows keep away while it is `evacuated`.  The demand on it is `controlled` where what its
-    upstreams can do is learned, and new flows go by it.
-    `busy` counts the requests of this balancer's callers that are in progress there, by own
-    sight.  From `limit` on further ones wait, and up to `allowance` they may come from flows that
-    found no room in the own data centre; `waiting` counts those that do, and the queue
-    of them began at `queued_since`; `waiting_open` of them are on open flows.  `callers` has the
-    shares of callers where demand is controlled, None elsewhere.  `answered` counts the requests
-    whose answers were acknowledged, `refused` the flows that were refused for want of room, and
-    `rtt_s` is the mean time in seconds that a packet and what comes back for it are on the way
-    between caller, balancer and upstream, without any work.
+    """Hold the number of requests in progress and its limits.
+
+    It gets no new flows while it is `evacuated`.  The demand on it is `controlled` if the capacity
+    of its upstreams is learned and used for the placement of new flows.  `busy` counts
+    the requests of this balancer's callers that are in progress in the pool, as observed by this
+    balancer.  Beyond `limit` further requests wait, and up to `allowance` they may come from flows
+    that found no free capacity in their local data centre.  `waiting` counts the waiting requests,
+    `waiting_open` those of them on open flows, and the queue began at `queued_since`.  `callers`
+    has the shares of callers if demand is controlled, otherwise None.  `answered` counts the
+    requests whose answers were acknowledged, `refused` the flows that were refused for lack of
+    capacity, and `rtt_s` is the mean round-trip time in seconds between caller, balancer and
+    upstream, without processing.
     """
 
     __slots__ = (
@@ -87,38 +86,38 @@
 
     @property
     def has_free_capacity(self) -> bool:
-        """Whether a further request may begin at once; those that wait come first."""
+        """Whether a further request may start at once; waiting requests come first."""
         return self.busy < self.limit and not self.waiting
 
     @property
     def has_allowance(self) -> bool:
-        """Whether a flow that found no room in its own data centre may come here."""
+        """Whether a flow that found no free capacity in its local data centre may come here."""
         return self.busy < self.allowance
 
     @property
     def answer_timeout_s(self) -> float:
-        """Seconds after which an opening packet that nothing followed is unanswered."""
+        """Seconds after which an opening packet that nothing followed counts as unanswered."""
         return max(MIN_ANSWER_TIMEOUT_S, self.rtt_s + _DEVIATIONS * self._rtt_deviation_s)
 
     def enqueue(self, now: float) -> None:
-        """Note that one more request waits."""
+        """Count a request that starts to wait."""
         if not self.waiting and now >= self._empty_since + QUEUE_GAP_S:
             self.queued_since = now
         self.waiting += 1
 
     def dequeue(self, now: float) -> None:
-        """Note that a request waits no longer."""
+        """Count a request that no longer waits."""
         self.waiting -= 1
         self._empty_since = now
 
     def queued_s(self, now: float) -> float:
-        """Return for how long requests have waited here, with breaks of less than ``QUEUE_GAP_S``."""
+        """Return the age of the queue in seconds; gaps below ``QUEUE_GAP_S`` don't end it."""
         if not self.waiting and now >= self._empty_since + QUEUE_GAP_S:
             return 0
         return now - self.queued_since
 
     def note_rtt(self, rtt_s: float) -> None:
-        """Take the seconds from an opening packet to the next packet of its flow."""
+        """Add a sample: the seconds from an opening packet to the next packet of its flow."""
         rtt_s = min(rtt_s, _MAX_RTT_S)
         if not self.rtt_s:
             self.rtt_s = rtt_s
--- a/src/bronzekeel/core/routing/relays.py
+++ b/src/bronzekeel/core/routing/relays.py
@@ -1,8 +1,8 @@
-"""Tell other data centres what is known, and hear from them what is not known here.
+"""Exchange heartbeats with other data centres.
 
-A watch may be deaf: the store says nothing to a host and closes nothing.  A few
-watchers of each data centre tell a few hosts of every other how new their views
-are, so a data centre whose watchers are all deaf hears of it.
+A watch may be stalled: the store sends nothing to a host and does not close the connection.  A few
+watchers of each data centre send a few hosts of every other one how new their views are, so that a
+data centre whose watchers are all stalled learns of changes.
 """
 
 from collections.abc import Mapping
@@ -12,34 +12,35 @@
 from bronzekeel.core.routing.peers import PEER_TIMEOUT_INTERVALS, Peer, PeerTable, rank_of
 
 
-#: Watchers of a data centre that tell other data centres, and hosts of each that
-#: are receivers.  Source: one may be deaf, or dead without anybody knowing yet.
+#: Number of watchers per data centre that send heartbeats to other data centres, and of hosts in
+#: each that receive them.  One may be stalled, or dead without having timed out yet.
 RELAYS = 2
 
-#: Interval in seconds at which they tell.  Source: with the wait before another data
-#: centre is asked (``PATIENCE_S``) and one fetch, a third of the shortest bound on a change
-#: (3 s) remains; 24 datagrams of 150 bytes a second among three data centres.
+#: Interval in seconds between these heartbeats.  Together with the wait before another data centre
+#: is asked (``PATIENCE_S``) and one fetch, a third of the shortest bound on a change (3 s) remains.
+#: It costs 24 datagrams of 150 bytes a second among three data centres.
 RELAY_S = 1.0
 
-#: The same while requests wait in the own data centre.  What goes wrong without it: a burst is
-#: everywhere, and each data centre sends its flows to another that had room a second ago.
+#: The same interval while requests wait in the local data centre.  With the longer interval, in a
+#: burst that affects all data centres, each would send its flows to another one that had free
+#: capacity a second ago.
 QUEUEING_RELAY_S = 0.25
 
 
 class Relays:
-    """Choose whom to tell, and find who elsewhere knows more."""
+    """Select the receivers of heartbeats in other data centres, and evaluate what they send."""
 
     def __init__(self, peers: PeerTable) -> None:
-        """Choose among `peers`."""
+        """Use the balancers in `peers`."""
         self._peers = peers
         self._last_sent_at: float = 0
         self._turn = 0
 
     def due(self, now: float, *, direct: bool, queueing: bool) -> list[tuple[str, int]]:
-        """Return the addresses in other data centres that are to be receivers now.
+        """Return the addresses in other data centres that are due for a heartbeat.
 
-        Only the first of those whose watches work (`direct`) tell, and more often while the data
-        centre is `queueing`.
+        Only the first balancers with working watches (`direct`) send them, and more often while
+        requests wait in the local data centre (`queueing`).
         """
         interval_s = QUEUEING_RELAY_S if queueing else RELAY_S
         if now < self._last_sent_at + interval_s:
@@ -58,7 +59,7 @@
         upstreams_revision: int,
         now: float,
     ) -> PeerAddress | None:
-        """Return a host of another data centre that lately knew more than these revisions."""
+        """Return a host of another data centre that recently knew more than these revisions."""
         for peers in self._peers.remote_by_centre().values():
             for peer in peers:
                 heartbeat = peer.heartbeat
@@ -69,9 +70,9 @@
         return None
 
     def remote_rates(self, now: float) -> dict[str, Mapping[str, float]]:
-        """Return what the callers of other data centres ask for, as receivers last.
+        """Return the last reported request rates of callers in other data centres.
 
-        Requests a second by service, by data centre.
+        The result has requests per second by service, by data centre.
         """
         return {
             centre: heartbeat.rate_by_service
@@ -79,9 +80,9 @@
         }
 
     def remote_loads(self, now: float) -> dict[str, Mapping[str, float]]:
-        """Return how busy upstreams of other data centres are, as receivers last.
+        """Return the last reported load of upstreams in other data centres.
 
-        Requests in progress a slot by service, by data centre.
+        The result has requests in progress per slot by service, by data centre.
         """
         return {
             centre: heartbeat.load_by_service
@@ -89,7 +90,7 @@
         }
 
     def remote_reports(self, now: float, within_s: float) -> dict[str, Heartbeat]:
-        """Return the newest heartbeat of each other data centre that tells what is asked there."""
+        """Return the newest heartbeat with demand of each other data centre in `within_s`."""
         newest_by_centre: dict[str, Heartbeat] = {}
         for centre, peers in self._peers.remote_by_centre().items():
             reporting = [
@@ -103,11 +104,11 @@
         return newest_by_centre
 
     def reports_demand(self, centre: str) -> bool:
-        """Whether a host of a data centre has receivers what is asked there, now or before."""
+        """Whether a host of a data centre has ever reported demand."""
         return any(map(_reports_demand, self._peers.remote_by_centre().get(centre, [])))
 
     def working_before(self, now: float) -> int:
-        """Return how many neighbours with working watches come before this balancer."""
+        """Return how many neighbours with working watches rank before this balancer."""
         rank = rank_of(self._peers.me.name)
         return sum(
             peer.heartbeat is not None
@@ -118,12 +119,12 @@
         )
 
     def centres_before(self, now: float) -> int:
-        """Return how many data centres that are fresh come before the own one."""
+        """Return how many data centres with a recent heartbeat rank before the local one."""
         rank = rank_of(self._peers.me.data_centre)
         return sum(rank_of(centre) < rank for centre in self._newest_by_centre(now))
 
     def _newest_by_centre(self, now: float) -> dict[str, Heartbeat]:
-        """Return the newest heartbeat of each other data centre that is fresh."""
+        """Return the newest recent heartbeat of each other data centre."""
         newest_by_centre: dict[str, Heartbeat] = {}
         for centre, peers in self._peers.remote_by_centre().items():
             fresh = [peer for peer in peers if peer.heartbeat and _is_fresh(peer, now)]
@@ -133,7 +134,7 @@
         return newest_by_centre
 
     def _receivers_in(self, peers: list[Peer], now: float) -> list[tuple[str, int]]:
-        """Return whom of one data centre to tell: those fresh first, all others in turn."""
+        """Return the receivers in one data centre: recently seen hosts, then others in turn."""
         self._turn += 1
         salt = str(self._turn)
         fresh = [peer for peer in peers if _is_fresh(peer, now)]
@@ -148,7 +149,7 @@
 
 
 def _is_fresh(peer: Peer, now: float) -> bool:
-    """Whether a host elsewhere was fresh within a few of its intervals."""
+    """Whether a remote host was seen within a few of its intervals."""
     return (
         peer.received_at is not None and now < peer.received_at + RELAY_S * PEER_TIMEOUT_INTERVALS
     )
--- a/src/bronzekeel/core/routing/siblings.py
+++ b/src/bronzekeel/core/routing/siblings.py
@@ -1,8 +1,8 @@
-"""Say which other services may take a flow of a route whose own service has no room.
+"""Find other services of a route for a flow whose own service has no free capacity.
 
-The weights of a text say where new flows go while there is room.  What goes wrong when they
-bind beyond that: a text leads most flows of a route to a small service, a crowd comes, and its
-callers are refused while the other service of the same route idles.
+The weights of a text distribute new flows while there is free capacity.  If they also applied
+beyond that, and a text sent most flows of a route to a small service, its callers would be refused
+in a surge while the other service of the same route is idle.
 """
 
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 def siblings_of(route: Route, service: str) -> list[str]:
     """Return the other services of a route, those with the largest weights first.
 
-    One without a weight is being prepared or taken away, and gets nothing.
+    A service with zero weight is being set up or removed, and gets nothing.
     """
     others = [share for share in route.shares if share.service != service and share.weight > 0]
     others.sort(key=lambda share: -share.weight)
@@ -23,7 +23,7 @@
 def with_free_capacity(
     upstreams: Iterable[Upstream], data_centre: str, now: float
 ) -> list[Upstream]:
-    """Return the upstreams of a data centre that answer and whose pool has room."""
+    """Return the responsive upstreams of a data centre whose pool has free capacity."""
     return [
         upstream
         for upstream in upstreams
--- a/src/bronzekeel/core/routing/store_answers.py
+++ b/src/bronzekeel/core/routing/store_answers.py
@@ -1,4 +1,4 @@
-"""Take what the store answers to lists and watches, in its order."""
+"""Handle the store's answers to lists and watches, in revision order."""
 
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import Effect, WriteLine
@@ -34,8 +34,8 @@
 from bronzekeel.core.routing.store_calls import continue_watch
 
 
-#: What is wrong, in the log, with an answer from before the store was restored.
-_OLD_INCARNATION = 'a former incarnation of the store answered'
+#: Problem that is logged for an answer from before the store was restored.
+_OLD_INCARNATION = 'answer from an earlier incarnation of the store'
 
 
 def on_page(state: RoutingState, event: PageRead, now: float) -> list[Effect]:
@@ -45,7 +45,8 @@
     follower.answered_at = now
     effects = _note_recovered(state, follower, now)
     effects.extend(_note_incarnation(state, follower, event.revision, now))
-    # Pages of two incarnations make no whole: what joined between them would look removed.
+    # Pages of two incarnations don't form one listing: upstreams that joined between them would
+    # seem removed.
     if not follower.is_page_of_listing(event.revision):
         return [*effects, follower.begin_listing()]
     last_name = follower.add_page(event.objects, event.revision)
@@ -67,8 +68,8 @@
         return on_failure(state, CallFailed(event.collection, _OLD_INCARNATION), now)
     effects = _note_recovered(state, follower, now)
     effects.extend(_note_incarnation(state, follower, event.revision, now))
-    # A restored store answers by the watch's number, which it has given out again: changes that
-    # are numbered below it would be missed.
+    # A restored store answers a watch by its revision number alone, and gives out numbers again, so
+    # changes with lower numbers would be missed.
     if not is_same_incarnation(event.revision, follower.watched_from):
         return [*effects, *follower.relist(now)]
     follower.relistings = 0
@@ -118,10 +119,11 @@
 
 
 def _apply_listing(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
-    """Take a listing that is whole.
+    """Apply a complete listing.
 
-    What goes wrong with a page at a time: the newest revision on it is reported to peers before the
-    other pages are read, and those that have fetched up to there ask for nothing more.
+    Pages are not applied one by one.  Otherwise the newest revision of the first page would be
+    announced to peers before the other pages are read, and peers that fetched up to that revision
+    would not ask for the rest.
     """
     if follower.collection is Collection.UPSTREAMS:
         note_restore(state, follower.listing_revision or 0, now)
@@ -137,15 +139,15 @@
 
 
 def _announced_state(state: RoutingState) -> tuple[int, int, frozenset[str]]:
-    """Return what differs when the store has reported something that peers should know at once."""
+    """Return the values whose change has to be announced to peers at once."""
     return state.text_order, state.directory.newest_revision, state.evacuated.centres
 
 
 def _note_recovered(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
-    """Note that the store answers again.
+    """Record that the store answers again.
 
-    Entries that lapsed during the outage get time to come back, counted from
-    here: without it a whole service would look gone right after an outage.
+    Entries that lapsed during the outage get a grace period from now on.  Without it, all upstreams
+    of a service would count as gone right after an outage.
     """
     if not follower.lost:
         return []
@@ -167,9 +169,9 @@
     reported: int,
     now: float,
 ) -> list[Effect]:
-    """Note which incarnation of the store answered, up to the revision that it `reported`.
+    """Record the incarnation of the store in the `reported` revision.
 
-    The watches of the other collections are made anew if it is a newer one.
+    If it is newer than the known one, the watches of the other collections are restarted.
     """
     incarnation = incarnation_of(reported)
     former = state.store_record.incarnation
@@ -215,11 +217,11 @@
 
 
 def _remove_unlisted(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
-    """Note the upstreams that a complete listing does not have.
+    """Remove the upstreams that are absent from a complete listing.
 
-    One with objects whose names could not be read may have them.  What a peer reported of
-    meanwhile may be newer than the listing, so a removal counts from the listing's own
-    revision.
+    Nothing is removed if the listing has objects with unreadable names, which may be any of them.
+    A peer may have reported entries newer than the listing, so a removal counts from the listing's
+    own revision.
     """
     effects: list[Effect] = []
     if follower.has_gaps:
@@ -234,9 +236,9 @@
 
 
 def _listed_evacuated(state: RoutingState, follower: Follower) -> Evacuated:
-    """Return what a complete listing says of evacuations.
+    """Return the evacuations in a complete listing.
 
-    One whose names could not all be read ends none of those that are known.
+    If some names in the listing are unreadable, all known evacuations stay in force.
     """
     known = state.evacuated if follower.has_gaps else NOTHING_EVACUATED
     found = {listed.name for listed in follower.objects if listed.name}
--- a/src/bronzekeel/core/routing/store_calls.py
+++ b/src/bronzekeel/core/routing/store_calls.py
@@ -1,4 +1,4 @@
-"""Decide which calls to the store are due, and leave them to other hosts where these make them."""
+"""Decide which calls to the store are due, and which can be left to other hosts."""
 
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import Effect, WriteLine
@@ -9,7 +9,7 @@
 
 
 def make_due_calls(state: RoutingState, now: float) -> list[Effect]:
-    """Make the calls to the store that are due."""
+    """Return the calls to the store that are due."""
     effects: list[Effect] = []
     watches = state.is_watcher(now)
     behind = is_long_behind(state, now)
@@ -21,7 +21,7 @@
 
 
 def continue_watch(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
-    """Watch on, or leave that to others when enough of them do."""
+    """Start the next watch, or pause if enough other balancers watch."""
     effect = follower.watch(now, stale=state.reads_stale(follower.collection, now))
     if state.is_watcher(now):
         return [effect]
@@ -37,7 +37,7 @@
     watches: bool,
     behind: bool,
 ) -> list[Effect]:
-    """Return the call that is due for one collection; leave it to others if they do it."""
+    """Return the call that is due for one collection, or pause if other balancers make it."""
     if follower.is_stalled(now):
         return _restart_stalled_watch(state, follower, now)
     if follower.is_delay_over(now) and (follower.is_current(now) or not watches):
@@ -53,7 +53,7 @@
 
 
 def _restart_stalled_watch(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
-    """Begin a watch anew that did not tell what a peer told."""
+    """Restart a watch that did not report a change that a peer reported."""
     line = WriteLine(
         LogNumber.WATCH_DOUBTED,
         collection=follower.collection.value,
--- a/src/bronzekeel/core/routing/unresponsive.py
+++ b/src/bronzekeel/core/routing/unresponsive.py
@@ -1,13 +1,13 @@
-"""Tell neighbours which upstreams leave opening packets unanswered, and take their word.
+"""Exchange with neighbours which upstreams leave opening packets unanswered.
 
-What goes wrong without it: an upstream crashes, and for the two seconds until its entry lapses
-each host has to lose a caller's flow to find that out.  Callers try again at once, through
-other hosts that do not know it yet; when all upstreams of a data centre crash together, their
-three tries end within milliseconds.  One notices by callers that fail while most upstreams
-are well, ever more of them the more hosts there are.
+Without this, when an upstream crashes, each host would have to lose a caller's flow to find that
+out in the two seconds until its entry lapses.  Callers try again at once, through other hosts that
+do not know it yet; when all upstreams of a data centre crash together, their three tries end within
+milliseconds.  The symptom is callers that fail while most upstreams are well, the more of them the
+more hosts there are.
 
-Load pattern: many hosts with a few new flows a second each.  Heartbeats say it, the first
-of them as soon as one is due to a small data centre.
+It matters with many hosts that have a few new flows per second each.  Heartbeats carry the reports,
+the first of them as soon as one is due in a small data centre.
 """
 
 from collections.abc import Mapping
@@ -16,25 +16,26 @@
 from bronzekeel.core.routing.state import RoutingState
 
 
-#: Seconds within which this host must have been answered by some upstream to tell of others.  What
-#: goes wrong without it: a host whose own link is broken keeps all others from upstreams that are
-#: well.  Source: a host of the smallest share has a new flow each 0.3 s.
+#: Seconds within which some upstream must have answered this host before it reports others as
+#: unresponsive.  Otherwise a host whose own link is broken would keep all others from upstreams
+#: that are well.  A host with the smallest share of flows has a new flow every 0.3 s.
 OWN_LINK_CHECK_S = 1.0
 
-#: Upstreams of which it is told at most, those that were unresponsive last.  Source: at 15 bytes each
-#: they are less than half of a heartbeat.
+#: Maximum number of reported upstreams, the most recently unresponsive first.  At 15 bytes each
+#: they take less than half of a heartbeat.
 MAX_UNRESPONSIVE = 12
 
-#: Seconds for which an own answer is believed more than a neighbour's word.  Source: a neighbour
-#: tells what it found before its last heartbeat, which is a second old in a large data centre.
+#: Seconds for which an own answer overrides a neighbour's report.  A neighbour reports what it
+#: observed before its last heartbeat, which is a second old in a large data centre.
 OWN_ANSWER_TRUSTED_S = 1.0
 
 
 def unresponsive_upstreams(state: RoutingState, now: float) -> dict[int, int]:
     """Return the upstreams that this host itself found unresponsive, by short number.
 
-    It says how many opening packets in a row nobody answered, its own and those it was told of.
-    What it was only told it does not tell on: two hosts would remind each other without end.
+    The values count the consecutive unanswered opening packets, including those reported by others.
+    Upstreams that were only reported by others are left out: otherwise two hosts would remind each
+    other without end.
     """
     if now >= state.flows.heard_at + OWN_LINK_CHECK_S:
         return {}
@@ -50,10 +51,10 @@
 def apply_unresponsive(
     state: RoutingState, unanswered_by_number: Mapping[int, int], now: float
 ) -> None:
-    """Give no new flows to the upstreams that a neighbour found unresponsive, for a while.
+    """Give no new flows for a while to the upstreams that a neighbour found unresponsive.
 
-    Its findings count as own ones, so each further one in the data centre makes the wait longer;
-    word that is heard again changes nothing.
+    Its observations count as own ones, so each further one in the data centre makes the wait
+    longer; a report that is received again changes nothing.
     """
     for number, unanswered in unanswered_by_number.items():
         upstream = state.directory.by_number.get(number)
--- a/src/bronzekeel/core/routing/watcher_selection.py
+++ b/src/bronzekeel/core/routing/watcher_selection.py
@@ -1,47 +1,45 @@
-"""Decide who watches the store for a data centre.
+"""Select the balancers that watch the store for a data centre.
 
-A few balancers of a data centre watch the store; the others learn from them.
-Without that each change would cost the store a call a host and collection.  One
-that hears no watcher watches for itself, so a wrong choice costs calls and never
-a change.
+A few balancers of each data centre watch the store and the others learn from them.  Without this,
+each change would cost one store call per host and collection.  A balancer that receives nothing
+from a watcher watches for itself, so a wrong selection costs extra calls but never misses a change.
 """
 
 from bronzekeel.core.routing.peers import PeerTable, rank_of
 from bronzekeel.core.routing.relays import Relays
 
 
-#: Balancers that watch the store in all data centres together, those of one at least and at
-#: most.  Source: the store may be silent towards a third of all hosts; with nine, all of them
-#: are deaf in one of twenty thousand such faults.  Where the watchers of one data centre are,
-#: another data centre tells it (``RELAY_S``).
+#: Number of balancers that watch the store over all data centres, and the minimum and maximum per
+#: data centre.  The store may be unresponsive to a third of all hosts; with nine watchers, all of
+#: them are stalled in one of twenty thousand such faults.  If all watchers of one data centre are
+#: stalled, another data centre reports the change (``RELAY_S``).
 TOTAL_WATCHERS = 9
 MIN_WATCHERS_PER_CENTRE = 2
 MAX_WATCHERS_PER_CENTRE = 3
 
-#: Watchers, each of another data centre, that ask the store for its newest upstreams; all others
-#: may be has_watcher seconds late, at a tenth of the cost to the store.  Source: two of them are
-#: seldom deaf or cut off together, and what they know reaches the others within two seconds.
+#: Watchers, each in a different data centre, that read upstreams from the store without staleness.
+#: All others may learn of changes seconds late, at a tenth of the cost to the store.  Two of them
+#: are seldom stalled or cut off together, and what they know reaches the others within two seconds.
 NEWEST_READERS = 2
 
-#: Balancers that watch where no other data centre is known: nobody tells deaf
-#: watchers there.  All but a third of the hosts must hear, and of many hosts one
-#: in ``HOSTS_PER_WATCHER`` watches: with nine watchers, all are deaf in one of
+#: Minimum number of watchers where no other data centre is known, since no other data centre can
+#: report changes to stalled watchers there.  All but a third of the hosts must receive changes, and
+#: of many hosts one in ``HOSTS_PER_WATCHER`` watches: with nine watchers, all are stalled in one of
 #: twenty thousand such faults.
 MIN_WATCHERS_SINGLE_CENTRE = 4
 HOSTS_PER_WATCHER = 3
 
-#: Balancers of a data centre that the store does not answer from which no further ones try.  What
-#: goes wrong without it: in an outage each takes the place of those before it, until all hosts
-#: of a large data centre call a store that is down.  Source: where the store is silent towards a
-#: third of the hosts, six that are all among them are one case in seven hundred; then another
-#: data centre tells what is new.
+#: Number of balancers without an answer from the store at which no further ones try.  Without this
+#: limit, each balancer takes over from those before it in an outage, until all hosts of a large
+#: data centre call a store that is down.  If the store is unresponsive to a third of the hosts, six
+#: that are all among them are one case in seven hundred; then another data centre reports what is
+#: new.
 MAX_LOST_WATCHERS = 6
 
-#: Intervals of heartbeats after which a silent host no longer counts as a watcher,
-#: or as one that would become it.  What goes wrong with more: all watchers of a
-#: large data centre are killed at once, and the others go by an old text until they
-#: count as dead.  Source: one heartbeat that is late; a lost one makes a host too
-#: many watch for a moment.
+#: Heartbeat intervals after which a host that sent no heartbeat no longer counts as a watcher or as
+#: a candidate.  One late heartbeat is tolerated; after a lost one, one host too many watches for a
+#: moment.  With a larger value, if all watchers of a large data centre are killed at once, the
+#: others would use an outdated text until they time the watchers out.
 WATCHER_TIMEOUT_INTERVALS = 1.5
 
 
@@ -58,10 +56,10 @@
 def is_watcher(peers: PeerTable, now: float, *, direct: bool, lost: bool) -> bool:
     """Whether this balancer has to watch the store.
 
-    Those whose watches work do, the first by their names' hashes.  While
-    they are too few, the first of the others try, until ``MAX_LOST_WATCHERS`` have tried in
-    vain; one that the store does not answer (`lost`) goes on trying and takes nobody's place.
-    `direct` tells that our own watches work.
+    Balancers whose watches work are selected in the order of their names' hashes.  While there are
+    too few of them, the first of the others try, until ``MAX_LOST_WATCHERS`` have tried in vain.  A
+    balancer that the store does not answer (`lost`) keeps trying without displacing others.
+    `direct` is true if this balancer's own watches work.
     """
     rank = rank_of(peers.me.name)
     working = 0
@@ -89,7 +87,7 @@
 
 
 def reads_newest(relays: Relays, now: float) -> bool:
-    """Whether this balancer's watch of upstreams must not be stale."""
+    """Whether this balancer must read upstreams from the store without staleness."""
     return not relays.working_before(now) and relays.centres_before(now) < NEWEST_READERS
 
 
@@ -99,7 +97,7 @@
     upstreams_revision: int,
     now: float,
 ) -> bool:
-    """Whether a living watcher knows nothing newer than these revisions."""
+    """Whether there is a live watcher, and none that knows more than these revisions."""
     has_watcher = False
     for peer in peers.live_neighbours(now, WATCHER_TIMEOUT_INTERVALS):
         heartbeat = peer.heartbeat
