--- a/src/bronzekeel/core/routing/evacuations.py
+++ b/src/bronzekeel/core/routing/evacuations.py
@@ -55,14 +55,14 @@
     """
     if reported.as_of <= state.evacuated.as_of:
         return []
-    closed = state.directory.evacuated_centres
-    former = closed.names
-    closed.apply(reported, now)
+    evacuated = state.directory.evacuated_centres
+    former = evacuated.names
+    evacuated.apply(reported, now)
     state.directory.update_evacuated_pools()
     state.follower_by_collection[Collection.EVACUATIONS].adopt(reported.as_of)
     return [
-        *_lines(LogNumber.EVACUATED, closed.names - former, reported.as_of, source),
-        *_lines(LogNumber.TAKEN_BACK, former - closed.names, reported.as_of, source),
+        *_lines(LogNumber.EVACUATED, evacuated.names - former, reported.as_of, source),
+        *_lines(LogNumber.TAKEN_BACK, former - evacuated.names, reported.as_of, source),
     ]
 
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Test that an evacuated data centre gets no new flows, everywhere and in the store's order."""
+"""Test that an evacuated data centre gets no new flows on any host, in the store's order."""
 
 from unittest import TestCase
 
@@ -45,14 +45,14 @@
 )
 
 
-_AWAY = 'dc-b'
-_CENTRES = (HOME, _AWAY, 'dc-c')
+_REMOTE = 'dc-b'
+_CENTRES = (HOME, _REMOTE, 'dc-c')
 
-#: Seconds within which every host that reaches the store or a neighbour acts on an evacuation.
+#: Seconds within which every host that reaches the store or a neighbour applies an evacuation.
 _IN_FORCE_S = 1.0
 
-#: Seconds within which a data centre hears what only another one's watches tell.
-_TOLD_S = 2.0
+#: Seconds within which a data centre learns what only another one's watches report.
+_REPORTED_S = 2.0
 
 _HOSTS = 3
 _HOST = st.integers(0, _HOSTS - 1)
@@ -60,18 +60,18 @@
 
 
 class PlacementTest(TestCase):
-    """Where flows go while a data centre is evacuated."""
+    """Placement of flows while a data centre is evacuated."""
 
     def setUp(self) -> None:
-        """Know one upstream at home and one away."""
-        self.state = ready_state(entry(1), entry(2, data_centre=_AWAY))
+        """Start with one local and one remote upstream."""
+        self.state = ready_state(entry(1), entry(2, data_centre=_REMOTE))
         self.steering = steering(self.state)
 
     def test_new_flows_go_elsewhere_at_once(self) -> None:
-        """Symptom: people work on a data centre, and callers' new flows end there.
+        """New flows of an evacuated data centre go to another one at once, and come back.
 
-        Sequence: operators evacuate the data centre; callers near to it open flows.
-        Cause: placement prefers what is near and knows of upstreams alone.
+        Placement prefers local upstreams.  If it regarded upstreams alone, new flows would go to a
+        data centre under maintenance.
         """
         _change(self.state, 50, HOME)
         self.assertEqual('i-00000002', delivered_to(self.steering.decide(opening(1), 1)))
@@ -79,10 +79,9 @@
         self.assertEqual('i-00000001', delivered_to(self.steering.decide(opening(2), 2)))
 
     def test_an_open_flow_stays(self) -> None:
-        """Symptom: an evacuation cuts feeds that were open for hours.
+        """An evacuation does not reset or move open flows.
 
-        Sequence: a flow opens, its data centre is evacuated, the caller asks again.
-        Cause: a flow cannot be moved: another upstream does not hold it, and a reset breaks it.
+        Another upstream does not know the flow, and a reset would break it.
         """
         given_id = id_given(self.steering.decide(opening(1), 0))
         self.steering.decide(asking(1, given_id), 0.1)
@@ -91,21 +90,20 @@
             self.assertEqual('i-00000001', delivered_to(self.steering.decide(packet, 10)))
 
     def test_a_flow_is_refused_where_all_is_evacuated(self) -> None:
-        """Symptom: work goes on in a data centre whose upstreams get requests.
+        """A flow is refused if all data centres with its upstreams are evacuated.
 
-        Sequence: all upstreams of a service are in evacuated data centres.
-        Cause: serving callers is put before the operators' word, which must always hold.
+        Serving callers must not override an evacuation: people work on those data centres.
         """
         _change(self.state, 50, HOME)
-        _change(self.state, 51, _AWAY)
+        _change(self.state, 51, _REMOTE)
         verdict = delivered_to(self.steering.decide(opening(1), 1))
         self.assertEqual('Reset no_upstream', verdict)
 
     def test_an_upstream_that_is_listed_later_gets_nothing(self) -> None:
-        """Symptom: a release during an evacuation brings flows back.
+        """An upstream that is listed after the evacuation gets no new flows either.
 
-        Sequence: a data centre without upstreams is evacuated; one starts there.
-        Cause: the evacuation was noted at the upstreams that were known then.
+        A data centre without upstreams is evacuated, and then one starts there.  If the evacuation
+        were stored only at the upstreams known at that time, a release would bring flows back.
         """
         _change(self.state, 50, 'dc-c')
         listed = StoredObject('i-00000009', 60, entry(9, revision=60, data_centre='dc-c'))
@@ -114,41 +112,40 @@
         self.assertFalse(upstream.accepts_flows(1))
 
     def test_a_repeat_is_not_sent_to_an_evacuated_data_centre(self) -> None:
-        """Symptom: opening packets reach a data centre long after its evacuation.
+        """A repeated opening packet does not follow the first one into an evacuated data centre.
 
-        Sequence: an opening packet was placed; before its repeat the data centre is evacuated.
-        Cause: the repeat follows the first packet.
+        The data centre is evacuated between the packet and its repeat.
         """
         self.steering.decide(opening(1), 0)
         _change(self.state, 50, HOME)
         repeat = self.steering.decide(opening(1, copy=1), 0.2)
         self.assertEqual('i-00000002', delivered_to(repeat))
 
-    def test_what_returns_is_limited_from_the_first_moment(self) -> None:
-        """Symptom: the upstreams of a data centre turn callers away when it is taken back.
+    def test_a_pool_is_limited_when_its_evacuation_ends(self) -> None:
+        """Pools of an evacuated data centre have a limit before the evacuation ends.
 
-        Sequence: all balancers send there at once; the limits are reckoned a second later.
-        Cause: a pool without slots for new flows had no limit.
+        When it ends, all balancers send there at once, and limits are computed only a second later.
+        Without a limit until then, the upstreams would be overloaded and turn callers away.
         """
-        state = ready_state(entry(1), entry(2, data_centre=_AWAY), admission_of=_LIMITED)
+        state = ready_state(entry(1), entry(2, data_centre=_REMOTE), admission_of=_LIMITED)
         _change(state, 50, HOME)
         for tick in range(12):
             reduce(state, Ticked(), 1 + tick / 10)
         pool = state.directory.by_name['i-00000001'].pool
         self.assertLess(pool.limit, NO_LIMIT)
 
-    def test_its_callers_share_the_room_elsewhere(self) -> None:
-        """Symptom: all callers of an evacuated data centre go to one other at once.
+    def test_its_callers_share_remote_free_capacity(self) -> None:
+        """Remote pools are limited when the local data centre is evacuated.
 
-        Sequence: a data centre is evacuated whose upstreams could take all that comes.
-        Cause: its callers are not counted as ones without upstreams at home.
+        Callers of an evacuated data centre must count as callers without local upstreams.
+        Otherwise all of them would go to one other data centre at once.
         """
-        state = ready_state(entry(1), entry(2, data_centre=_AWAY))
-        away = PeerAddress('b1', _AWAY, ('b1', 9))
+        state = ready_state(entry(1), entry(2, data_centre=_REMOTE))
+        remote = PeerAddress('b1', _REMOTE, ('b1', 9))
         for evacuated in (False, True):
             if evacuated:
                 _change(state, 50, HOME)
-            busy = Heartbeat(away, 1, 1, {}, (), {PORTAL: 40}, load_by_service={PORTAL: 1})
+            busy = Heartbeat(remote, 1, 1, {}, (), {PORTAL: 40}, load_by_service={PORTAL: 1})
             reduce(state, HeartbeatHeard(busy), 1 + evacuated)
             reduce(state, Ticked(), 1 + evacuated)
             limited = state.directory.by_name['i-00000002'].pool.limit < NO_LIMIT
@@ -156,28 +153,28 @@
 
 
 class OrderTest(TestCase):
-    """Which word holds."""
+    """Order of reports about evacuations."""
 
-    def test_an_older_word_changes_nothing(self) -> None:
-        """Symptom: an evacuation that was taken back is in force again.
+    def test_an_older_report_changes_nothing(self) -> None:
+        """A report that is older than the known state changes nothing.
 
-        Sequence: it stands and is taken back; a peer that was cut off tells what it knew.
-        Cause: a host believes whoever spoke last.
+        An evacuation is set and revoked, and a peer that was cut off reports what it knew.  If the
+        last report counted, the evacuation would be in force again.
         """
         state = ready_state(entry(1))
         _change(state, 50, HOME)
         _change(state, 60, HOME, stands=False)
-        _tell(state, Evacuated(55, frozenset((HOME,))))
+        _report(state, Evacuated(55, frozenset((HOME,))))
         self.assertFalse(state.evacuated.centres)
-        _tell(state, Evacuated(70, frozenset((HOME,))))
+        _report(state, Evacuated(70, frozenset((HOME,))))
         self.assertEqual({HOME}, state.evacuated.centres)
 
-    def test_hosts_that_started_since_are_not_taken_back(self) -> None:
-        """Symptom: a host that comes back from a cut evacuates a data centre for everybody.
+    def test_restarted_hosts_ignore_an_outdated_report(self) -> None:
+        """Old reports of a host that was cut off don't affect hosts that restarted since.
 
-        Sequence: a data centre is evacuated, another is cut off; the evacuation is taken back;
-        all hosts but those in the cut restart, so nobody remembers it; the cut ends.
-        Cause: hosts tell what stands, and not as of when.
+        A data centre is evacuated, another one is cut off, and the evacuation is revoked.  All
+        hosts outside the cut restart, so that none remembers it, and the cut ends.  Without the
+        revision of each report, a host from the cut would evacuate the data centre for everybody.
         """
         fleet = fleet_of(4, _CENTRES)
         fleet.run(5)
@@ -201,7 +198,7 @@
         changes: list[tuple[str, bool]],
         splits: list[int],
     ) -> None:
-        """Changes that are told twice, or in pieces that overlap, end in what the store has."""
+        """Changes that are reported twice, or in overlapping parts, end in the store's state."""
         state = ready_state(entry(1))
         truth: set[str] = set()
         stored = []
@@ -214,10 +211,10 @@
         self.assertEqual(truth, state.evacuated.centres)
 
     def test_a_listing_ends_what_it_does_not_have(self) -> None:
-        """Symptom: a data centre stays evacuated for ever.
+        """A listing ends evacuations that it does not contain.
 
-        Sequence: the store loses its history while an evacuation is taken back.
-        Cause: only an event ends it.
+        The store loses its history while an evacuation is revoked.  If only a change could end it,
+        the data centre would stay evacuated forever.
         """
         state = ready_state(entry(1))
         _change(state, 50, HOME)
@@ -226,41 +223,41 @@
         self.assertFalse(state.evacuated.centres)
 
     def test_a_listing_with_a_gap_ends_nothing(self) -> None:
-        """Symptom: an evacuation ends although it stands.
+        """A listing with an unreadable name ends no evacuation.
 
-        Sequence: another writer's object has no name that can be read.
-        Cause: what the listing does not name is taken for removed.
+        If what the listing does not name counted as removed, an object of another writer with an
+        unreadable name would end an evacuation that stands.
         """
         state = ready_state(entry(1))
         _change(state, 50, HOME)
         gap = StoredObject('', 0, Unreadable('no name'))
-        other = _stored(80, _AWAY)
+        other = _stored(80, _REMOTE)
         reduce(state, HistoryLost(Collection.EVACUATIONS), 2)
         reduce(state, PageRead(Collection.EVACUATIONS, [gap, other], 90, more=False), 2)
-        self.assertEqual({HOME, _AWAY}, state.evacuated.centres)
+        self.assertEqual({HOME, _REMOTE}, state.evacuated.centres)
 
 
 class EvacuationsModel(RuleBasedStateMachine):
-    """Let three hosts read a store, each other, old answers and old word, and restart.
+    """Let three hosts read a store, each other and outdated reports, and restart.
 
-    After every step each host goes by what the store had at the revision that it names, and
-    that revision never goes back.
+    After every step the evacuations of each host are those that the store had at the revision that
+    the host names, and that revision never goes back.
     """
 
     @initialize()
     def begin(self) -> None:
-        """Start with a store that has nothing evacuated."""
+        """Start with a store without evacuations."""
         self.store = StoreModel()
         self.truth_by_revision: dict[int, frozenset[str]] = {0: frozenset()}
         self.truth_by_revision[self.store.revision] = frozenset()
-        self.copies = [self.store.copy()]
+        self.backups = [self.store.copy()]
         self.states = [fresh_state(f'h{number}') for number in range(_HOSTS)]
         self.seen = [0 for _ in self.states]
-        self.kept_heartbeats: list[Heartbeat] = []
+        self.sent_heartbeats: list[Heartbeat] = []
 
     @rule(centre=st.sampled_from(_CENTRES), stands=st.booleans())
     def change(self, centre: str, stands: bool) -> None:  # noqa: FBT001 (drawn by the search)
-        """Evacuate a data centre, or take it back."""
+        """Evacuate a data centre, or revoke its evacuation."""
         if stands:
             self.store.put(Collection.EVACUATIONS, centre, lambda revision: Evacuation())
         else:
@@ -270,33 +267,33 @@
 
     @rule()
     def change_text(self) -> None:
-        """Let the revision rise by something else."""
+        """Increase the revision by another change."""
         self.store.put(Collection.TEXT, 'main', text)
         standing = frozenset(self.store.by_collection[Collection.EVACUATIONS])
         self.truth_by_revision[self.store.revision] = standing
 
     @rule()
     def keep_copy(self) -> None:
-        """Make a copy of the store."""
-        self.copies.append(self.store.copy())
+        """Make a backup of the store."""
+        self.backups.append(self.store.copy())
 
     @rule(index=st.integers(0, 10))
     def restore(self, index: int) -> None:
-        """Let the store come back from a copy."""
-        self.store.restore(self.copies[index % len(self.copies)])
+        """Restore the store from a backup."""
+        self.store.restore(self.backups[index % len(self.backups)])
         standing = frozenset(self.store.by_collection[Collection.EVACUATIONS])
         self.truth_by_revision[self.store.revision] = standing
 
     @rule(host=_HOST)
     def read_page(self, host: int) -> None:
-        """Let a host list what stands."""
+        """Make a host list the evacuations."""
         state = self.states[host]
         state.follower_by_collection[Collection.EVACUATIONS].begin_listing()
         self._answer(host, self.store.page(Collection.EVACUATIONS))
 
     @rule(host=_HOST)
     def read_changes(self, host: int) -> None:
-        """Let a host's watch answer."""
+        """Make a host's watch return an answer."""
         follower = self.states[host].follower_by_collection[Collection.EVACUATIONS]
         if follower.listed:
             follower.resume()
@@ -304,27 +301,27 @@
 
     @rule(teller=_HOST, host=_HOST)
     def tell(self, teller: int, host: int) -> None:
-        """Let a host hear another, and keep the word for later."""
+        """Send a heartbeat from one host to another, and retain it for later."""
         heartbeat = local_heartbeat(self.states[teller], 1)
-        self.kept_heartbeats.append(heartbeat)
+        self.sent_heartbeats.append(heartbeat)
         reduce(self.states[host], HeartbeatHeard(heartbeat), 1)
 
     @rule(host=_HOST, index=st.integers(0, 40))
     def tell_late(self, host: int, index: int) -> None:
-        """Let word from long ago arrive."""
-        if self.kept_heartbeats:
-            heartbeat = self.kept_heartbeats[index % len(self.kept_heartbeats)]
+        """Deliver an old heartbeat."""
+        if self.sent_heartbeats:
+            heartbeat = self.sent_heartbeats[index % len(self.sent_heartbeats)]
             reduce(self.states[host], HeartbeatHeard(heartbeat), 1)
 
     @rule(host=_HOST)
     def restart(self, host: int) -> None:
-        """Let a host start anew, knowing nothing."""
+        """Restart a host without any knowledge."""
         self.states[host] = fresh_state(f'h{host}')
         self.seen[host] = 0
 
     @invariant()
     def each_goes_by_what_the_store_had(self) -> None:
-        """What a host knows is true as of the revision that it names."""
+        """The evacuations known to a host are those of the store at the revision it names."""
         for host, state in enumerate(self.states):
             evacuated = state.evacuated
             assert evacuated.centres == self.truth_by_revision[evacuated.as_of], host
@@ -346,10 +343,10 @@
 
 
 class FleetTest(TestCase):
-    """How soon all hosts know."""
+    """Time until all hosts know of an evacuation."""
 
     def test_all_know_within_a_second(self) -> None:
-        """One write is in force at every host, and taken back the same way."""
+        """An evacuation and its end are in force on every host within a second."""
         fleet = fleet_of(8, _CENTRES)
         fleet.run(12)
         _evacuate(fleet, HOME)
@@ -359,40 +356,40 @@
         fleet.run(_IN_FORCE_S)
         self.assertEqual({frozenset()}, _known(fleet))
 
-    def test_a_data_centre_whose_watchers_are_deaf_is_told(self) -> None:
-        """Symptom: one data centre sends flows to another that is evacuated.
+    def test_a_data_centre_with_stalled_watchers_learns_of_it(self) -> None:
+        """A data centre whose watchers are all stalled learns of an evacuation from others.
 
-        Sequence: the store falls silent towards all hosts of it; nothing is closed.
-        Cause: its watches wait for a change that is not told to them.
+        The store stops answering all its hosts without closing connections, so their watches wait
+        for a change that is never reported to them.  Without reports of other data centres they
+        would send flows to an evacuated one.
         """
-        for deaf in _CENTRES:
-            with self.subTest(deaf=deaf):
+        for stalled in _CENTRES:
+            with self.subTest(stalled=stalled):
                 fleet = fleet_of(4, _CENTRES)
                 fleet.run(12)
-                names = [name for name in fleet.node_by_name if name.startswith(deaf)]
+                names = [name for name in fleet.node_by_name if name.startswith(stalled)]
                 fleet.lose_store(names, 'silent')
                 _evacuate(fleet, HOME)
-                fleet.run(_TOLD_S)
+                fleet.run(_REPORTED_S)
                 self.assertEqual({frozenset((HOME,))}, _known(fleet))
 
-    def test_stale_watches_are_told_by_others(self) -> None:
-        """Stale reads are six seconds behind; all hosts know within two."""
+    def test_stale_watchers_learn_of_it_from_others(self) -> None:
+        """All hosts know within two seconds, although stale reads are six seconds behind."""
         fleet = fleet_of(4, _CENTRES)
         fleet.store.stale_by_s = 6
         fleet.run(20)
         _evacuate(fleet, HOME)
-        fleet.run(_TOLD_S)
+        fleet.run(_REPORTED_S)
         self.assertEqual({frozenset((HOME,))}, _known(fleet))
 
     def test_a_host_that_starts_in_a_cut_knows_before_it_serves(self) -> None:
-        """Symptom: a host sends flows to an evacuated data centre.
+        """A host that starts while cut off from the store knows of evacuations before it is ready.
 
-        Sequence: it restarts while its data centre is cut off from the store.
-        Cause: it serves by text and upstreams alone.
+        If text and upstreams alone made it ready, it would send flows to an evacuated data centre.
         """
         fleet = fleet_of(3, _CENTRES)
         fleet.run(5)
-        _evacuate(fleet, _AWAY)
+        _evacuate(fleet, _REMOTE)
         fleet.run(2)
         fleet.cut_centres.add(HOME)
         fleet.restart('dc-a-1')
@@ -401,11 +398,11 @@
             fleet.run(0.05)
             state = fleet.node_by_name['dc-a-1'].state
             if state.ready:
-                self.assertEqual({_AWAY}, state.evacuated.centres)
+                self.assertEqual({_REMOTE}, state.evacuated.centres)
         self.assertTrue(state.ready)
 
     def test_restarts_in_an_outage_forget_nothing(self) -> None:
-        """A rolling restart in an outage forgets no evacuation."""
+        """A rolling restart during an outage of the store loses no evacuation."""
         fleet = fleet_of(3, _CENTRES)
         fleet.run(5)
         _evacuate(fleet, HOME)
@@ -417,7 +414,7 @@
         self.assertEqual({frozenset((HOME,))}, _known(fleet))
 
     def test_nobody_serves_before_it_knows(self) -> None:
-        """Text and upstreams alone make no host ready."""
+        """Text and upstreams without evacuations don't make a host ready."""
         state = fresh_state()
         reduce(state, page(Collection.TEXT, text(1)), 0)
         reduce(state, page(Collection.UPSTREAMS, entry(1)), 0)
@@ -426,34 +423,35 @@
         self.assertTrue(state.ready)
 
 
-class TellingTest(TestCase):
-    """What goes over the wire, and into the log."""
+class HeartbeatAndLogTest(TestCase):
+    """Evacuations in heartbeats and in the log."""
 
-    def test_a_heartbeat_tells_it(self) -> None:
-        """What is told is what is known."""
+    def test_a_heartbeat_reports_it(self) -> None:
+        """A heartbeat reports the known evacuations."""
         state = ready_state(entry(1))
         _change(state, 50, HOME)
         back = decode_heartbeat(encode_heartbeat(local_heartbeat(state, 1)))
         self.assertEqual((50, {HOME}), (back.evacuated.as_of, back.evacuated.centres))
 
     def test_thousands_of_names_stay_out_of_heartbeats(self) -> None:
-        """Symptom: no balancer hears another any more.
+        """A heartbeat leaves out evacuated data centres without upstreams if there are too many.
 
-        Sequence: another writer puts thousands of objects among the evacuations.
-        Cause: a heartbeat that names them all fits in no datagram.
+        Another writer adds thousands of objects to the evacuations.  A heartbeat with all their
+        names would fit in no datagram, and balancers would no longer receive each other's
+        heartbeats.
         """
         state = ready_state(entry(1))
         _change(state, 50, HOME)
         for number in range(MAX_EVACUATED * 2):
             _change(state, 51 + number, f'nowhere-{number}')
-        told = local_heartbeat(state, 1).evacuated
-        self.assertEqual({HOME}, told.centres)
+        reported = local_heartbeat(state, 1).evacuated
+        self.assertEqual({HOME}, reported.centres)
 
     def test_a_heartbeat_with_a_wrong_revision_is_unreadable(self) -> None:
-        """Symptom: an evacuation can't be taken back.
+        """A heartbeat with an invalid revision is unreadable.
 
-        Sequence: a peer of another version tells a revision that is no number.
-        Cause: it is newer than every other.
+        A revision that is no number, from a peer of another version, would count as newer than all
+        others, and the evacuation could not be revoked.
         """
         raw = encode_heartbeat(local_heartbeat(ready_state(entry(1)), 1))
         broken = raw.replace(b'"evacuated":[[0,0],', b'"evacuated":[[0,1e400],')
@@ -462,7 +460,7 @@
             decode_heartbeat(broken)
 
     def test_each_change_has_its_line(self) -> None:
-        """Who told it, and as of when, is logged once."""
+        """The source and the revision of a change are logged once."""
         state = ready_state(entry(1))
         effects = reduce(state, ChangesRead(Collection.EVACUATIONS, [_stored(50, HOME)], 50), 1)
         lines = [effect for effect in effects if isinstance(effect, WriteLine)]
@@ -480,13 +478,13 @@
 
 
 def _change(state: RoutingState, revision: int, centre: str, *, stands: bool = True) -> None:
-    """Let the own watch tell that an evacuation stands or was taken back."""
+    """Make the own watch report that an evacuation was set or revoked."""
     stored = _stored(revision, centre, stands=stands)
     reduce(state, ChangesRead(Collection.EVACUATIONS, [stored], revision), 1)
 
 
-def _tell(state: RoutingState, evacuated: Evacuated) -> None:
-    """Let a neighbour tell what it knows."""
+def _report(state: RoutingState, evacuated: Evacuated) -> None:
+    """Deliver a neighbour's heartbeat with evacuations."""
     sender = PeerAddress('a2', HOME, ('a2', 9))
     heartbeat = Heartbeat(sender, 1, 1, {}, evacuated=evacuated)
     reduce(state, HeartbeatHeard(heartbeat), 1)
@@ -503,5 +501,5 @@
 
 
 def _known(fleet: RoutingFleet) -> set[frozenset[str]]:
-    """Return what the balancers take for evacuated; one member if they agree."""
+    """Return the sets of evacuations known to the balancers; a single one if they agree."""
     return {node.state.evacuated.centres for node in fleet.running}
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Test what a balancer believes of the store while the store and its network fail."""
+"""Test a balancer's view of the store while the store and its network fail."""
 
 from unittest import TestCase
 
@@ -51,17 +51,17 @@
 
 
 class ListingTest(TestCase):
-    """Read everything before taking traffic."""
+    """A host reads everything before it takes traffic."""
 
     def test_ready_only_after_all_pages_of_all(self) -> None:
-        """Symptom: a fresh host refuses callers whose upstreams exist.
+        """A host is ready only after it has read all pages of all collections.
 
-        Sequence: the list of upstreams has two pages; the host serves after one.
-        Cause: taking a part for the whole.
+        If it served after the first of two pages of upstreams, it would refuse callers whose
+        upstreams exist.
         """
         state = fresh_state()
-        asked = reduce(state, Started(), 0)
-        self.assertEqual(len(Collection), len(of_kind(asked, ReadPage)))
+        calls_due = reduce(state, Started(), 0)
+        self.assertEqual(len(Collection), len(of_kind(calls_due, ReadPage)))
         reduce(state, page(Collection.EVACUATIONS), 0)
         reduce(state, page(Collection.TEXT, text(1)), 0)
         first = PageRead(
@@ -81,25 +81,25 @@
         revisions = {watch.collection: watch.revision for watch in of_kind(effects, WatchChanges)}
         self.assertEqual(9, revisions[Collection.UPSTREAMS])
 
-    def test_a_listing_that_is_not_whole_is_not_told(self) -> None:
-        """An upstream that was leaving got new flows from hosts that learn from a neighbour.
+    def test_an_incomplete_listing_is_not_announced(self) -> None:
+        """A host that is listing again does not announce revisions before the listing is complete.
 
-        The neighbour listed anew, in two pages.  Between them it told its newest revision, which
-        was on the first page, and a view without what was on the second; who had taken that asked
-        for nothing more.
+        The newest revision was on the first of two pages.  A peer that took it together with the
+        incomplete view would ask for nothing more, and would send new flows to an upstream whose
+        drain was on the second page.
         """
-        teller = ready_state(entry(1), entry(2))
-        reduce(teller, HistoryLost(Collection.UPSTREAMS), 1)
+        sender = ready_state(entry(1), entry(2))
+        reduce(sender, HistoryLost(Collection.UPSTREAMS), 1)
         newest = entry(1, revision=50)
         first = PageRead(
             Collection.UPSTREAMS, [StoredObject(newest.name, 50, newest)], 50, more=True
         )
-        reduce(teller, first, 1)
+        reduce(sender, first, 1)
         asker = ready_state(entry(1), entry(2))
-        self._ask(asker, teller)
+        self._fetch_view(asker, sender)
         leaving = entry(2, revision=45, draining=True)
-        reduce(teller, page(Collection.UPSTREAMS, leaving), 1)
-        self._ask(asker, teller)
+        reduce(sender, page(Collection.UPSTREAMS, leaving), 1)
+        self._fetch_view(asker, sender)
         self.assertTrue(asker.directory.by_name[entry(2).name].entry.draining)
 
     def test_not_ready_without_a_text(self) -> None:
@@ -114,11 +114,10 @@
         self.assertTrue(state.ready)
 
     def test_a_list_that_is_behind_a_peer_removes_nothing(self) -> None:
-        """Symptom: an upstream that has just joined gets no flows from one host.
+        """An upstream that joined after the listing, and is known from a peer, is not removed.
 
-        Sequence: a host lists upstreams; one joins; a peer tells of it before
-        the list's answer, which does not have it, arrives.
-        Cause: taking the newest revision known for that of the list.
+        The listing's answer, without the upstream, arrives after the peer's report.  The listing
+        must count by its own revision and not by the newest one known.
         """
         state = fresh_state()
         reduce(state, Started(), 0)
@@ -128,10 +127,9 @@
         self.assertTrue(state.directory.by_name[entry(2).name].listed)
 
     def test_an_unreadable_object_changes_nothing(self) -> None:
-        """Symptom: one malformed entry stops all changes, or ends the process.
+        """An unreadable object neither fails the whole answer nor removes anything.
 
-        Sequence: somebody writes an entry of the wrong shape over a good one.
-        Cause: a fault in one object that fails the whole answer.
+        Another writer overwrites a valid entry by a malformed one.
         """
         state = ready_state(entry(1))
         bad = StoredObject(entry(1).name, 60, Unreadable('no address'))
@@ -140,21 +138,21 @@
         self.assertEqual(2, state.directory.listed_count)
         self.assertIsNotNone(state.text)
 
-    def _ask(self, asker: RoutingState, teller: RoutingState) -> None:
-        """Let a host take what another has beyond its own newest revision."""
+    def _fetch_view(self, asker: RoutingState, sender: RoutingState) -> None:
+        """Make a host apply what another one knows beyond its own newest revision."""
         revision = asker.directory.newest_revision
         known = KnownVersions(asker.text_order, revision, revision)
-        reduce(asker, ViewFetched(('b1', 9), view_since(teller, known, 1)), 1)
+        reduce(asker, ViewFetched(('b1', 9), view_since(sender, known, 1)), 1)
 
 
 class FailureTest(TestCase):
-    """Calls that give nothing."""
+    """Calls to the store that fail."""
 
     def test_waits_grow_and_are_spread_over_the_fleet(self) -> None:
-        """Symptom: the store is overrun in the moment of its return.
+        """Waits between attempts grow, and differ between hosts.
 
-        Sequence: the store goes down for all hosts at once.
-        Cause: waits that are the same everywhere.
+        If all hosts waited for the same time in an outage, they would overload the store when it
+        returns.
         """
         retries = set()
         for host in range(30):
@@ -167,17 +165,17 @@
         self.assertGreater(len(retries), 25)
 
     def test_a_host_that_knows_nothing_asks_more_often(self) -> None:
-        """A host that knows nothing waits less between its tries."""
+        """A host that knows nothing waits less between its attempts."""
         follower = Follower(Collection.TEXT, 'a1')
         for _ in range(8):
             follower.fail(0)
         self.assertLessEqual(follower.retry_at or 0, 1.5 * MOST_WAIT_UNREAD_S)
 
     def test_lost_history_is_listed_anew(self) -> None:
-        """Symptom: an upstream that left during a gap gets flows for ever.
+        """After a lost history the collection is listed again, and what is missing is removed.
 
-        Sequence: the watch is cut, an upstream leaves, the history is compacted.
-        Cause: going on with the watch, or adding the list without removing.
+        An upstream leaves while the watch is cut off and the history is compacted.  Continuing the
+        watch, or adding the listing without removing, would send flows to it forever.
         """
         state = ready_state(entry(1), entry(2))
         effects = reduce(state, HistoryLost(Collection.UPSTREAMS), 1)
@@ -188,7 +186,7 @@
         self.assertEqual({entry(2).name}, names)
 
     def test_a_failed_call_is_tried_again_where_it_was(self) -> None:
-        """After a failure the watch goes on from the revision that is known."""
+        """After a failure the watch continues from the known revision."""
         state = ready_state(entry(4))
         reduce(state, CallFailed(Collection.UPSTREAMS, 'reset'), 1)
         effects: list[Effect] = []
@@ -198,7 +196,7 @@
         self.assertEqual([4], [watch.revision for watch in watches])
 
     def test_a_lost_store_is_logged_once_and_its_return_too(self) -> None:
-        """One line a collection for a lost dependency, one for a regained one."""
+        """There is one log line per collection for the outage of the store, and one for its end."""
         fleet = fleet_of(1, ('dc-a',))
         node = fleet.node_by_name['dc-a-1']
         fleet.lose_store(['dc-a-1'], 'refuses')
@@ -210,14 +208,13 @@
 
 
 class LapseTest(TestCase):
-    """Entries that lapse while the store is away."""
+    """Entries that lapse while the store is down."""
 
     def test_entries_lapsed_in_an_outage_get_time_to_return(self) -> None:
-        """Symptom: after an outage of the store a whole service has no upstream.
+        """Entries that lapsed in an outage have time to come back.
 
-        Sequence: the store is down; all entries lapse; it returns; the entries
-        come back within two seconds.
-        Cause: taking a lapsed entry for a dead upstream.
+        All entries lapse while the store is down, and come back within two seconds after it
+        returns.  If a lapsed entry counted as a dead upstream, a whole service would have none.
         """
         fleet = fleet_of(1, ('dc-a',))
         fleet.lose_store(['dc-a-1'], 'refuses')
@@ -232,7 +229,7 @@
         self.assertEqual('Reset no_upstream', delivered_to(verdict))
 
     def test_entries_that_return_are_used_on(self) -> None:
-        """An entry that lapsed and came back is as before."""
+        """An upstream whose entry lapsed and came back is used as before."""
         fleet = fleet_of(1, ('dc-a',))
         fleet.lose_store(['dc-a-1'], 'refuses')
         fleet.store.remove(Collection.UPSTREAMS, entry(1).name)
@@ -245,11 +242,11 @@
         self.assertEqual(entry(1).name, delivered_to(verdict))
 
     def test_entries_that_lapse_together_get_time_to_return(self) -> None:
-        """Symptom: right after an outage callers are refused for want of an upstream.
+        """Entries that lapse together have time to come back, even if no call failed.
 
-        Sequence: the store is away, but a host's waiting watch survives that;
-        the entries lapse, the watch tells so, and they are back a moment later.
-        Cause: taking an outage that this host did not notice for many crashes.
+        A host's watch survives an outage, reports that all entries lapsed, and they are back a
+        moment later.  If this counted as many crashes, callers would be refused right after the
+        outage.
         """
         state = ready_state(*(entry(number) for number in range(1, 7)))
         lapsed = [StoredObject(entry(number).name, 50 + number, None) for number in range(1, 7)]
@@ -263,7 +260,7 @@
         self.assertEqual('Reset no_upstream', delivered_to(chosen.decide(opening(99), late)))
 
     def test_a_few_that_lapse_are_gone(self) -> None:
-        """Less than half of all is no outage of the store."""
+        """Lapses of less than half of all entries are no outage of the store."""
         state = ready_state(*(entry(number) for number in range(1, 7)))
         lapsed = [StoredObject(entry(number).name, 50 + number, None) for number in (1, 2)]
         reduce(state, ChangesRead(Collection.UPSTREAMS, lapsed, 60), 10)
@@ -271,10 +268,10 @@
         self.assertEqual(2, sum(gone))
 
     def test_a_lapse_while_the_store_is_steady_counts_at_once(self) -> None:
-        """Symptom: new flows go to a crashed upstream for seconds more.
+        """An entry that lapses while the store is available counts as gone at once.
 
-        Sequence: an upstream crashes; its entry lapses; the store was never away.
-        Cause: waiting for every lapsed entry to come back.
+        If every lapsed entry had time to come back, new flows would go to a crashed upstream for
+        seconds.
         """
         directory = Directory()
         directory.apply(entry(1), 0)
@@ -283,11 +280,11 @@
             self.fail('not missed')
         self.assertTrue(missed.is_gone(5))
 
-    def test_an_older_word_does_not_bring_an_entry_back(self) -> None:
-        """Symptom: an upstream that is gone comes back to the list, and stays.
+    def test_an_older_entry_does_not_undo_a_removal(self) -> None:
+        """An entry that is older than its removal does not come back.
 
-        Sequence: a removal is read; an answer from before it arrives late.
-        Cause: taking entries in the order in which they arrive.
+        A removal is read, and then an answer from before it arrives late.  Applied in the order of
+        arrival, the entry would be listed forever.
         """
         directory = Directory()
         directory.apply(entry(1, revision=5), 0)
@@ -298,7 +295,7 @@
         self.assertTrue(directory.by_name[entry(1).name].listed)
 
     def test_upstreams_long_gone_are_forgotten(self) -> None:
-        """What is gone costs no memory for ever."""
+        """Upstreams that are gone for long are removed from memory."""
         directory = Directory()
         directory.apply(entry(1), 0)
         directory.note_removed(entry(1).name, 9, 1)
@@ -311,13 +308,13 @@
 
 
 class RolloutTest(TestCase):
-    """Texts that come in quick succession, late, or out of order."""
+    """Texts in quick succession, late, or out of order."""
 
     def test_an_older_text_is_refused(self) -> None:
-        """Symptom: a host returns to a text that is no longer in force.
+        """A text that is older than the one in force is refused.
 
-        Sequence: a newer text is read; an answer with an older one arrives.
-        Cause: taking the text that came last for the newest.
+        A newer text is read, and then an answer with an older one arrives.  If the last text to
+        arrive counted as the newest, the host would return to a text that is no longer in force.
         """
         state = ready_state(entry(1))
         newer = text(50, route(PORTAL_KEY, PORTAL))
@@ -326,10 +323,10 @@
         self.assertEqual(50, state.text_revision)
 
     def test_texts_in_quick_succession_are_in_force_everywhere(self) -> None:
-        """Symptom: some hosts stop at an older text of a series.
+        """The last of many texts is in force on all hosts.
 
-        Sequence: twelve texts in four seconds, a host killed between.
-        Cause: a change that arrives while the one before is being told.
+        Twelve texts are accepted in four seconds, and a host is killed in between.  A change that
+        arrives while the one before is being announced must not be lost.
         """
         fleet = fleet_of(4)
         newest = 0
@@ -347,14 +344,14 @@
 
 
 class PauseTest(TestCase):
-    """A host that stood still."""
+    """A host that was suspended."""
 
     def test_a_host_that_wakes_refuses_nothing_unread(self) -> None:
-        """Symptom: callers of a new route are refused by a host that was frozen.
+        """A host that wakes up refuses no flow before it has read the store.
 
-        Sequence: a host is frozen; a text adds a route; the host wakes and gets
-        packets before the answer to its watch.
-        Cause: a view that was current before the pause.
+        A host is frozen, a text adds a route, and the host wakes up and gets packets before the
+        answer to its watch.  A view that was current before the pause must not count as current, or
+        callers of the new route are refused.
         """
         state = ready_state(entry(1))
         chosen = steering(state)
@@ -368,23 +365,23 @@
         verdict = chosen.decide(opening(3, key=nowhere), 1.2)
         self.assertEqual('Reset no_route', delivered_to(verdict))
 
-    def test_peers_are_relied_on_when_they_are_heard_again(self) -> None:
-        """Symptom: a host that wakes believes a peer's word from before the pause.
+    def test_peers_count_as_live_after_their_next_heartbeat(self) -> None:
+        """A host that wakes up does not rely on peers before their next heartbeat.
 
-        Sequence: one of five hosts, which does not watch, is frozen.
-        Cause: counting a heartbeat's age by a clock that stood still too.
+        One of five hosts, which does not watch, is frozen.  If the age of a heartbeat were measured
+        by a clock that stood still too, the host would trust a report from before the pause.
         """
         fleet = fleet_of(5, ('dc-a',))
         fleet.run(20)
-        told = next(node for node in fleet.running if not node.state.is_direct(fleet.now))
-        self.assertTrue(told.state.is_current(fleet.now))
-        reduce(told.state, Paused(4), fleet.now)
-        self.assertFalse(told.state.is_current(fleet.now))
+        non_watcher = next(node for node in fleet.running if not node.state.is_direct(fleet.now))
+        self.assertTrue(non_watcher.state.is_current(fleet.now))
+        reduce(non_watcher.state, Paused(4), fleet.now)
+        self.assertFalse(non_watcher.state.is_current(fleet.now))
         fleet.run(1)
-        self.assertTrue(told.state.is_current(fleet.now))
+        self.assertTrue(non_watcher.state.is_current(fleet.now))
 
-    def test_pauses_are_told_from_waits(self) -> None:
-        """Suspended hosts and stopped processes are noticed, planned waits are not."""
+    def test_pauses_are_distinguished_from_waits(self) -> None:
+        """Suspended hosts and stopped processes are detected, planned waits are not."""
         clocks = {'steady': 10, 'counting': 110}
         detector = PauseDetector(lambda: clocks['steady'], lambda: clocks['counting'])
         detector.plan(5)
@@ -399,13 +396,13 @@
 
 
 class RemovedTextTest(TestCase):
-    """A text that vanishes from the store."""
+    """A text that is removed from the store."""
 
     def test_the_last_text_stays_in_force(self) -> None:
-        """Symptom: all callers are refused after a slip of an operator's hand.
+        """The last text stays in force when its object is removed from the store.
 
-        Sequence: the text's object is removed from the store.
-        Cause: taking a removal for an empty text, or for an upstream's.
+        An operator removes it by mistake.  If this counted as an empty text, all callers would be
+        refused.
         """
         state = ready_state(entry(1))
         removed = ChangesRead(Collection.TEXT, [StoredObject('main', 90, None)], 90)
@@ -417,13 +414,13 @@
 
 
 class StoppingTest(TestCase):
-    """Leave the rotation first, forward on, end in time."""
+    """A planned stop first leaves the rotation, forwards on, and ends in time."""
 
     def test_a_stop_waits_for_the_fabric_to_notice(self) -> None:
-        """Symptom: a planned stop drops opening packets for a second.
+        """A stop waits until the fabric has noticed it.
 
-        Sequence: SIGTERM; the fabric sends packets until two probes failed.
-        Cause: ending at once.
+        After SIGTERM the fabric sends packets until two probes have failed.  If the host ended at
+        once, it would drop opening packets for a second.
         """
         stopping = Stopping(6)
         stopping.ask(0)
@@ -436,14 +433,14 @@
         self.assertTrue(stopping.is_done(1.2))
 
     def test_a_stop_ends_in_time_under_traffic(self) -> None:
-        """The fabric may send on for ever when too few hosts are left."""
+        """A stop ends in time although the fabric sends on, as it may if too few hosts are left."""
         stopping = Stopping(6)
         stopping.ask(0)
         stopping.last_packet_at = 5.9
         self.assertTrue(stopping.is_done(5.95))
 
     def test_probes_are_refused_and_packets_forwarded(self) -> None:
-        """A host that is being stopped serves to its end."""
+        """A stopping host refuses probes and forwards packets until it ends."""
         state = ready_state(entry(1))
         reduce(state, StopAsked(), 1)
         reduce(state, ProbeAnswered(ready=False), 1.5)
@@ -453,30 +450,33 @@
 
 
 class RelistingTest(TestCase):
-    """A store that can go on with no watch."""
+    """A store that cannot continue any watch."""
 
     def test_histories_lost_in_a_row_are_listed_with_pauses(self) -> None:
-        """Hosts called the store a hundred times a second when it could go on with no watch.
+        """Repeated listings after lost histories are spaced by waits.
 
-        Each watch was told at once that its history is gone, each list that followed was answered
-        at once, and nothing between them waited.  The recorded calls of one host: 118 a second.
+        If the store answers each watch at once with a lost history, and each listing at once too, a
+        host without waits calls it about a hundred times a second: 118 calls per second were
+        recorded for one host.
         """
         state = ready_state(entry(1))
         now = 10.0
         calls = 0
         effects = reduce(state, HistoryLost(Collection.UPSTREAMS), now)
         while now < 20:
-            asked = [effect for effect in effects if isinstance(effect, ReadPage | WatchChanges)]
-            calls += len(asked)
+            calls_due = [
+                effect for effect in effects if isinstance(effect, ReadPage | WatchChanges)
+            ]
+            calls += len(calls_due)
             now += 0.01
             effects = reduce(state, Ticked(), now)
-            for effect in asked:
+            for effect in calls_due:
                 effects.extend(reduce(state, _refused(effect), now))
         self.assertGreater(calls, 2 * 10 / (1.5 * MOST_WAIT_S))
         self.assertLess(calls, 2 * 10 / (0.5 * FIRST_WAIT_S))
 
     def test_a_history_lost_now_and_then_is_listed_at_once(self) -> None:
-        """One that is lost now and then delays nothing."""
+        """A history that is lost only now and then is listed again without a wait."""
         state = ready_state(entry(1))
         for now in range(10, 20):
             effects = reduce(state, HistoryLost(Collection.UPSTREAMS), now)
@@ -485,7 +485,7 @@
             reduce(state, ChangesRead(Collection.UPSTREAMS, [], now), now)
 
     def test_what_is_listed_with_pauses_proves_nothing(self) -> None:
-        """Between two lists without a watch a change may have come: nothing counts as current."""
+        """A view counts as not current while its listings are repeated without a watch."""
         state = ready_state(entry(1))
         for collection in Collection:
             reduce(state, ChangesRead(collection, [], 9), 10)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Test that objects of other writers take nothing else with them."""
+"""Test that unreadable objects of other writers affect nothing else."""
 
 from collections.abc import Mapping
 from json import dumps as encode_json
@@ -69,7 +69,7 @@
     """Each field has its type and bounds."""
 
     def test_a_good_entry_is_read(self) -> None:
-        """With and without the time of its start."""
+        """An entry is read with and without a start time."""
         for started_ms in (None, 1_700_000_000_123):
             spec = upstream_spec('portal', ('10.0.0.1', 80), 'dc-a', started_ms=started_ms)
             found = _read(spec)
@@ -78,10 +78,10 @@
             self.assertEqual(started_ms or 0, found.started_ms)
 
     def test_fields_of_another_type_or_out_of_bounds(self) -> None:
-        """Symptom: every new flow goes to one address where nobody is.
+        """An entry with a field out of bounds is unreadable.
 
-        Sequence: somebody writes an entry with a negative number of slots.
-        Cause: taking fields as they stand; such an upstream looks like the least busy.
+        If fields were used as they stand, an upstream with a negative number of slots would look
+        like the least busy one, and every new flow would go to its address.
         """
         for field, values in _BAD_BY_FIELD.items():
             for value in values:
@@ -89,32 +89,32 @@
                     self.assertIsInstance(_read({**_GOOD, field: value}), Unreadable)
 
     def test_missing_fields(self) -> None:
-        """An entry that lacks any field names no upstream."""
+        """An entry without any one of the required fields is unreadable."""
         for field in _GOOD:
             with self.subTest(field=field):
                 spec = {name: value for name, value in _GOOD.items() if name != field}
                 self.assertIsInstance(_read(spec), Unreadable)
 
     def test_further_fields_are_left_alone(self) -> None:
-        """What a later version adds does no harm."""
+        """Fields added by a later version are ignored."""
         self.assertIsInstance(_read({**_GOOD, 'later': [1]}), UpstreamEntry)
 
     def test_names_that_hold_no_number(self) -> None:
-        """The number before packets is read from the name."""
+        """The number of an upstream is parsed from the name of its entry."""
         for name in ('i-', 'i-xyz', 'i-1_0', 'i-+1', 'i-11111111111111111', 'nobody'):
             with self.subTest(name=name):
                 self.assertIsInstance(_read(_GOOD, name), Unreadable)
 
 
 class PageTest(TestCase):
-    """A page or a watch with something unreadable is read as far as it can be."""
+    """A page or a watch with an unreadable object is read as far as possible."""
 
-    def test_what_cannot_be_read_takes_nothing_with_it(self) -> None:
-        """Symptom: all upstreams are gone, and one page is asked for again without end.
+    def test_an_unreadable_object_does_not_fail_the_page(self) -> None:
+        """One object that cannot be decoded does not fail a whole page.
 
-        Sequence: another writer leaves an object whose bytes are no text, whose brackets are
-        nested deeper than the interpreter goes, or whose number has ten thousand digits.
-        Cause: one object that cannot be decoded fails the whole answer.
+        Another writer stores invalid UTF-8, brackets nested deeper than the interpreter's stack, or
+        a number of ten thousand digits.  If the whole answer failed, all upstreams would be
+        missing, and the page would be requested again without end.
         """
         for label, raw in _UNREADABLE.items():
             with self.subTest(label):
@@ -125,7 +125,7 @@
                 self.assertEqual((80, True), (found.revision, found.more))
 
     def test_a_watch_with_such_an_object(self) -> None:
-        """A watch answers with changes; the same holds for them."""
+        """The same holds for the changes in the answer to a watch."""
         for label, raw in _UNREADABLE.items():
             with self.subTest(label):
                 found = _STORE.read_changes('upstreams', 200, _changes_of(raw))
@@ -134,7 +134,7 @@
                 self._assert_neighbours_hold(found.objects)
 
     def test_an_object_without_a_name(self) -> None:
-        """It has no place among those that are listed, and is told as unreadable."""
+        """An object without a name is reported as unreadable."""
         for item in ('null', '7', '{}', '{"meta":{}}', '{"meta":{"name":5,"revision":1}}'):
             with self.subTest(item):
                 found = _STORE.read_page('upstreams', 200, _page_of(item.encode()))
@@ -145,7 +145,7 @@
     @_DERANDOMIZED
     @given(_ANYTHING)
     def test_good_neighbours_hold_whatever_stands_between(self, item: Any) -> None:
-        """Any object may lie beside good ones."""
+        """Valid objects are read beside any other object."""
         raw = encode_json(item).encode()
         found = _STORE.read_page('upstreams', 200, _page_of(raw))
         if not isinstance(found, PageRead):
@@ -155,7 +155,7 @@
     @_DERANDOMIZED
     @given(st.binary(max_size=400))
     def test_any_bytes_are_an_event(self, body: bytes) -> None:
-        """Whatever the store answers, reading it raises nothing."""
+        """No answer of the store makes the reader raise an exception."""
         self.assertIsInstance(_STORE.read_page('upstreams', 200, body), Event)
         self.assertIsInstance(_STORE.read_changes('upstreams', 200, body), Event)
 
@@ -167,31 +167,31 @@
 
 
 class ViewTest(TestCase):
-    """What peers tell is checked by the same bounds."""
+    """Views of peers are checked by the same bounds."""
 
     @_DERANDOMIZED
     @given(_ANYTHING)
     def test_a_view_is_read_or_refused(self, told: Any) -> None:
-        """Nothing but one typed error is raised."""
+        """Only MessageError is raised."""
         fields = {'text': None, 'text_followed': 1, 'entries': [told], 'missing': []}
         fields.update({'upstreams_followed': 1, 'newest': 1, 'all_missing': True})
         with self.assertRaises(MessageError):
             decode_view(encode_json(fields).encode())
 
     def test_nested_deeply(self) -> None:
-        """The interpreter's stack is no bound for what a peer may send."""
+        """A deeply nested message does not overflow the interpreter's stack."""
         with self.assertRaises(MessageError):
             decode_view(b'[' * 200_000)
 
 
 class TurnedBadTest(TestCase):
-    """An entry that was good is written over."""
+    """A valid entry is overwritten by an unreadable one."""
 
     def test_no_new_flows_and_no_reset(self) -> None:
-        """Symptom: open flows of a living upstream are reset, or new ones still go there.
+        """An upstream whose entry became unreadable gets no new flows and keeps its open ones.
 
-        Sequence: another writer writes over the entry of an upstream that lives.
-        Cause: taking an unreadable entry for a removed one, or for nothing at all.
+        The entry must neither count as removed, which would reset open flows of a live upstream,
+        nor be ignored, since new flows would still go there.
         """
         state = ready_state(entry(1), entry(2))
         steers = steering(state)
@@ -208,7 +208,7 @@
             self.assertEqual(entry(1).name, delivered_to(verdict))
 
     def test_it_is_used_again_when_it_can_be_read(self) -> None:
-        """The upstream's next word puts its entry right."""
+        """The upstream's next write makes its entry usable again."""
         state = ready_state(entry(1))
         _turn_bad(state, 60)
         self.assertEqual('Reset no_upstream', delivered_to(steering(state).decide(opening(1), 1)))
@@ -217,10 +217,10 @@
         self.assertEqual(entry(1).name, delivered_to(steering(state).decide(opening(2), 2)))
 
     def test_a_host_that_starts_meanwhile_keeps_its_flows(self) -> None:
-        """Symptom: a host that has just started resets flows of an upstream that lives.
+        """A host that starts while an entry is unreadable keeps the upstream's flows.
 
-        Sequence: an entry becomes unreadable; a host starts and lists the store.
-        Cause: the listing does not tell who the upstream is, and nobody is asked.
+        The listing does not say which upstream it is.  The host has to learn it from a peer, or it
+        would reset the flows of a live upstream.
         """
         known = ready_state(entry(1))
         given = id_given(steering(known).decide(opening(1), 0))
@@ -237,10 +237,10 @@
         self.assertEqual('Reset no_upstream', delivered_to(steers.decide(opening(2), 1)))
 
     def test_a_listing_with_a_gap_removes_nothing(self) -> None:
-        """Symptom: flows are reset though their upstream lives and is listed.
+        """A listing with an unreadable name removes no upstream.
 
-        Sequence: a page has an object whose very name cannot be read; it may be any upstream's.
-        Cause: what a listing does not name counts as removed.
+        The unreadable object may be the entry of any upstream, so what the listing does not name
+        must not count as removed.
         """
         state = ready_state(entry(1), entry(2))
         good = StoredObject(entry(2).name, 70, entry(2, revision=70))
@@ -249,7 +249,7 @@
         self.assertTrue(state.directory.by_name[entry(1).name].listed)
 
     def test_each_is_logged_and_counted(self) -> None:
-        """A line names the object, and whether it was in use."""
+        """A log line names the object and whether it was in use, and the object is counted."""
         state = ready_state(entry(1))
         effects = _turn_bad(state, 60)
         lines = [effect for effect in effects if isinstance(effect, WriteLine)]
@@ -264,7 +264,7 @@
 
 
 def _read(spec: Any, name: str = 'i-1') -> Any:
-    """Return what is read of one object."""
+    """Return the content that is read of one object."""
     content = object_content(name, 9, 1, [], spec, None, deleting=False)
     body = encode_json({'items': [content], 'hasMore': False, 'storeRevision': 9})
     found = _STORE.read_page('upstreams', 200, body.encode())
@@ -278,7 +278,7 @@
 
 
 def _page_of(raw: bytes) -> bytes:
-    """Return a page with something between two good objects."""
+    """Return a page with an item between two valid objects."""
     items = b','.join((_good('i-1'), raw, _good('i-3')))
     return b'{"items":[%s],"hasMore":true,"storeRevision":80}' % items
 
--- a/tests/test_lapsed_entries.py
+++ b/tests/test_lapsed_entries.py
@@ -1,4 +1,4 @@
-"""Test that flows of an upstream that lives unlisted survive hosts that start meanwhile."""
+"""Test that flows of an unlisted but live upstream survive restarts of balancers."""
 
 from unittest import TestCase
 
@@ -16,24 +16,22 @@
 
 
 class LapsedEntryTest(TestCase):
-    """An entry lapses while its upstream lives; then a balancer is replaced."""
+    """An entry lapses while its upstream is alive; then a balancer is replaced."""
 
-    def test_a_host_that_starts_hears_of_what_lapsed(self) -> None:
-        """Symptom: a feed of a living upstream is reset by a host that has just started.
+    def test_a_restarted_host_learns_of_lapsed_entries(self) -> None:
+        """A restarted host learns from its peers of an upstream whose entry lapsed.
 
-        Sequence: the entry of an upstream lapses, although it lives; a host is stopped and
-        starts again; packets of the upstream's flows reach it, and callers repeat them.
-        Cause: the store no longer lists the upstream, so the fresh host does not know where
-        it is; it drops the packets and takes the callers' repeats for a sign that the
-        upstream is gone.
+        The store no longer lists the upstream, although it is alive.  Without the peers, the
+        restarted host would drop packets of its flows and reset them when callers repeat their
+        packets, as if the upstream were gone.
         """
         fleet, given = _with_lapsed_entry()
         fleet.restart('dc-a-1')
         fleet.run(2)
         self.assertEqual(entry(1).name, _verdict(fleet, 'dc-a-1', given))
 
-    def test_peers_that_are_all_new_cannot_tell(self) -> None:
-        """What nobody remembers is gone: callers must not wait for ever."""
+    def test_an_upstream_that_no_peer_remembers_is_gone(self) -> None:
+        """An upstream that nobody remembers is gone, since callers must not wait forever."""
         fleet, given = _with_lapsed_entry()
         for name in fleet.node_by_name:
             fleet.restart(name)
@@ -41,8 +39,8 @@
         verdicts = [_verdict(fleet, 'dc-a-1', given) for _ in range(4)]
         self.assertEqual('Reset unknown_connection_id', verdicts[-1])
 
-    def test_a_host_that_could_not_ask_yet_resets_nothing(self) -> None:
-        """Neighbours live, but their views do not pass: silence breaks nothing."""
+    def test_a_host_without_a_peers_view_resets_nothing(self) -> None:
+        """A host whose fetches of views fail although neighbours are live resets no flow."""
         fleet, given = _with_lapsed_entry()
         fleet.views_pass = False
         fleet.restart('dc-a-1')
@@ -51,7 +49,7 @@
         self.assertEqual({'Discard unknown_connection_id'}, verdicts)
 
     def test_an_upstream_that_is_gone_is_reset_as_before(self) -> None:
-        """A fresh host that heard of it resets its flows when callers repeat themselves."""
+        """A restarted host that learned of a gone upstream resets its flows on repeated packets."""
         fleet, given = _with_lapsed_entry()
         fleet.restart('dc-a-1')
         fleet.run(2)
@@ -60,7 +58,7 @@
 
 
 def _with_lapsed_entry() -> tuple[RoutingFleet, int]:
-    """Return a fleet whose first upstream's entry lapsed, and the id of a flow of it."""
+    """Return a fleet with a lapsed entry, and the connection id of a flow of its upstream."""
     fleet = fleet_of()
     put_upstream(fleet, 3)
     fleet.run(1)
@@ -76,5 +74,5 @@
 
 
 def _verdict(fleet: RoutingFleet, host: str, given: int) -> str:
-    """Return what a host does with the same packet of the flow."""
+    """Return the verdict of a host on the same packet of the flow."""
     return delivered_to(fleet.decide(host, asking(1, given)))
--- a/tests/test_restarted_upstreams.py
+++ b/tests/test_restarted_upstreams.py
@@ -1,4 +1,4 @@
-"""Test that an upstream that starts again under its name is taken for a new one."""
+"""Test that an upstream that restarts under its name is treated as a new one."""
 
 from functools import partial
 from unittest import TestCase
@@ -37,14 +37,14 @@
 
 
 class RestartTest(TestCase):
-    """What is known of a former start ends with it."""
+    """State of a former process is dropped."""
 
-    def test_nothing_of_the_former_start_counts(self) -> None:
-        """Symptom: an upstream that has just started gets no flows though it is idle.
+    def test_state_of_the_former_process_is_dropped(self) -> None:
+        """Load and unanswered packets of a former process don't count for the new one.
 
-        Sequence: an upstream with requests in progress crashes and leaves opening packets
-        unanswered; it starts again under its name, within the time after which its entry lapses.
-        Cause: load and evidence of the former process are held against the new one.
+        An upstream with requests in progress crashes, leaves opening packets unanswered and
+        restarts under its name before its entry lapses.  It must get flows although its former
+        process was busy and avoided.
         """
         state = ready_state(_started(_FIRST_MS, 1))
         steers = steering(state)
@@ -53,7 +53,7 @@
         former = state.directory.by_name[_NAME]
         former.unanswered = 3
         former.avoided_until = 100
-        _tell(state, _started(_SECOND_MS, 50), 1.1)
+        _report(state, _started(_SECOND_MS, 50), 1.1)
         fresh = state.directory.by_name[_NAME]
         self.assertIsNot(former, fresh)
         self.assertEqual((0, 0, 0), (fresh.open_flows, fresh.busy_flows, fresh.unanswered))
@@ -61,33 +61,33 @@
         self.assertEqual((0, 0), (fresh.pool.busy, len(state.flows)))
 
     def test_it_takes_flows_after_a_drain(self) -> None:
-        """Symptom: a restarted upstream is left out of use for ever.
+        """An upstream that restarts after a drain gets flows.
 
-        Sequence: it announces its leaving, its entry goes, and it starts again.
-        Cause: the mark of the drain outlives the process that drained.
+        It announces its drain, its entry is removed, and it restarts.  The mark of the drain must
+        not outlive the process.
         """
         state = ready_state(_started(_FIRST_MS, 1, draining=True))
-        _tell(state, None, 1, revision=40)
-        _tell(state, _started(_SECOND_MS, 50), 2)
+        _report(state, None, 1, revision=40)
+        _report(state, _started(_SECOND_MS, 50), 2)
         verdict = steering(state).decide(opening(1), 2.1)
         self.assertEqual(_NAME, delivered_to(verdict))
         self.assertFalse(state.directory.by_name[_NAME].left)
 
     def test_a_cold_start_is_cold_again(self) -> None:
-        """The warm-up of the former start says nothing of the new one."""
+        """A restarted upstream has a cold start of its own."""
         state = ready_state(_started(_FIRST_MS, 1))
-        _tell(state, _started(_SECOND_MS, 50, cold_s=2), 10)
+        _report(state, _started(_SECOND_MS, 50, cold_s=2), 10)
         self.assertEqual(12, state.directory.by_name[_NAME].warm_at)
 
-    def test_it_moves_to_the_pools_of_what_it_says(self) -> None:
-        """Symptom: requests of one service are sent to an upstream of another.
+    def test_it_moves_to_the_pool_of_its_new_entry(self) -> None:
+        """An upstream that restarts in another service joins the pool of that service.
 
-        Sequence: an upstream starts again under its name in another service and data centre.
-        Cause: it is kept among the upstreams of its former service.
+        If it stayed among the upstreams of its former service, requests of one service would be
+        sent to an upstream of another.
         """
         state = ready_state(_started(_FIRST_MS, 1))
         opened = id_given(steering(state).decide(opening(1), 0))
-        _tell(state, _started(_SECOND_MS, 50, service=INTAKE, data_centre='dc-b'), 1)
+        _report(state, _started(_SECOND_MS, 50, service=INTAKE, data_centre='dc-b'), 1)
         steers = steering(state)
         self.assertEqual('Reset no_upstream', delivered_to(steers.decide(opening(2), 1.1)))
         moved = state.directory.by_name[_NAME]
@@ -99,16 +99,16 @@
         )
 
     def test_flows_go_to_the_new_address(self) -> None:
-        """The new process answers packets of flows that it does not hold by a reset."""
+        """Packets of old flows go to the new process, which answers them by a reset."""
         state = ready_state(_started(_FIRST_MS, 1))
         steers = steering(state)
         opened = id_given(steers.decide(opening(1), 0))
-        _tell(state, _started(_SECOND_MS, 50, port=81), 1)
+        _report(state, _started(_SECOND_MS, 50, port=81), 1)
         self.assertEqual(_NAME, delivered_to(steers.decide(asking(1, opened), 1.1)))
         self.assertEqual(81, state.directory.by_name[_NAME].entry.address[1])
 
     def test_a_restart_is_logged(self) -> None:
-        """One line names both starts."""
+        """One log line names both start times."""
         state = ready_state(_started(_FIRST_MS, 1))
         stored = StoredObject(_NAME, 50, _started(_SECOND_MS, 50))
         effects = reduce(state, ChangesRead(Collection.UPSTREAMS, [stored], 50), 1)
@@ -116,64 +116,64 @@
         self.assertEqual([LogNumber.UPSTREAM_RESTARTED], [line.number for line in lines])
         self.assertEqual(_FIRST_MS, lines[0].fields['former_start_ms'])
 
-    def test_a_start_that_is_not_told_is_the_same(self) -> None:
-        """Upstreams that do not tell when they started change as before."""
+    def test_an_unknown_start_time_is_the_same_process(self) -> None:
+        """An entry without a start time counts as the same process."""
         state = ready_state(entry(1))
         known = state.directory.by_name[_NAME]
-        _tell(state, _started(_FIRST_MS, 50), 1)
-        _tell(state, entry(1, revision=51), 2)
+        _report(state, _started(_FIRST_MS, 50), 1)
+        _report(state, entry(1, revision=51), 2)
         self.assertIs(known, state.directory.by_name[_NAME])
 
 
-class OlderNewsTest(TestCase):
-    """News of a former start never brings it back."""
+class OutdatedReportsTest(TestCase):
+    """Late reports of a former process never bring it back."""
 
     def test_a_late_write_of_the_former_start(self) -> None:
-        """Symptom: flows go to the address of a process that has ended.
+        """A delayed write of the former process does not replace the new one.
 
-        Sequence: a process writes its entry, the call is slow, and the process is replaced
-        under its name; the store carries the late call out after the new process's.
-        Cause: taking the newest write for that of the newest start.
+        A process writes its entry, the call is slow, and the process is replaced under its name;
+        the store executes the late call after that of the new process.  If the newest write counted
+        as the newest process, flows would go to the address of a process that has ended.
         """
         state = ready_state(_started(_SECOND_MS, 50, port=81))
         known = state.directory.by_name[_NAME]
-        _tell(state, _started(_FIRST_MS, 60), 1)
+        _report(state, _started(_FIRST_MS, 60), 1)
         self.assertIs(known, state.directory.by_name[_NAME])
-        _tell(state, _started(_SECOND_MS, 61, port=81), 1.8)
+        _report(state, _started(_SECOND_MS, 61, port=81), 1.8)
         reduce(state, Ticked(), 1 + OLDER_START_CONFIRM_S)
         self.assertEqual(81, state.directory.by_name[_NAME].entry.address[1])
         self.assertEqual([], state.directory.unconfirmed_entries)
 
     def test_a_start_by_a_clock_that_was_set_back(self) -> None:
-        """Symptom: an upstream is sent to its former address for as long as it lives.
+        """An older start time that persists is applied after a wait.
 
-        Sequence: a host's clock is set back, and an upstream starts again on it.
-        Cause: its start looks older than the former one for ever.
+        A host's clock is set back, and an upstream restarts on it.  If its older start time were
+        rejected forever, flows would go to its former address for as long as it lives.
         """
         state = ready_state(_started(_SECOND_MS, 50))
-        _tell(state, _started(_FIRST_MS, 60, port=81), 1)
+        _report(state, _started(_FIRST_MS, 60, port=81), 1)
         reduce(state, Ticked(), 1 + OLDER_START_CONFIRM_S / 2)
         self.assertEqual(80, state.directory.by_name[_NAME].entry.address[1])
         reduce(state, Ticked(), 1 + OLDER_START_CONFIRM_S)
         self.assertEqual(81, state.directory.by_name[_NAME].entry.address[1])
 
     def test_a_peer_that_still_knows_the_former_start(self) -> None:
-        """A view is ordered by the store's revisions, as everything is."""
+        """A view of a peer is ordered by the store's revisions as well."""
         old = ready_state(_started(_FIRST_MS, 1))
         view = decode_view(encode_view(view_since(old, KnownVersions(0, 0, 0), 1)))
         state = ready_state(_started(_SECOND_MS, 50, port=81))
         reduce(state, ViewFetched(_PEER, view), 1)
         self.assertEqual(81, state.directory.by_name[_NAME].entry.address[1])
 
-    def test_peers_hear_of_both_starts(self) -> None:
-        """Symptom: hosts of one data centre send to two addresses of one upstream for ever.
+    def test_peers_learn_of_both_processes(self) -> None:
+        """Peers learn of both processes of an upstream.
 
-        Sequence: an upstream starts again by a clock that was set back; a watcher waits for the
-        other start's word, and tells its peers meanwhile that they know all there is.
-        Cause: what is not believed yet is not told on.
+        An upstream restarts by a clock that was set back.  If a watcher did not send entries that
+        are still unconfirmed, but announced that its peers know everything, hosts of one data
+        centre would use two addresses of one upstream forever.
         """
         watcher = ready_state(_started(_SECOND_MS, 50))
-        _tell(watcher, _started(_FIRST_MS, 60, port=81), 1)
+        _report(watcher, _started(_FIRST_MS, 60, port=81), 1)
         peer = ready_state(_started(_SECOND_MS, 50))
         view = decode_view(encode_view(view_since(watcher, KnownVersions(1, 50, 50), 1)))
         reduce(peer, ViewFetched(_PEER, view), 1.1)
@@ -182,15 +182,15 @@
             self.assertEqual(81, state.directory.by_name[_NAME].entry.address[1])
 
     def test_a_late_removal_of_the_former_start(self) -> None:
-        """A listing that is older than the new start removes nothing."""
+        """A removal that is older than the new entry removes nothing."""
         state = ready_state(_started(_SECOND_MS, 50))
         view = View(None, 0, [], [], 40)
         reduce(state, ViewFetched(_PEER, view), 1)
-        _tell(state, None, 1, revision=40)
+        _report(state, None, 1, revision=40)
         self.assertTrue(state.directory.by_name[_NAME].listed)
 
     def test_a_balancer_that_restarts_learns_the_newest_start(self) -> None:
-        """Store and peers together give a fresh host what all others know."""
+        """A restarted host learns the newest start time from the store and its peers."""
         fleet = fleet_of()
         _restart(fleet, _SECOND_MS)
         fleet.run(1)
@@ -204,10 +204,10 @@
 
 
 class StartsInAFleetTest(TestCase):
-    """Many restarts, seen by hosts of two data centres."""
+    """Many restarts, observed by hosts of two data centres."""
 
     def test_all_hosts_agree_after_restarts(self) -> None:
-        """Ten starts, one each half second, while a host restarts now and then."""
+        """All hosts agree after ten restarts, one each half second, while hosts restart."""
         fleet = fleet_of()
         put_upstream(fleet, 3)
         for start in range(10):
@@ -233,7 +233,7 @@
     cold_s: float = 0,
     port: int = 80,
 ) -> UpstreamEntry:
-    """Return an entry of the first upstream that tells when its process started."""
+    """Return an entry of the first upstream with its start time."""
     made = entry(
         1,
         service,
@@ -248,18 +248,18 @@
 
 
 def _restart(fleet: RoutingFleet, started_ms: int) -> None:
-    """Let the first upstream write its entry as a process of another start."""
+    """Make the first upstream write its entry as a process with another start time."""
     fleet.store.put(Collection.UPSTREAMS, _NAME, partial(_started, started_ms))
     fleet.tell_watches()
 
 
-def _tell(
+def _report(
     state: RoutingState,
-    told: UpstreamEntry | None,
+    reported: UpstreamEntry | None,
     now: float,
     revision: int = 0,
 ) -> None:
-    """Let the watch tell of an entry, or of its removal."""
-    at_revision = told.revision if told else revision
-    stored = StoredObject(_NAME, at_revision, told)
+    """Make the watch report an entry, or its removal if `told` is None."""
+    at_revision = reported.revision if reported else revision
+    stored = StoredObject(_NAME, at_revision, reported)
     reduce(state, ChangesRead(Collection.UPSTREAMS, [stored], at_revision), now)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,4 +1,4 @@
-"""Test what balancers go by when the store comes back from a copy that is seconds old."""
+"""Test balancers while the store is restored from a backup that is seconds old."""
 
 from unittest import TestCase
 
@@ -46,52 +46,55 @@
     ]
 
 
-class ToldTest(TestCase):
-    """Say in the log what the store's answers show."""
+class RestoreLogTest(TestCase):
+    """Log lines about a restore of the store."""
 
-    def test_another_incarnation_is_told_once(self) -> None:
-        """Each answer says which incarnation gives it; the first of another one has a line."""
+    def test_another_incarnation_is_logged_once(self) -> None:
+        """The first answer of another incarnation is logged, and no further one."""
         state = ready_state(entry(1))
         answers = (
             HistoryLost(Collection.UPSTREAMS, 3),
             PageRead(Collection.UPSTREAMS, [], revision_of(3, 40), more=False),
             ChangesRead(Collection.TEXT, [], revision_of(3, 40)),
         )
-        told = []
+        restored = []
         for answer in answers:
-            told.extend(lines_of(reduce(state, answer, 1), LogNumber.STORE_RESTORED))
-        self.assertEqual(1, len(told))
+            restored.extend(lines_of(reduce(state, answer, 1), LogNumber.STORE_RESTORED))
+        self.assertEqual(1, len(restored))
         self.assertEqual(
-            (3, 0), (told[0].fields['incarnation'], told[0].fields['former_incarnation'])
+            (3, 0), (restored[0].fields['incarnation'], restored[0].fields['former_incarnation'])
         )
 
-    def test_a_text_left_out_at_a_known_revision_is_told(self) -> None:
-        """A text that is not put in force has a line also if its revision is not older."""
+    def test_a_refused_text_with_a_known_revision_is_logged(self) -> None:
+        """A text that is not put in force is logged, also if its revision is not older."""
         state = ready_state(entry(1))
         reduce(state, ChangesRead(Collection.TEXT, [StoredObject('main', 50, text(50))], 50), 1)
         other = RoutingText(49, 50, {}, 15)
-        told = reduce(state, ChangesRead(Collection.TEXT, [StoredObject('main', 50, other)], 50), 2)
-        lines = lines_of(told, LogNumber.TEXT_OLDER)
+        effects = reduce(
+            state, ChangesRead(Collection.TEXT, [StoredObject('main', 50, other)], 50), 2
+        )
+        lines = lines_of(effects, LogNumber.TEXT_OLDER)
         self.assertEqual([(49, 50)], [_generations(line) for line in lines])
         self.assertEqual(1, state.store_record.texts_refused)
 
 
 def _generations(line: WriteLine) -> tuple[object, object]:
-    """Return the generation that was left out and the one in force."""
+    """Return the generation that was refused and the one in force."""
     return line.fields['generation'], line.fields['in_force_generation']
 
 
-#: Seconds after which an accepted text, and the leaving of an upstream, must be known.  Source:
-#: the shortest bound that the users state.
+#: Seconds within which an accepted text, and the drain of an upstream, must be known.  This is the
+#: shortest bound that the users state.
 _BOUND_S = 3.0
 
-#: Seconds for which the store is away, and for which its owners take to write again.
-_AWAY_S = 2.5
-_WRITTEN_AGAIN_S = 0.2
+#: Seconds for which the store is down, and for which the owners of its objects take to write them
+#: again.
+_DOWN_S = 2.5
+_REWRITE_S = 0.2
 
 
 def put_generation(fleet: RoutingFleet, generation: int) -> None:
-    """Write the operators' text under a number of theirs."""
+    """Write the operators' text with a generation."""
     fleet.store.put(
         Collection.TEXT,
         'main',
@@ -100,15 +103,15 @@
     fleet.tell_watches()
 
 
-def restore(fleet: RoutingFleet, copy: StoreCopy) -> None:
-    """Let the store be away, come back from a copy, and get again what its owners wrote."""
+def restore(fleet: RoutingFleet, backup: StoreCopy) -> None:
+    """Take the store down, restore it from a backup, and write again what it lost."""
     names = list(fleet.node_by_name)
     lost = fleet.store.copy()
     fleet.lose_store(names, 'refuses')
-    fleet.run(_AWAY_S)
-    fleet.store.restore(copy)
+    fleet.run(_DOWN_S)
+    fleet.store.restore(backup)
     fleet.lose_store(names, 'serves')
-    fleet.run(_WRITTEN_AGAIN_S)
+    fleet.run(_REWRITE_S)
     fleet.store.write_again(lost)
     fleet.tell_watches()
 
@@ -119,45 +122,46 @@
 
 
 class RestoredTest(TestCase):
-    """A store that lost what it had acknowledged last, on hosts that knew it."""
+    """A store that lost its last acknowledged writes, and hosts that know them."""
 
     def test_texts_accepted_after_a_restore_are_in_force(self) -> None:
-        """Requests were handled by a text that had been replaced more than three seconds before.
-
-        The store had been away for two seconds and had come back from a copy, so its revisions
-        began again below those that hosts knew.  They ordered texts by revision alone: the next
-        two counted as older, and the third, whose revision was that of the text in force, as the
-        same.  What settled it: text_older, generation 17, revision 14, in_force 18, of a
-        generation that had been revision 18 before; then generation 20, revision 16, and
-        generation 22, revision 17; of generation 26 there was no line.
+        """Texts accepted after a restore are in force within the bound.
+
+        The restored store numbers its changes again from below the revisions that hosts know.  When
+        texts were ordered by revision alone, the next ones counted as older than the text in force,
+        or as the same if the revision was equal, and requests were handled by a replaced text.  It
+        was logged as text_older: generation 17, revision 14, in_force 18, of a generation that had
+        been revision 18 before; then generation 20, revision 16, and generation 22, revision 17;
+        generation 26, whose revision was equal, had no line.
         """
         fleet = fleet_of(3)
         put_generation(fleet, 5)
-        copy = fleet.store.copy()
+        backup = fleet.store.copy()
         for generation in (8, 11, 13, 15, 17):
             put_generation(fleet, generation)
             fleet.run(2)
-        restore(fleet, copy)
+        restore(fleet, backup)
         fleet.run(_BOUND_S)
         for generation in (20, 22, 26, 29, 32, 36):
             put_generation(fleet, generation)
             fleet.run(_BOUND_S)
             self.assertEqual({generation}, generations(fleet))
 
-    def test_no_text_is_taken_back_by_a_restore(self) -> None:
-        """A restored store shows an old text until the operators write theirs again.
+    def test_no_text_is_reverted_by_a_restore(self) -> None:
+        """A restore does not bring an old text back into force.
 
-        It is the newest word of the store, and older by the operators' own number.
+        Until the operators write their text again, the restored store returns an old one, which is
+        newest by its incarnation but older by the operators' generation.
         """
         fleet = fleet_of(3)
         put_generation(fleet, 5)
-        copy = fleet.store.copy()
+        backup = fleet.store.copy()
         put_generation(fleet, 8)
         fleet.run(1)
         names = list(fleet.node_by_name)
         fleet.lose_store(names, 'refuses')
         fleet.run(1)
-        fleet.store.restore(copy)
+        fleet.store.restore(backup)
         fleet.lose_store(names, 'serves')
         for _ in range(50):
             fleet.run(0.1)
@@ -166,19 +170,20 @@
         fleet.run(_BOUND_S)
         self.assertEqual({9}, generations(fleet))
 
-    def test_a_leaving_accepted_after_a_restore_is_known(self) -> None:
-        """An upstream that left after the store's return got new flows for seconds more.
+    def test_a_drain_accepted_after_a_restore_is_known(self) -> None:
+        """The drain of an upstream after a restore is known within the bound.
 
-        Its entry had a larger revision before the restore than its leaving after it.
+        The entry had a larger revision before the restore than the drain after it.  When numbers
+        alone were compared, the upstream got new flows for seconds.
         """
         fleet = fleet_of(3, ('dc-a',))
         put_upstream(fleet, 2)
         fleet.run(1)
-        copy = fleet.store.copy()
+        backup = fleet.store.copy()
         for _ in range(4):
             put_upstream(fleet, 2)
         fleet.run(1)
-        restore(fleet, copy)
+        restore(fleet, backup)
         fleet.run(_BOUND_S)
         put_upstream(fleet, 2, draining=True)
         fleet.run(_BOUND_S)
@@ -186,20 +191,21 @@
             self.assertTrue(node.state.directory.by_name[entry(2).name].entry.draining)
 
     def test_changes_under_numbers_given_out_again_are_known(self) -> None:
-        """Hosts cut off through a restore never learned of an upstream that joined meanwhile.
+        """Changes with revision numbers that were given out before are known.
 
-        When they reached the store again it had come back from a copy and its revisions had passed
-        theirs, so their watches went on from a number that meant something else.
+        Hosts are cut off while the store is restored and its revisions pass theirs.  When their
+        watches continued from a number that stood for another change, they never learned of an
+        upstream that had joined in the meantime.
         """
         fleet = fleet_of(3, ('dc-a',))
-        copy = fleet.store.copy()
+        backup = fleet.store.copy()
         for _ in range(4):
             put_upstream(fleet, 2)
         fleet.run(1)
         names = list(fleet.node_by_name)
         fleet.lose_store(names, 'refuses')
         fleet.run(1)
-        fleet.store.restore(copy)
+        fleet.store.restore(backup)
         put_upstream(fleet, 2)
         put_upstream(fleet, 3)
         for _ in range(6):
@@ -210,15 +216,15 @@
             self.assertIn(entry(3).name, node.state.directory.by_name)
 
     def test_data_centres_that_saw_different_incarnations_agree(self) -> None:
-        """A data centre that is cut off from the store learns from others what is new."""
+        """A data centre that is cut off from the store learns of newer incarnations from others."""
         fleet = fleet_of(3)
-        copy = fleet.store.copy()
+        backup = fleet.store.copy()
         for generation in (20, 21, 22, 23):
             put_generation(fleet, generation)
         fleet.run(1)
-        near = [name for name in fleet.node_by_name if name.startswith('dc-a')]
-        fleet.lose_store(near, 'silent')
-        fleet.store.restore(copy)
+        local_names = [name for name in fleet.node_by_name if name.startswith('dc-a')]
+        fleet.lose_store(local_names, 'silent')
+        fleet.store.restore(backup)
         put_generation(fleet, 24)
         put_upstream(fleet, 3)
         fleet.run(_BOUND_S)
@@ -228,22 +234,22 @@
 
 
 class CallsTest(TestCase):
-    """What a restored store is asked."""
+    """Calls to a restored store."""
 
-    def test_a_lost_history_is_not_asked_for_without_a_pause(self) -> None:
-        """Each host made a hundred calls a second until the store's revisions had passed its own.
+    def test_listings_after_a_lost_history_are_spaced(self) -> None:
+        """Listings after a lost history are spaced by waits until revisions have caught up.
 
-        Every watch was told that its history is gone, since it began at a revision that the
-        restored store did not have; the list that followed told a smaller one, which was left
-        out, and the next watch began where the last had.
+        Watches begin at a revision that the restored store does not have, so each one is answered
+        with a lost history.  When the smaller revision of the listing was ignored, the next watch
+        began at the same revision again, and each host made a hundred calls per second.
         """
         fleet = fleet_of(1, ('dc-a',))
         node = fleet.node_by_name['dc-a-1']
-        copy = fleet.store.copy()
+        backup = fleet.store.copy()
         for _ in range(9):
             put_upstream(fleet, 1)
         fleet.run(1)
-        fleet.store.restore(copy)
+        fleet.store.restore(backup)
         fleet.tell_watches()
         calls = node.calls
         fleet.run(_BOUND_S)
@@ -266,7 +272,7 @@
     return state
 
 
-def page_of_copy(*numbers: int, more: bool = False) -> PageRead:
+def page_of_backup(*numbers: int, more: bool = False) -> PageRead:
     """Return a page of upstreams of the second incarnation."""
     entries = [entry(number, revision=revision_of(_SECOND, number)) for number in numbers]
     objects = [StoredObject(listed.name, listed.revision, listed) for listed in entries]
@@ -282,17 +288,21 @@
     """Answers of one incarnation to a host that knows another."""
 
     def test_entries_that_a_restore_lost_get_time(self) -> None:
-        """An upstream that joined after the copy was made writes its entry again."""
+        """An upstream missing after a restore has time to write its entry again."""
         state = known_state(1, 2)
         state.follower_by_collection[Collection.UPSTREAMS].begin_listing()
-        reduce(state, page_of_copy(1), 2)
+        reduce(state, page_of_backup(1), 2)
         joined = state.directory.by_name[entry(2).name]
         self.assertFalse(joined.listed)
         self.assertFalse(joined.is_gone(2 + RETURN_GRACE_S / 2))
         self.assertTrue(joined.is_gone(2 + RETURN_GRACE_S))
 
-    def test_a_watch_of_a_former_incarnation_tells_nothing(self) -> None:
-        """The store answers a watch by its number, which means something else since the restore."""
+    def test_a_watch_of_a_former_incarnation_is_ignored(self) -> None:
+        """An answer of a restored store to an older watch leads to a new listing.
+
+        The store continues the watch by its number, which stands for another change since the
+        restore.
+        """
         state = known_state(1, 2)
         other = StoredObject(entry(3).name, revision_of(_SECOND, 9), entry(3, revision=9))
         effects = reduce(state, changes(Collection.UPSTREAMS, _SECOND, other), 2)
@@ -300,7 +310,10 @@
         self.assertFalse(state.is_direct(2))
 
     def test_one_answer_of_a_restored_store_renews_all_watches(self) -> None:
-        """A watch that began before a restore waits for a number that is yet to be given out."""
+        """The first answer of a restored store restarts all other watches.
+
+        A watch from before the restore waits for a number that is yet to be given out.
+        """
         state = known_state(1, 2)
         reduce(state, changes(Collection.TEXT, _SECOND), 2)
         renewed = [
@@ -311,9 +324,10 @@
         self.assertEqual({Collection.UPSTREAMS, Collection.EVACUATIONS}, set(renewed))
 
     def test_watches_that_waited_through_a_pause_are_renewed(self) -> None:
-        """A host that stood still through the restore was deaf for as long as a watch waits.
+        """The first answer of a restored store restarts watches also after a pause of the host.
 
-        After the pause nothing counted as current, and only current watches were made anew.
+        After the pause no view counts as current.  When only watches of current views were
+        restarted, the host received no changes for as long as a watch waits.
         """
         state = known_state(1, 2)
         for collection in Collection:
@@ -328,7 +342,7 @@
         self.assertEqual({Collection.UPSTREAMS, Collection.EVACUATIONS}, set(renewed))
 
     def test_an_answer_from_before_the_restore_is_left_out(self) -> None:
-        """A copy of the store that is behind answers a host that knows of the restore."""
+        """An answer of an earlier incarnation, from a replica that is behind, is ignored."""
         state = known_state(1, 2)
         state.follower_by_collection[Collection.TEXT].begin_listing()
         restored = page(Collection.TEXT, text(revision_of(_SECOND, 2), generation=5))
@@ -339,57 +353,59 @@
         self.assertFalse([item for item in effects if isinstance(item, WatchChanges | ReadPage)])
         self.assertTrue(state.is_lost)
 
-    def test_a_listing_that_a_restore_broke_begins_anew(self) -> None:
-        """The first page is of the store before its restore, the second of the one after it."""
+    def test_a_listing_interrupted_by_a_restore_is_restarted(self) -> None:
+        """A listing is started again if the store is restored between two of its pages."""
         state = known_state(1, 2)
         state.follower_by_collection[Collection.UPSTREAMS].begin_listing()
         first = entry(1, revision=revision_of(_FIRST, 1))
         before = StoredObject(first.name, first.revision, first)
         pages = PageRead(Collection.UPSTREAMS, [before], revision_of(_FIRST, 9), more=True)
         reduce(state, pages, 2)
-        effects = reduce(state, page_of_copy(2), 2.1)
+        effects = reduce(state, page_of_backup(2), 2.1)
         self.assertEqual([''], [effect.after for effect in effects if isinstance(effect, ReadPage)])
         self.assertTrue(state.directory.by_name[entry(1).name].listed)
 
 
 class ViewTest(TestCase):
-    """What hosts tell each other of a restored store."""
+    """Views sent between hosts after a restore."""
 
-    def test_a_view_of_a_restored_store_is_whole(self) -> None:
-        """A host at a former incarnation has to hear what the store lost, which has no revision.
+    def test_a_view_of_a_restored_store_is_complete(self) -> None:
+        """A view sent to a host that knows an earlier incarnation is complete.
 
-        The peer that tells it started after the restore and never knew of it.
+        What the store lost has no revision, so only a complete view shows that it is missing.  The
+        peer that sends it started after the restore and never knew of it.
         """
-        teller = fresh_state('b1')
-        reduce(teller, page(Collection.TEXT, text(revision_of(_SECOND, 3))), 0)
-        reduce(teller, page_of_copy(1, 4), 0)
+        sender = fresh_state('b1')
+        reduce(sender, page(Collection.TEXT, text(revision_of(_SECOND, 3))), 0)
+        reduce(sender, page_of_backup(1, 4), 0)
         asker = known_state(1, 2)
         known = KnownVersions(asker.text_order, asker.directory.newest_revision, 0)
-        reduce(asker, ViewFetched(('b1', 9), view_since(teller, known, 1)), 1)
+        reduce(asker, ViewFetched(('b1', 9), view_since(sender, known, 1)), 1)
         listed = {name for name, upstream in asker.directory.by_name.items() if upstream.listed}
         self.assertEqual({entry(1).name, entry(4).name}, listed)
         self.assertFalse(asker.directory.by_name[entry(2).name].is_gone(1 + RETURN_GRACE_S / 2))
 
-    def test_what_is_still_listed_is_not_taken_for_lost(self) -> None:
-        """An entry that the teller goes by from before the restore is told with the others."""
-        teller = known_state(1, 2)
-        teller.directory.advance_revision(revision_of(_SECOND, 9))
+    def test_an_entry_that_is_still_listed_is_sent(self) -> None:
+        """An entry that the sender knows from before the restore is sent with the others."""
+        sender = known_state(1, 2)
+        sender.directory.advance_revision(revision_of(_SECOND, 9))
         asker = known_state(1, 2)
         known = KnownVersions(asker.text_order, asker.directory.newest_revision, 0)
-        reduce(asker, ViewFetched(('b1', 9), view_since(teller, known, 1)), 1)
+        reduce(asker, ViewFetched(('b1', 9), view_since(sender, known, 1)), 1)
         self.assertEqual(2, asker.directory.listed_count)
 
 
-class LeavingTest(TestCase):
-    """Upstreams that announced their leaving before a restore, and are ready in the copy."""
+class DrainTest(TestCase):
+    """Upstreams that announced a drain before a restore, and are ready in the backup."""
 
-    def test_a_copy_does_not_take_a_leaving_back(self) -> None:
-        """An upstream that had announced its leaving got new flows again after a restore.
+    def test_a_backup_does_not_revert_a_drain(self) -> None:
+        """A restore from a backup does not revert the drain of an upstream.
 
-        The copy was made before the announcement.  Upstreams write again about once a second, so
-        the copy's word is not believed before it has stood for longer.
+        The backup was made before the drain was announced, so the upstream would get new flows
+        again.  Upstreams write about once a second, so the backup's entry is applied only after it
+        has stood for longer.
         """
-        state = leaving_state()
+        state = draining_state()
         relist(state, 2)
         self.assertFalse(state.directory.by_name[entry(2).name].accepts_flows(2))
         for tick in range(1, 10 * int(RESTORE_CONFIRM_S)):
@@ -398,28 +414,28 @@
             state.directory.by_name[entry(2).name].accepts_flows(2 + RESTORE_CONFIRM_S / 2)
         )
 
-    def test_what_a_copy_says_for_long_is_believed(self) -> None:
-        """The upstream goes on after all: its entry stands as the copy has it."""
-        state = leaving_state()
+    def test_an_entry_of_a_backup_is_applied_after_a_wait(self) -> None:
+        """The backup's entry is applied after it has stood long enough."""
+        state = draining_state()
         relist(state, 2)
         reduce(state, Ticked(), 2 + RESTORE_CONFIRM_S)
         self.assertTrue(state.directory.by_name[entry(2).name].accepts_flows(2 + RESTORE_CONFIRM_S))
 
-    def test_what_is_written_since_is_believed_at_once(self) -> None:
-        """The upstream writes that it is ready after the restore."""
-        state = leaving_state()
+    def test_an_entry_written_since_is_applied_at_once(self) -> None:
+        """An entry that is written after the restore is applied at once."""
+        state = draining_state()
         relist(state, 2)
-        told = revision_of(_SECOND, 12)
-        ready = StoredObject(entry(2).name, told, entry(2, revision=told))
-        reduce(state, ChangesRead(Collection.UPSTREAMS, [ready], told), 2.5)
+        revision = revision_of(_SECOND, 12)
+        ready = StoredObject(entry(2).name, revision, entry(2, revision=revision))
+        reduce(state, ChangesRead(Collection.UPSTREAMS, [ready], revision), 2.5)
         self.assertTrue(state.directory.by_name[entry(2).name].accepts_flows(2.5))
 
-    def test_a_second_copy_takes_no_leaving_back_either(self) -> None:
-        """The store came back twice within seconds, both times from before the leaving."""
-        state = leaving_state()
+    def test_a_second_backup_does_not_revert_a_drain(self) -> None:
+        """A second restore within seconds, from before the drain, does not revert it either."""
+        state = draining_state()
         relist(state, 2)
-        told = revision_of(_SECOND + 1, 2)
-        ready = entry(2, revision=told)
+        revision = revision_of(_SECOND + 1, 2)
+        ready = entry(2, revision=revision)
         state.follower_by_collection[Collection.UPSTREAMS].begin_listing()
         reduce(state, page(Collection.UPSTREAMS, ready), 3)
         self.assertFalse(state.directory.by_name[entry(2).name].accepts_flows(3))
@@ -427,16 +443,17 @@
         leaving = state.directory.by_name[entry(2).name]
         self.assertFalse(leaving.accepts_flows(2.1 + RESTORE_CONFIRM_S))
 
-    def test_a_former_start_in_a_copy_is_believed_late(self) -> None:
-        """All that was known of an upstream's newest start was dropped for that of a dead one.
+    def test_a_former_process_in_a_backup_is_applied_late(self) -> None:
+        """A former process from a backup replaces a newer one only after a longer wait.
 
-        The copy had the entry of its former start, and stood for longer than late writes do: the
-        entry of a process that is gone lapses after 3.6 s.
+        The backup has the entry of the former process, and may keep it for longer than a delayed
+        write does: the entry of a process that is gone lapses after 3.6 s.  Applied too early, it
+        would drop all state of the newest process.
         """
         state = known_state(1)
-        told = revision_of(_FIRST, 10)
-        newest = started_entry(7, told, 2000)
-        stored = StoredObject(newest.name, told, newest)
+        revision = revision_of(_FIRST, 10)
+        newest = started_entry(7, revision, 2000)
+        stored = StoredObject(newest.name, revision, newest)
         reduce(state, changes(Collection.UPSTREAMS, _FIRST, stored), 1.1)
         state.follower_by_collection[Collection.UPSTREAMS].begin_listing()
         former = started_entry(7, revision_of(_SECOND, 5), 1000)
@@ -446,16 +463,19 @@
             known = state.directory.by_name[newest.name].entry
             self.assertEqual(start_ms, known.started_ms)
 
-    def test_one_that_left_does_not_come_back_by_a_copy(self) -> None:
-        """The copy was made before an upstream left; its address may be another service's now."""
-        state = leaving_state()
+    def test_one_that_left_does_not_come_back_by_a_backup(self) -> None:
+        """An upstream that left does not come back by a backup from before.
+
+        Its address may belong to another service by now.
+        """
+        state = draining_state()
         removed = StoredObject(entry(2).name, revision_of(_FIRST, 11), None)
         reduce(state, ChangesRead(Collection.UPSTREAMS, [removed], removed.revision), 1.5)
         relist(state, 2)
         self.assertFalse(state.directory.by_name[entry(2).name].listed)
 
     def test_one_that_lapsed_comes_back_at_once(self) -> None:
-        """An entry that lapsed in the outage before the restore is used as the copy has it."""
+        """An entry that lapsed in the outage before a restore is used again at once."""
         state = known_state(1, 2)
         reduce(state, changes(Collection.UPSTREAMS, _FIRST), 1.2)
         removed = StoredObject(entry(2).name, revision_of(_FIRST, 11), None)
@@ -463,13 +483,13 @@
         relist(state, 2)
         self.assertTrue(state.directory.by_name[entry(2).name].accepts_flows(2))
 
-    def test_peers_hear_of_what_is_not_believed_yet(self) -> None:
-        """A host that hears the copy's word from a peer believes it no sooner."""
-        teller = leaving_state()
-        relist(teller, 2)
-        asker = leaving_state()
+    def test_peers_learn_of_unconfirmed_entries(self) -> None:
+        """A host that receives the backup's entry from a peer waits as long as others."""
+        sender = draining_state()
+        relist(sender, 2)
+        asker = draining_state()
         known = KnownVersions(asker.text_order, asker.directory.newest_revision, 0)
-        reduce(asker, ViewFetched(('b1', 9), view_since(teller, known, 2)), 2)
+        reduce(asker, ViewFetched(('b1', 9), view_since(sender, known, 2)), 2)
         leaving = asker.directory.by_name[entry(2).name]
         self.assertTrue(leaving.listed)
         self.assertFalse(leaving.accepts_flows(2))
@@ -478,34 +498,35 @@
 
 
 def started_entry(number: int, revision: int, started_ms: int) -> UpstreamEntry:
-    """Return the entry of one start of an upstream."""
-    told = entry(number, revision=revision)
-    told.started_ms = started_ms
-    return told
+    """Return the entry of an upstream with a start time."""
+    started = entry(number, revision=revision)
+    started.started_ms = started_ms
+    return started
 
 
-def leaving_state() -> RoutingState:
-    """Return a state that knows two upstreams, of which the second is leaving."""
+def draining_state() -> RoutingState:
+    """Return a state that knows two upstreams, of which the second is draining."""
     state = known_state(1, 2)
-    told = revision_of(_FIRST, 10)
-    leaving = StoredObject(entry(2).name, told, entry(2, revision=told, draining=True))
-    reduce(state, ChangesRead(Collection.UPSTREAMS, [leaving], told), 1.1)
+    revision = revision_of(_FIRST, 10)
+    leaving = StoredObject(entry(2).name, revision, entry(2, revision=revision, draining=True))
+    reduce(state, ChangesRead(Collection.UPSTREAMS, [leaving], revision), 1.1)
     return state
 
 
 def relist(state: RoutingState, now: float) -> None:
-    """Let a host list the copy, in which both upstreams are ready."""
+    """Make a host list the backup, in which both upstreams are ready."""
     state.follower_by_collection[Collection.UPSTREAMS].begin_listing()
-    reduce(state, page_of_copy(1, 2), now)
+    reduce(state, page_of_backup(1, 2), now)
 
 
 class EvacuationTest(TestCase):
-    """Evacuations that a restored store has lost, or has again."""
+    """Evacuations that are missing or present after a restore."""
 
     def test_an_evacuation_that_a_restore_lost_stands(self) -> None:
-        """A data centre that people work on got new flows after the store's restore.
+        """An evacuation that a restore lost stays in force for a while.
 
-        The copy was made before the operators evacuated it; they write that again in a moment.
+        The backup was made before operators evacuated the data centre, and they write the
+        evacuation again soon.  Until then, a data centre under maintenance must get no new flows.
         """
         state = evacuated_state()
         relist_evacuations(state, 2)
@@ -514,20 +535,23 @@
         self.assertFalse(accepts_flows(state, 2 + RESTORE_CONFIRM_S / 2))
 
     def test_one_that_is_not_written_again_ends(self) -> None:
-        """The operators had taken it back meanwhile, which a restored store has no word of."""
+        """An evacuation that is not written again ends.
+
+        The operators may have revoked it in the meantime, which a restored store does not show.
+        """
         state = evacuated_state()
         relist_evacuations(state, 2)
-        told = reduce(state, Ticked(), 2 + RESTORE_CONFIRM_S)
+        effects = reduce(state, Ticked(), 2 + RESTORE_CONFIRM_S)
         self.assertTrue(accepts_flows(state, 2 + RESTORE_CONFIRM_S))
-        self.assertEqual(1, len(lines_of(told, LogNumber.TAKEN_BACK)))
+        self.assertEqual(1, len(lines_of(effects, LogNumber.TAKEN_BACK)))
 
     def test_one_that_is_written_again_stands_on(self) -> None:
-        """From then on the store's word holds, also when it is taken back."""
+        """An evacuation that is written again stands until it is revoked in the store."""
         state = evacuated_state()
         relist_evacuations(state, 2)
-        told = revision_of(_SECOND, 10)
-        written = StoredObject(HOME, told, Evacuation())
-        effects = reduce(state, ChangesRead(Collection.EVACUATIONS, [written], told), 2.5)
+        revision = revision_of(_SECOND, 10)
+        written = StoredObject(HOME, revision, Evacuation())
+        effects = reduce(state, ChangesRead(Collection.EVACUATIONS, [written], revision), 2.5)
         self.assertEqual([], lines_of(effects, LogNumber.EVACUATED))
         reduce(state, Ticked(), 2 + RESTORE_CONFIRM_S)
         self.assertFalse(accepts_flows(state, 2 + RESTORE_CONFIRM_S))
@@ -539,61 +563,63 @@
         self.assertTrue(accepts_flows(state, 2.6 + RESTORE_CONFIRM_S))
 
     def test_one_that_is_written_again_and_taken_back_ends(self) -> None:
-        """The operators' word is obeyed at once, also soon after a restore."""
+        """An evacuation that is written again and revoked ends at once after a restore."""
         state = evacuated_state()
         relist_evacuations(state, 2)
         for number, content in ((10, Evacuation()), (11, None)):
-            told = revision_of(_SECOND, number)
-            stored = StoredObject(HOME, told, content)
-            reduce(state, ChangesRead(Collection.EVACUATIONS, [stored], told), 2.5)
+            revision = revision_of(_SECOND, number)
+            stored = StoredObject(HOME, revision, content)
+            reduce(state, ChangesRead(Collection.EVACUATIONS, [stored], revision), 2.5)
         self.assertTrue(accepts_flows(state, 2.5))
 
-    def test_peers_word_of_a_restored_store_ends_none_at_once(self) -> None:
-        """A host that does not watch hears from a peer what the copy has."""
+    def test_a_peers_report_of_a_restore_ends_none_at_once(self) -> None:
+        """A peer's report about a restored store ends no evacuation at once either."""
         state = evacuated_state()
         sender = PeerAddress('a2', HOME, ('a2', 9))
-        word = Evacuated(revision_of(_SECOND, 9), frozenset())
-        reduce(state, HeartbeatHeard(Heartbeat(sender, 1, 1, {}, evacuated=word)), 2)
+        report = Evacuated(revision_of(_SECOND, 9), frozenset())
+        reduce(state, HeartbeatHeard(Heartbeat(sender, 1, 1, {}, evacuated=report)), 2)
         self.assertFalse(accepts_flows(state, 2))
         reduce(state, Ticked(), 2 + RESTORE_CONFIRM_S)
         self.assertTrue(accepts_flows(state, 2 + RESTORE_CONFIRM_S))
 
-    def test_one_that_the_copy_has_is_obeyed(self) -> None:
-        """Nobody can tell an evacuation of the copy from one written just now."""
+    def test_an_evacuation_in_a_backup_is_in_force(self) -> None:
+        """An evacuation in the backup is in force, as it may have been written just now."""
         state = known_state(1, 2)
         relist_evacuations(state, 2, HOME)
         self.assertFalse(accepts_flows(state, 2))
 
     def test_upstreams_listed_meanwhile_get_nothing(self) -> None:
-        """An upstream joins a data centre whose evacuation the restore lost."""
+        """An upstream that joins a data centre whose evacuation was lost gets no new flows."""
         state = evacuated_state()
         relist_evacuations(state, 2)
-        told = revision_of(_SECOND, 12)
-        listed = entry(7, 'another', revision=told)
-        joined = ChangesRead(Collection.UPSTREAMS, [StoredObject(listed.name, told, listed)], told)
+        revision = revision_of(_SECOND, 12)
+        listed = entry(7, 'another', revision=revision)
+        joined = ChangesRead(
+            Collection.UPSTREAMS, [StoredObject(listed.name, revision, listed)], revision
+        )
         state.follower_by_collection[Collection.UPSTREAMS].begin_listing()
-        reduce(state, page_of_copy(1, 2), 2)
+        reduce(state, page_of_backup(1, 2), 2)
         reduce(state, joined, 2.1)
         self.assertFalse(state.directory.by_name[listed.name].accepts_flows(2.1))
 
 
 def evacuated_state() -> RoutingState:
-    """Return a state that knows the own data centre to be evacuated."""
+    """Return a state in which the local data centre is evacuated."""
     state = known_state(1, 2)
-    told = revision_of(_FIRST, 10)
-    evacuation = StoredObject(HOME, told, Evacuation())
-    reduce(state, ChangesRead(Collection.EVACUATIONS, [evacuation], told), 1.1)
+    revision = revision_of(_FIRST, 10)
+    evacuation = StoredObject(HOME, revision, Evacuation())
+    reduce(state, ChangesRead(Collection.EVACUATIONS, [evacuation], revision), 1.1)
     return state
 
 
 def relist_evacuations(state: RoutingState, now: float, *centres: str) -> None:
-    """Let a host list the evacuations of a copy."""
+    """Make a host list the evacuations of a backup."""
     state.follower_by_collection[Collection.EVACUATIONS].begin_listing()
-    told = revision_of(_SECOND, 9)
-    objects = [StoredObject(centre, told, Evacuation()) for centre in centres]
-    reduce(state, PageRead(Collection.EVACUATIONS, objects, told, more=False), now)
+    revision = revision_of(_SECOND, 9)
+    objects = [StoredObject(centre, revision, Evacuation()) for centre in centres]
+    reduce(state, PageRead(Collection.EVACUATIONS, objects, revision, more=False), now)
 
 
 def accepts_flows(state: RoutingState, now: float) -> bool:
-    """Whether an upstream of the own data centre takes new flows."""
+    """Whether an upstream of the local data centre takes new flows."""
     return state.directory.by_name[entry(1).name].accepts_flows(now)
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -1,4 +1,4 @@
-"""Test how many calls balancers make to the store, and what few and cheap ones still notice."""
+"""Test how many calls balancers make to the store, and which changes they still notice."""
 
 from unittest import TestCase
 
@@ -37,20 +37,21 @@
 _CHANGE_S = 0.1
 _COLLECTIONS = len(Collection)
 
-#: Seconds within which a data centre whose own watches are deaf or stale has what another knows:
-#: the interval of word between data centres, the wait before another is asked, and a fetch.
-_TOLD_S = 2.0
+#: Seconds within which a data centre whose own watches are stalled or stale learns what another one
+#: knows: the interval of heartbeats between data centres, the wait before another data centre is
+#: asked, and a fetch.
+_REPORTED_S = 2.0
 
 
 class FewCallsTest(TestCase):
-    """What a fleet of five data centres costs the store."""
+    """Number of calls to the store by a fleet of five data centres."""
 
     def test_upstreams_replaced_one_after_the_other(self) -> None:
-        """Symptom: calls to the store are the largest price of a large deployment.
+        """Watchers batch the changes of a release instead of making one call per change.
 
-        Sequence: a release replaces upstreams one after the other; each writes its entry several
-        times; every watcher's watch ends at each of these writes.
-        Cause: a call a change and watcher, whatever that tells.
+        A release replaces upstreams one after the other, and each writes its entry several times.
+        If every watch ended at each of these writes, calls to the store would be the largest cost
+        of a large deployment.
         """
         fleet = _settled(6)
         before = _newest_reads(fleet), _calls(fleet)
@@ -64,16 +65,16 @@
         self.assertLessEqual(_newest_reads(fleet) - before[0], NEWEST_READERS * gathered + texts)
         self.assertLessEqual(_calls(fleet) - before[1], watchers * gathered + texts)
 
-    def test_a_change_after_a_quiet_time_is_told_at_once(self) -> None:
-        """What is gathered is only what follows at once."""
+    def test_a_change_after_a_quiet_period_is_reported_at_once(self) -> None:
+        """The first change after a quiet period is not delayed by batching."""
         fleet = _settled(6)
         put_upstream(fleet, 1, draining=True)
         fleet.run(_CHANGE_S)
-        told = [node.state.directory.by_name[entry(1).name] for node in fleet.running]
-        self.assertTrue(all(upstream.entry.draining for upstream in told))
+        upstreams = [node.state.directory.by_name[entry(1).name] for node in fleet.running]
+        self.assertTrue(all(upstream.entry.draining for upstream in upstreams))
 
     def test_watchers_are_few_in_all(self) -> None:
-        """Nine or so, whatever the number of data centres, and two at least in each."""
+        """There are about nine watchers over all data centres, and at least two in each."""
         for centres, each in (
             (_FIVE[:3], MAX_WATCHERS_PER_CENTRE),
             (_FIVE, MIN_WATCHERS_PER_CENTRE),
@@ -85,11 +86,12 @@
                 self.assertEqual(each * len(centres), len(watching))
                 self.assertGreaterEqual(len(watching), TOTAL_WATCHERS)
 
-    def test_hosts_that_start_list_at_a_tenth(self) -> None:
-        """Symptom: a rolling restart costs more than all changes of a day.
+    def test_restarted_hosts_cost_few_newest_reads(self) -> None:
+        """A rolling restart costs few calls to the store.
 
-        Sequence: hosts stop and start again, one after the other.
-        Cause: a full list of all upstreams, a watch each, and the proof that nobody needs.
+        Hosts stop and start again one after the other.  If each made a full listing without
+        staleness, a watch, and a proof that nobody needs, the restart would cost more than all
+        changes of a day.
         """
         fleet = _settled(6)
         before = _newest_reads(fleet)
@@ -100,11 +102,12 @@
         usual = len(_FIVE) * MIN_WATCHERS_PER_CENTRE * _COLLECTIONS
         self.assertLessEqual(_newest_reads(fleet) - before, usual + len(restarted))
 
-    def test_an_outage_is_not_called_by_everybody(self) -> None:
-        """Symptom: a store that is down gets hundreds of calls a second.
+    def test_few_hosts_call_a_store_that_is_down(self) -> None:
+        """Only a few hosts call a store that is down.
 
-        Sequence: the store refuses all hosts of a large data centre for ten seconds.
-        Cause: each host takes the place of those that tried before it, and goes on trying.
+        The store refuses all hosts of a large data centre for ten seconds.  If each host took over
+        from those that tried before it, and kept trying, the store would get hundreds of calls per
+        second.
         """
         fleet = fleet_of(24, ('dc-a', 'dc-b'))
         fleet.run(_SETTLED_S)
@@ -125,13 +128,14 @@
 
 
 class StartTest(TestCase):
-    """What the start of hosts costs their peers."""
+    """Traffic to peers when hosts start."""
 
-    def test_a_view_does_not_cross_while_the_store_answers(self) -> None:
-        """Symptom: bytes between data centres are the largest price of three hundred hosts.
+    def test_no_remote_view_is_fetched_while_the_store_answers(self) -> None:
+        """Hosts that start fetch no view from another data centre while the store answers.
 
-        Sequence: all hosts of a data centre start; seeds elsewhere tell that they know more.
-        Cause: asking for a view of thousands of upstreams that the store is about to list.
+        All hosts of a data centre start, and remote seeds announce that they know more.  Asking
+        them for thousands of upstreams that the store is about to list would make traffic between
+        data centres the largest cost of three hundred hosts.
         """
         fleet = _settled(4)
         for name in _of(fleet, 'dc-d'):
@@ -141,8 +145,8 @@
         self.assertEqual(0, sum(views))
         self.assertTrue(all(node.state.ready for node in fleet.running))
 
-    def test_another_centre_is_asked_if_the_store_is_silent(self) -> None:
-        """Hosts that start in a data centre that knows nothing serve all the same."""
+    def test_a_remote_view_is_fetched_without_the_store(self) -> None:
+        """Hosts that start in a data centre without answers of the store become ready."""
         fleet = _settled(4)
         started = _of(fleet, 'dc-d')
         fleet.lose_store(started, 'silent')
@@ -153,13 +157,13 @@
 
 
 class ProofTest(TestCase):
-    """What is not proved to be new refuses nobody."""
+    """A host refuses no flow by a view that is not proved to be current."""
 
     def test_a_first_listing_refuses_nobody(self) -> None:
-        """Symptom: a host that has just started refuses callers whose route is new.
+        """A host that has just started does not refuse callers of a new route.
 
-        Sequence: a route is added; a host starts, and the store's stale reads are behind.
-        Cause: taking a stale listing for a proof that nothing is newer.
+        A route is added and a host starts while the store's stale reads are behind.  A stale
+        listing must not count as proof that nothing is newer.
         """
         state = fresh_state()
         reduce(state, Started(), 0)
@@ -172,8 +176,8 @@
         verdict = steering(state).decide(unknown, 0.1)
         self.assertEqual('Discard no_route', delivered_to(verdict))
 
-    def test_it_is_proved_by_a_short_watch(self) -> None:
-        """Whoever then watches asks first for an answer at once."""
+    def test_a_short_watch_proves_the_view(self) -> None:
+        """A watcher that starts first makes a short watch, which is answered at once."""
         state = fresh_state()
         reduce(state, Started(), 0)
         reduce(state, page(Collection.TEXT, text(1)), 0)
@@ -187,11 +191,11 @@
             reduce(state, ChangesRead(collection, [], 1), LISTEN_S)
         self.assertTrue(state.is_current(LISTEN_S))
 
-    def test_a_pause_while_changes_are_gathered(self) -> None:
-        """Symptom: a host that stood still refuses by what it knew before.
+    def test_a_pause_while_changes_are_batched(self) -> None:
+        """A host that was paused between two watches does not refuse by its old view.
 
-        Sequence: upstreams change; before the next watch begins the host is frozen.
-        Cause: taking the rest between two watches for the second one.
+        Upstreams change, and the host is frozen before the next watch begins.  The delay between
+        two watches must not count as a watch.
         """
         state = ready_state(entry(1))
         for collection in Collection:
@@ -206,28 +210,27 @@
         self.assertFalse(state.is_current(10))
 
 
-class NoticedTest(TestCase):
-    """What must be noticed all the same."""
+class NoticedChangesTest(TestCase):
+    """Changes that are noticed in spite of few and stale calls."""
 
     def test_stale_reads_that_are_far_behind(self) -> None:
-        """Symptom: new flows go to an upstream that left six seconds ago.
+        """A drain is known everywhere although stale reads are six seconds behind.
 
-        Sequence: an upstream announces that it leaves while the store's stale reads are six
-        seconds behind; most watchers read stale.
-        Cause: nobody who reads the newest, or nobody who hears of it.
+        Most watchers read stale.  If nobody read without staleness, or the others did not learn of
+        it, new flows would go to an upstream that left six seconds ago.
         """
         fleet = _settled(6)
         fleet.store.stale_by_s = 6
         put_upstream(fleet, 1, draining=True)
-        fleet.run(_TOLD_S)
+        fleet.run(_REPORTED_S)
         for node in fleet.running:
             self.assertTrue(node.state.directory.by_name[entry(1).name].entry.draining)
 
     def test_stale_reads_behind_while_hosts_start(self) -> None:
-        """A host that lists what is six seconds old catches up by its peers.
+        """A host whose first listing is six seconds old catches up through its peers.
 
-        It is itself one of those that read the newest, so its data centre hears of upstreams
-        from another.
+        It is itself one of those that read without staleness, so its data centre learns of
+        upstreams from another one.
         """
         fleet = _settled(4)
         fleet.store.stale_by_s = 6
@@ -237,14 +240,14 @@
         fleet.run(LISTEN_S + 1)
         state = fleet.node_by_name['dc-c-2'].state
         self.assertEqual(newest, state.text_revision)
-        fleet.run(_TOLD_S - LISTEN_S - 1)
+        fleet.run(_REPORTED_S - LISTEN_S - 1)
         self.assertTrue(state.directory.by_name[entry(1).name].entry.draining)
 
     def test_all_start_while_stale_reads_are_behind(self) -> None:
-        """Symptom: after a loss of power everybody goes by a text of six seconds ago.
+        """After a power loss of all hosts, none uses a text that is six seconds old.
 
-        Sequence: a text is accepted; all hosts lose power at once; stale reads are behind.
-        Cause: a first listing that is stale, and no watch that is not.
+        A text is accepted, all hosts lose power at once, and stale reads are behind.  A stale first
+        listing must be followed by a watch without staleness.
         """
         fleet = _settled(4)
         fleet.store.stale_by_s = 6
@@ -252,13 +255,13 @@
         put_upstream(fleet, 1, draining=True)
         for name in fleet.node_by_name:
             fleet.restart(name)
-        fleet.run(LISTEN_S + _TOLD_S)
+        fleet.run(LISTEN_S + _REPORTED_S)
         for node in fleet.running:
             self.assertEqual(newest, node.state.text_revision)
             self.assertTrue(node.state.directory.by_name[entry(1).name].entry.draining)
 
-    def test_a_store_silent_towards_all_newest_readers(self) -> None:
-        """The others are told late at worst, and tell those that are deaf."""
+    def test_a_store_unresponsive_to_all_newest_readers(self) -> None:
+        """If all watchers without staleness are stalled, others report changes to them."""
         fleet = _settled(6)
         newest_readers = [
             node.me.name
@@ -271,13 +274,13 @@
         fleet.store.stale_by_s = 1
         newest = put_text(fleet)
         put_upstream(fleet, 1, draining=True)
-        fleet.run(fleet.store.stale_by_s + _TOLD_S)
+        fleet.run(fleet.store.stale_by_s + _REPORTED_S)
         for node in fleet.running:
             self.assertEqual(newest, node.state.text_revision)
             self.assertTrue(node.state.directory.by_name[entry(1).name].entry.draining)
 
-    def test_the_store_is_silent_towards_a_third(self) -> None:
-        """Whichever third it is, also with both watchers of a data centre among them."""
+    def test_the_store_is_unresponsive_to_a_third_of_the_hosts(self) -> None:
+        """Any third is affected, even one that has both watchers of a data centre."""
         for offset in range(3):
             with self.subTest(offset=offset):
                 fleet = _settled(6)
@@ -285,15 +288,15 @@
                     node.me.name for node in fleet.running if node.state.is_direct(fleet.now)
                 )
                 others = sorted(set(fleet.node_by_name).difference(watching))
-                deaf = watching[offset * 2 : offset * 2 + 4]
-                fleet.lose_store([*deaf, *others[offset : offset + 6]], 'silent')
+                stalled = watching[offset * 2 : offset * 2 + 4]
+                fleet.lose_store([*stalled, *others[offset : offset + 6]], 'silent')
                 newest = put_text(fleet)
                 put_upstream(fleet, 1, draining=True)
-                fleet.run(_TOLD_S)
+                fleet.run(_REPORTED_S)
                 for node in fleet.running:
                     self.assertEqual(newest, node.state.text_revision)
-                    known = node.state.directory.by_name[entry(1).name]
-                    self.assertTrue(known.entry.draining)
+                    upstream = node.state.directory.by_name[entry(1).name]
+                    self.assertTrue(upstream.entry.draining)
 
 
 def _of(fleet: RoutingFleet, centre: str) -> list[str]:
@@ -302,7 +305,7 @@
 
 
 def _settled(per_centre: int) -> RoutingFleet:
-    """Return a fleet of five data centres in which few watch."""
+    """Return a fleet of five data centres in which few hosts watch."""
     fleet = fleet_of(per_centre, _FIVE)
     fleet.run(_SETTLED_S)
     return fleet
