--- a/src/bronzekeel/core/routing/effects.py
+++ b/src/bronzekeel/core/routing/effects.py
@@ -1,6 +1,6 @@
 """Define the effects that a balancer's decisions request from its adapters."""
 
-from bronzekeel.core.routing.messages import Heartbeat, Known
+from bronzekeel.core.routing.messages import Heartbeat, KnownVersions
 
 
 class Effect:
@@ -63,7 +63,7 @@
 
     __slots__ = ('address', 'known')
 
-    def __init__(self, address: tuple[str, int], known: Known) -> None:
+    def __init__(self, address: tuple[str, int], known: KnownVersions) -> None:
         """Fetch from the peer at `address`."""
         self.address = address
         self.known = known
--- a/src/bronzekeel/core/routing/evacuations.py
+++ b/src/bronzekeel/core/routing/evacuations.py
@@ -1,12 +1,12 @@
-"""Take word of evacuations, from the store or a peer, in the order of the store's revisions.
+"""Apply evacuations reported by the store or a peer, in the order of the store's revisions.
 
 Operators evacuate a data centre before they work on it: from then on no new flow goes to its
-upstreams, until they take that back.  Flows that are open stay where they are, since none
-can be moved without a reset (docs/design/shifted-work.md, "Evacuations").
+upstreams, until they revoke the evacuation.  Open flows stay where they are, since none can be
+moved without a reset (docs/design/shifted-work.md, "Evacuations").
 
-What goes wrong without the order: a host that was cut off, or a read that is seconds old, brings
-back an evacuation that was taken back, or ends one that stands.  One notices by a data
-centre that gets nothing for no reason, or gets flows while people work on it.
+Without the order, a host that was cut off, or a stale read, would restore an evacuation that was
+revoked or end one that stands.  The symptom is a data centre that gets no flows for no reason, or
+that gets flows during maintenance.
 """
 
 from bronzekeel.core.log_numbers import LogNumber
@@ -14,22 +14,22 @@
 from bronzekeel.core.routing.events import StoredObject
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.messages import Evacuated
-from bronzekeel.core.routing.revisions import shown
+from bronzekeel.core.routing.revisions import format_revision
 from bronzekeel.core.routing.state import RoutingState
 
 
-#: Who told, in the log, where it was no peer.
+#: Source of a report in the log if it is not a peer.
 STORE = 'store'
 
 
-def evacuated_after(
+def evacuated_with(
     evacuated: Evacuated,
     changes: list[StoredObject],
     revision: int,
 ) -> Evacuated:
-    """Return what is evacuated after `changes`, which are all up to `revision`.
+    """Return the evacuations after applying `changes`, which are complete up to `revision`.
 
-    Changes that are known already do no harm: the last one of a data centre decides.
+    Changes that were already applied do no harm: the last one of a data centre decides.
     """
     centres = set(evacuated.centres)
     for stored in changes:
@@ -42,34 +42,35 @@
     return Evacuated(revision, frozenset(centres))
 
 
-def take_evacuated(
+def apply_evacuated(
     state: RoutingState,
-    told: Evacuated,
-    teller: str,
+    reported: Evacuated,
+    source: str,
     now: float,
 ) -> list[Effect]:
-    """Put what `teller` says in force if it is newer; the newest word holds as a whole.
+    """Put the evacuations reported by `source` in force if they are newer.
 
-    What a restored store does not have is kept for a while.
+    A report replaces all earlier ones.  Evacuations that a restored store has lost are retained for
+    a while.
     """
-    if told.as_of <= state.evacuated.as_of:
+    if reported.as_of <= state.evacuated.as_of:
         return []
-    closed = state.directory.closed_centres
-    former = closed.names
-    closed.take(told, now)
-    state.directory.close_pools()
-    state.follower_by_collection[Collection.EVACUATIONS].adopt(told.as_of)
+    evacuated = state.directory.evacuated_centres
+    former = evacuated.names
+    evacuated.apply(reported, now)
+    state.directory.update_evacuated_pools()
+    state.follower_by_collection[Collection.EVACUATIONS].adopt(reported.as_of)
     return [
-        *_lines(LogNumber.EVACUATED, closed.names - former, told.as_of, teller),
-        *_lines(LogNumber.TAKEN_BACK, former - closed.names, told.as_of, teller),
+        *_lines(LogNumber.EVACUATED, evacuated.names - former, reported.as_of, source),
+        *_lines(LogNumber.TAKEN_BACK, former - evacuated.names, reported.as_of, source),
     ]
 
 
-def end_evacuations(state: RoutingState, now: float) -> list[Effect]:
+def expire_evacuations(state: RoutingState, now: float) -> list[Effect]:
     """End the evacuations that a restored store lost and operators did not write again."""
-    ended = state.directory.closed_centres.end_kept(now)
+    ended = state.directory.evacuated_centres.expire_retained(now)
     if ended:
-        state.directory.close_pools()
+        state.directory.update_evacuated_pools()
     return _lines(LogNumber.TAKEN_BACK, ended, state.evacuated.as_of, STORE)
 
 
@@ -77,9 +78,9 @@
     number: LogNumber,
     centres: frozenset[str],
     as_of: int,
-    teller: str,
+    source: str,
 ) -> list[Effect]:
     return [
-        WriteLine(number, data_centre=centre, revision=shown(as_of), told_by=teller)
+        WriteLine(number, data_centre=centre, revision=format_revision(as_of), told_by=source)
         for centre in sorted(centres)
     ]
--- a/src/bronzekeel/core/routing/relays.py
+++ b/src/bronzekeel/core/routing/relays.py
@@ -1,56 +1,57 @@
-"""Tell other data centres what is known, and hear from them what is not known here.
+"""Exchange heartbeats with other data centres.
 
-A watch may be deaf: the store says nothing to a host and closes nothing.  A few
-watchers of each data centre tell a few hosts of every other how new their views
-are, so a data centre whose watchers are all deaf hears of it.
+A watch may be stalled: the store sends nothing to a host and does not close the connection.  A few
+watchers of each data centre send a few hosts of every other one how new their views are, so that a
+data centre whose watchers are all stalled learns of changes.
 """
 
 from collections.abc import Mapping
 from zlib import crc32
 
 from bronzekeel.core.routing.messages import Heartbeat, PeerAddress
-from bronzekeel.core.routing.peers import SILENT_INTERVALS, Peer, PeerTable, rank_of
+from bronzekeel.core.routing.peers import PEER_TIMEOUT_INTERVALS, Peer, PeerTable, rank_of
 
 
-#: Watchers of a data centre that tell other data centres, and hosts of each that
-#: are told.  Source: one may be deaf, or dead without anybody knowing yet.
+#: Number of watchers per data centre that send heartbeats to other data centres, and of hosts in
+#: each that receive them.  One may be stalled, or dead without having timed out yet.
 RELAYS = 2
 
-#: Interval in seconds at which they tell.  Source: with the wait before another data
-#: centre is asked (``PATIENCE_S``) and one fetch, a third of the shortest bound on a change
-#: (3 s) remains; 24 datagrams of 150 bytes a second among three data centres.
+#: Interval in seconds between these heartbeats.  Together with the wait before another data centre
+#: is asked (``PATIENCE_S``) and one fetch, a third of the shortest bound on a change (3 s) remains.
+#: It costs 24 datagrams of 150 bytes a second among three data centres.
 RELAY_S = 1.0
 
-#: The same while requests wait in the own data centre.  What goes wrong without it: a burst is
-#: everywhere, and each data centre sends its flows to another that had room a second ago.
-STRAINED_RELAY_S = 0.25
+#: The same interval while requests wait in the local data centre.  With the longer interval, in a
+#: burst that affects all data centres, each would send its flows to another one that had free
+#: capacity a second ago.
+QUEUEING_RELAY_S = 0.25
 
 
 class Relays:
-    """Choose whom to tell, and find who elsewhere knows more."""
+    """Select the receivers of heartbeats in other data centres, and evaluate what they send."""
 
     def __init__(self, peers: PeerTable) -> None:
-        """Choose among `peers`."""
+        """Use the balancers in `peers`."""
         self._peers = peers
-        self._told_at: float = 0
+        self._last_sent_at: float = 0
         self._turn = 0
 
-    def due(self, now: float, *, direct: bool, strained: bool) -> list[tuple[str, int]]:
-        """Return the addresses in other data centres that are to be told now.
+    def due(self, now: float, *, direct: bool, queueing: bool) -> list[tuple[str, int]]:
+        """Return the addresses in other data centres that are due for a heartbeat.
 
-        Only the first of those whose watches work (`direct`) tell, and more often while the data
-        centre is `strained`.
+        Only the first balancers with working watches (`direct`) send them, and more often while
+        requests wait in the local data centre (`queueing`).
         """
-        interval_s = STRAINED_RELAY_S if strained else RELAY_S
-        if now < self._told_at + interval_s:
+        interval_s = QUEUEING_RELAY_S if queueing else RELAY_S
+        if now < self._last_sent_at + interval_s:
             return []
-        self._told_at = now
+        self._last_sent_at = now
         if not direct or self.working_before(now) >= RELAYS:
             return []
-        told: list[tuple[str, int]] = []
-        for peers in self._peers.elsewhere_by_centre().values():
-            told.extend(self._told_of(peers, now))
-        return told
+        receivers: list[tuple[str, int]] = []
+        for peers in self._peers.remote_by_centre().values():
+            receivers.extend(self._receivers_in(peers, now))
+        return receivers
 
     def ahead(
         self,
@@ -58,93 +59,97 @@
         upstreams_revision: int,
         now: float,
     ) -> PeerAddress | None:
-        """Return a host of another data centre that lately knew more than these revisions."""
-        for peers in self._peers.elsewhere_by_centre().values():
+        """Return a host of another data centre that recently knew more than these revisions."""
+        for peers in self._peers.remote_by_centre().values():
             for peer in peers:
                 heartbeat = peer.heartbeat
                 if heartbeat is None or not _is_fresh(peer, now):
                     continue
-                if heartbeat.knows_more(text_order, upstreams_revision):
+                if heartbeat.is_ahead_of(text_order, upstreams_revision):
                     return peer.address
         return None
 
-    def rates_elsewhere(self, now: float) -> dict[str, Mapping[str, float]]:
-        """Return what the callers of other data centres ask for, as told last.
+    def remote_rates(self, now: float) -> dict[str, Mapping[str, float]]:
+        """Return the last reported request rates of callers in other data centres.
 
-        Requests a second by service, by data centre.
+        The result has requests per second by service, by data centre.
         """
         return {
             centre: heartbeat.rate_by_service
             for centre, heartbeat in self._newest_by_centre(now).items()
         }
 
-    def loads_elsewhere(self, now: float) -> dict[str, Mapping[str, float]]:
-        """Return how busy upstreams of other data centres are, as told last.
+    def remote_loads(self, now: float) -> dict[str, Mapping[str, float]]:
+        """Return the last reported load of upstreams in other data centres.
 
-        Requests in progress a slot by service, by data centre.
+        The result has requests in progress per slot by service, by data centre.
         """
         return {
             centre: heartbeat.load_by_service
             for centre, heartbeat in self._newest_by_centre(now).items()
         }
 
-    def words_elsewhere(self, now: float, within_s: float) -> dict[str, Heartbeat]:
-        """Return the newest heartbeat of each other data centre that tells what is asked there."""
+    def remote_reports(self, now: float, within_s: float) -> dict[str, Heartbeat]:
+        """Return the newest heartbeat with demand of each other data centre in `within_s`."""
         newest_by_centre: dict[str, Heartbeat] = {}
-        for centre, peers in self._peers.elsewhere_by_centre().items():
-            told = [
-                peer for peer in peers if _tells_asked(peer) and now < peer.newest_at + within_s
+        for centre, peers in self._peers.remote_by_centre().items():
+            reporting = [
+                peer
+                for peer in peers
+                if _reports_demand(peer) and now < peer.last_seen_at + within_s
             ]
-            told.sort(key=lambda peer: peer.newest_at)
-            if told and told[-1].heartbeat is not None:
-                newest_by_centre[centre] = told[-1].heartbeat
+            reporting.sort(key=lambda peer: peer.last_seen_at)
+            if reporting and reporting[-1].heartbeat is not None:
+                newest_by_centre[centre] = reporting[-1].heartbeat
         return newest_by_centre
 
-    def tells_asked(self, centre: str) -> bool:
-        """Whether a host of a data centre has told what is asked there, now or before."""
-        return any(map(_tells_asked, self._peers.elsewhere_by_centre().get(centre, [])))
+    def reports_demand(self, centre: str) -> bool:
+        """Whether a host of a data centre has ever reported demand."""
+        return any(map(_reports_demand, self._peers.remote_by_centre().get(centre, [])))
 
     def working_before(self, now: float) -> int:
-        """Return how many neighbours with working watches come before this balancer."""
+        """Return how many neighbours with working watches rank before this balancer."""
         rank = rank_of(self._peers.me.name)
         return sum(
             peer.heartbeat is not None
             and peer.heartbeat.direct
             and not peer.heartbeat.stopping
             and rank_of(peer.address.name) < rank
-            for peer in self._peers.living(now)
+            for peer in self._peers.live_neighbours(now)
         )
 
     def centres_before(self, now: float) -> int:
-        """Return how many data centres that are heard come before the own one."""
+        """Return how many data centres with a recent heartbeat rank before the local one."""
         rank = rank_of(self._peers.me.data_centre)
         return sum(rank_of(centre) < rank for centre in self._newest_by_centre(now))
 
     def _newest_by_centre(self, now: float) -> dict[str, Heartbeat]:
-        """Return the newest heartbeat of each other data centre that is heard."""
+        """Return the newest recent heartbeat of each other data centre."""
         newest_by_centre: dict[str, Heartbeat] = {}
-        for centre, peers in self._peers.elsewhere_by_centre().items():
+        for centre, peers in self._peers.remote_by_centre().items():
             fresh = [peer for peer in peers if peer.heartbeat and _is_fresh(peer, now)]
-            fresh.sort(key=lambda peer: peer.newest_at)
+            fresh.sort(key=lambda peer: peer.last_seen_at)
             if fresh and fresh[-1].heartbeat is not None:
                 newest_by_centre[centre] = fresh[-1].heartbeat
         return newest_by_centre
 
-    def _told_of(self, peers: list[Peer], now: float) -> list[tuple[str, int]]:
-        """Return whom of one data centre to tell: those heard first, all others in turn."""
+    def _receivers_in(self, peers: list[Peer], now: float) -> list[tuple[str, int]]:
+        """Return the receivers in one data centre: recently seen hosts, then others in turn."""
         self._turn += 1
         salt = str(self._turn)
-        heard = [peer for peer in peers if _is_fresh(peer, now)]
-        heard.sort(key=lambda peer: rank_of(peer.address.name))
+        fresh = [peer for peer in peers if _is_fresh(peer, now)]
+        fresh.sort(key=lambda peer: rank_of(peer.address.name))
         others = [peer for peer in peers if not _is_fresh(peer, now)]
         others.sort(key=lambda peer: crc32((peer.address.name + salt).encode()))
-        return [peer.address.address for peer in (heard + others)[:RELAYS]]
+        return [peer.address.address for peer in (fresh + others)[:RELAYS]]
 
 
-def _tells_asked(peer: Peer) -> bool:
-    return peer.heartbeat is not None and peer.heartbeat.asked_by_service is not None
+def _reports_demand(peer: Peer) -> bool:
+    return peer.heartbeat is not None and peer.heartbeat.demand_by_service is not None
 
 
 def _is_fresh(peer: Peer, now: float) -> bool:
-    """Whether a host elsewhere was heard within a few of its intervals."""
-    return peer.heard_at is not None and now < peer.heard_at + RELAY_S * SILENT_INTERVALS
+    """Whether a remote host was seen within a few of its intervals."""
+    return (
+        peer.received_at is not None and now < peer.received_at + RELAY_S * PEER_TIMEOUT_INTERVALS
+    )
--- a/src/bronzekeel/core/routing/steering.py
+++ b/src/bronzekeel/core/routing/steering.py
@@ -4,9 +4,9 @@
 from zlib import crc32
 
 from bronzekeel.core.routing.connection_ids import decode_connection_id, encode_connection_id
-from bronzekeel.core.routing.flows import Flow
 from bronzekeel.core.routing.decisions import Decision, DecisionLog
 from bronzekeel.core.routing.departures import Departure
+from bronzekeel.core.routing.flows import Flow
 from bronzekeel.core.routing.model import (
     FlowPacket,
     Route,
@@ -16,7 +16,7 @@
 )
 from bronzekeel.core.routing.placement import Placement
 from bronzekeel.core.routing.pools import Pool
-from bronzekeel.core.routing.siblings import siblings_of, with_room
+from bronzekeel.core.routing.siblings import siblings_of, with_free_capacity
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.verdicts import Deliver, Discard, Reason, Reset, Verdict, Wait
 from bronzekeel.core.routing.waiting import WaitingRequest
@@ -180,7 +180,7 @@
         upstream = self._placement.choose(candidates, now)
         if upstream is None:
             return self._refuse_without_upstream(packet, now)
-        if may_wait and not upstream.pool.has_room:
+        if may_wait and not upstream.pool.has_free_capacity:
             remote = self._remote_instead_of_waiting(upstream, candidates, route, now)
             if remote is not None:
                 return self._place(packet, remote, route, text, now, Departure.NO_FREE_CAPACITY)
@@ -280,7 +280,7 @@
         local_centre = self._state.peers.me.data_centre
         for sibling in siblings_of(route, service):
             upstreams = self._state.eligibility.of_service(sibling, route, text, now)
-            chosen = self._placement.choose(with_room(upstreams, local_centre, now), now)
+            chosen = self._placement.choose(with_free_capacity(upstreams, local_centre, now), now)
             if chosen is not None:
                 return chosen
         return None
@@ -300,7 +300,7 @@
     def _enqueue(self, packet: FlowPacket, pool: Pool, route: Route, now: float) -> bool:
         """Queue the request that `packet` starts if its pool is full; return whether it waits."""
         waiting = self._state.waiting
-        if pool.has_room or waiting.is_full:
+        if pool.has_free_capacity or waiting.is_full:
             return False
         waiting.add(packet, pool, route, now)
         return True
@@ -353,7 +353,7 @@
         upstream that runs without being listed, so one of them must have been queried: since this
         balancer drops the packets, their repeats show nothing about the upstream.
         """
-        queried = self._state.knows_missing or not self._state.peers.living(now)
+        queried = self._state.knows_missing or not self._state.peers.live_neighbours(now)
         settled = queried and self._state.is_settled(now)
         if flow.repeats < REPEATS_WHEN_LAPSED or not settled:
             return Discard(Reason.UNKNOWN_CONNECTION_ID)
--- a/src/bronzekeel/core/routing/store_calls.py
+++ b/src/bronzekeel/core/routing/store_calls.py
@@ -1,15 +1,15 @@
-"""Decide which calls to the store are due, and leave them to other hosts where these make them."""
+"""Decide which calls to the store are due, and which can be left to other hosts."""
 
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import Effect, WriteLine
 from bronzekeel.core.routing.follower import Follower
-from bronzekeel.core.routing.revisions import shown
+from bronzekeel.core.routing.revisions import format_revision
 from bronzekeel.core.routing.sharing import is_long_behind
 from bronzekeel.core.routing.state import RoutingState
 
 
-def follow_on(state: RoutingState, now: float) -> list[Effect]:
-    """Make the calls to the store that are due."""
+def make_due_calls(state: RoutingState, now: float) -> list[Effect]:
+    """Return the calls to the store that are due."""
     effects: list[Effect] = []
     watches = state.is_watcher(now)
     behind = is_long_behind(state, now)
@@ -20,8 +20,8 @@
     return effects
 
 
-def go_on(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
-    """Watch on, or leave that to others when enough of them do."""
+def continue_watch(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
+    """Start the next watch, or pause if enough other balancers watch."""
     effect = follower.watch(now, stale=state.reads_stale(follower.collection, now))
     if state.is_watcher(now):
         return [effect]
@@ -37,12 +37,12 @@
     watches: bool,
     behind: bool,
 ) -> list[Effect]:
-    """Return the call that is due for one collection; leave it to others if they do it."""
-    if follower.is_doubtful(now):
-        return _doubt(state, follower, now)
-    if follower.has_rested(now) and (follower.is_current(now) or not watches):
-        return go_on(state, follower, now)
-    if not follower.is_due(now) and not follower.has_rested(now):
+    """Return the call that is due for one collection, or pause if other balancers make it."""
+    if follower.is_stalled(now):
+        return _restart_stalled_watch(state, follower, now)
+    if follower.is_delay_over(now) and (follower.is_current(now) or not watches):
+        return continue_watch(state, follower, now)
+    if not follower.is_due(now) and not follower.is_delay_over(now):
         return []
     if behind:
         return [follower.resume()]
@@ -52,11 +52,11 @@
     return []
 
 
-def _doubt(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
-    """Begin a watch anew that did not tell what a peer told."""
+def _restart_stalled_watch(state: RoutingState, follower: Follower, now: float) -> list[Effect]:
+    """Restart a watch that did not report a change that a peer reported."""
     line = WriteLine(
         LogNumber.WATCH_DOUBTED,
         collection=follower.collection.value,
-        revision=shown(follower.revision),
+        revision=format_revision(follower.revision),
     )
     return [line, follower.resume(stale=state.reads_stale(follower.collection, now))]
--- a/src/bronzekeel/entry/http_server.py
+++ b/src/bronzekeel/entry/http_server.py
@@ -18,7 +18,7 @@
 _CHUNK_BYTES = 4096
 
 #: Maximum number of open connections.  The fabric uses one or two, and all peers of a data centre
-#: may connect at the same time (``MOST_PEERS``).
+#: may connect at the same time (``MAX_NEIGHBOURS``).
 _MAX_CONNECTIONS = 64
 
 
--- a/src/bronzekeel/entry/load_fields.py
+++ b/src/bronzekeel/entry/load_fields.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from bronzekeel.core.routing.field_checks import label
-from bronzekeel.core.routing.messages import Asked, Heartbeat
+from bronzekeel.core.routing.messages import Heartbeat, ServiceDemand
 
 
 #: Fields that list data centres.
@@ -23,10 +23,10 @@
 def encode_load(heartbeat: Heartbeat) -> dict[str, Any]:
     """Return the fields of a heartbeat that report demand and the reachability of data centres."""
     fields: dict[str, Any] = {}
-    if heartbeat.asked_by_service is not None:
+    if heartbeat.demand_by_service is not None:
         fields['asked'] = [
-            (service, round(demand.rate), demand.lacking)
-            for service, demand in heartbeat.asked_by_service.items()
+            (service, round(demand.rate), demand.unserved)
+            for service, demand in heartbeat.demand_by_service.items()
         ]
     for name in _CENTRES:
         centres = getattr(heartbeat, name)
@@ -35,7 +35,7 @@
     return fields
 
 
-def decode_demand(listed: list[Any] | None) -> dict[str, Asked] | None:
+def decode_demand(listed: list[Any] | None) -> dict[str, ServiceDemand] | None:
     """Return the demand by service, or None if the heartbeat does not report it."""
     if listed is None:
         return None
@@ -49,8 +49,8 @@
     return tuple(label(name, centre) for centre in listed[:_MAX_CENTRES])
 
 
-def _demand_in(rate: Any, unserved: Any) -> Asked:
-    demand = Asked(float(rate), int(unserved))
-    if not 0 <= demand.rate <= _MAX_RATE or not 0 <= demand.lacking <= _MAX_RATE:
+def _demand_in(rate: Any, unserved: Any) -> ServiceDemand:
+    demand = ServiceDemand(float(rate), int(unserved))
+    if not 0 <= demand.rate <= _MAX_RATE or not 0 <= demand.unserved <= _MAX_RATE:
         raise ValueError(f'rate {rate} or unserved requests {unserved} are out of range')
     return demand
--- a/src/bronzekeel/entry/peers.py
+++ b/src/bronzekeel/entry/peers.py
@@ -12,7 +12,7 @@
 
 from bronzekeel.core.routing.effects import FetchView, SendHeartbeat
 from bronzekeel.core.routing.events import Event, HeartbeatHeard, ViewFailed, ViewFetched
-from bronzekeel.core.routing.messages import Known, View
+from bronzekeel.core.routing.messages import KnownVersions, View
 from bronzekeel.core.routing.sharing import FETCH_S
 from bronzekeel.entry.http_client import Call, HttpConnection, Reply
 from bronzekeel.entry.http_server import (
@@ -51,7 +51,7 @@
 _MAX_DATAGRAM_BYTES = 8192
 
 _Emit = Callable[[Event], None]
-_ViewSince = Callable[[Known], View]
+_ViewSince = Callable[[KnownVersions], View]
 _LogBadPacket = Callable[[str, bytes], None]
 
 
@@ -164,7 +164,7 @@
         revisions = target.removeprefix(_VIEW_PATH).split('/')
         if len(revisions) != _REVISION_COUNT or not all(map(_is_whole_number, revisions)):
             return Answer(BAD_REQUEST)
-        view = self._view_since(Known(*map(int, revisions)))
+        view = self._view_since(KnownVersions(*map(int, revisions)))
         return Answer(OK, compress_body(encode_view(view)))
 
 
@@ -172,6 +172,6 @@
     return text.isascii() and text.isdecimal() and len(text) <= _MAX_DIGITS
 
 
-def _view_target(known: Known) -> str:
+def _view_target(known: KnownVersions) -> str:
     revisions = (known.text_order, known.upstreams_revision, known.removals_revision)
     return _VIEW_PATH + '/'.join(map(str, revisions))
--- a/tests/test_connection_ids.py
+++ b/tests/test_connection_ids.py
@@ -6,15 +6,15 @@
 from bronzekeel.core.routing.events import ChangesRead, StoredObject
 from bronzekeel.core.routing.flows import MAX_AVOID_S
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.store_waits import ANSWER_S, WATCH_S
-from bronzekeel.core.routing.model import UpstreamEntry
 from bronzekeel.core.routing.messages import Allowance
+from bronzekeel.core.routing.model import UpstreamEntry
 from bronzekeel.core.routing.overflow import put_in_force
-from bronzekeel.core.routing.pools import REQUESTS_A_SLOT
+from bronzekeel.core.routing.pools import REQUESTS_PER_SLOT
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.steering import DUPLICATE_WINDOW_S
 from bronzekeel.core.routing.verdicts import Deliver
+from bronzekeel.core.store_waits import ANSWER_S, WATCH_S
 from tests.routing_cases import (
     INTAKE,
     INTAKE_KEY,
@@ -187,7 +187,7 @@
         put_in_force(state.directory, LOCAL_CENTRE, [allowance], {PORTAL: 1}, ())
         names = [delivered_to(balancer.decide(opening(number), 0)) for number in range(1, 20)]
         local = 1 + names.count(entry(1).name)
-        self.assertEqual(REQUESTS_A_SLOT * entry(1).slots, local)
+        self.assertEqual(REQUESTS_PER_SLOT * entry(1).slots, local)
         self.assertEqual(20 - local, names.count(entry(2).name))
 
     def test_a_responsive_remote_upstream_is_preferred(self) -> None:
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -363,7 +363,7 @@
             0, lambda: setattr(balancer.state, 'admission', _NoCapacity(balancer))
         )
         await wait_until(lambda: isinstance(balancer.state.admission, _NoCapacity))
-        await wait_until(lambda: not balancer.state.directory.pools_of('dc-a')[0].has_room)
+        await wait_until(lambda: not balancer.state.directory.pools_of('dc-a')[0].has_free_capacity)
         await fixture.send(opening_from(fixture.caller), balancer)
         refusal = await fixture.receive(fixture.caller)
         self.assertEqual(_RESET, refusal[22])
