--- a/src/bronzekeel/core/routing/answer_counts.py
+++ b/src/bronzekeel/core/routing/answer_counts.py
@@ -15,45 +15,45 @@
 
 #: Times the mean of its kind that an answer counts for at most.  Source: an upstream that works
 #: five times slower is told apart by 0.8 of that, and of exponential work 0.7% is longer.
-MOST_MEANS = 5.0
+MAX_MEANS = 5.0
 
-#: Times the mean above which the time of an answer is soft-clipped towards `MOST_MEANS`.
+#: Times the mean above which the time of an answer is soft-clipped towards `MAX_MEANS`.
 _CLIP_START_MEANS = 4.0
-_CLIP_RANGE_MEANS = MOST_MEANS - _CLIP_START_MEANS
+_CLIP_RANGE_MEANS = MAX_MEANS - _CLIP_START_MEANS
 
-#: Least distance from `MOST_MEANS` when soft clipping is inverted: the resolution of means in
+#: Least distance from `MAX_MEANS` when soft clipping is inverted: the resolution of means in
 #: messages.
-_LEAST_CLIP_MARGIN = 0.015625
+_MIN_CLIP_MARGIN = 0.015625
 
 #: Share of the mean of its kind below which an answer is no work: an upstream without a free place
 #: turns requests away at once.  Source: of exponential work 5% is shorter.
-LEAST_MEANS = 0.05
+MIN_MEANS = 0.05
 
 #: Answers of a kind that make its mean.  Source: its standard error is then a quarter of it, and
 #: the errors of hosts cancel in the sum.
 _SETTLED_ANSWERS = 16
 
 #: Answers that a mean is made of at most, the newest ones.
-_MOST_ANSWERS = 256
+_MAX_ANSWERS = 256
 
 #: Kinds of which means are kept at most.  Source: twice the routes of docs/CAPACITY.md would take
 #: half a megabyte; a host without a mean of a kind leaves out its first answers.
-_MOST_KINDS = 4000
+_MAX_KINDS = 4000
 
 #: Upstreams whose answer counts one message carries at most, those with the most answers first.  A
 #: host with ten requests a second that reports every second has no more to report.
-MOST_TOLD = 16
+MAX_REPORTED_COUNTS = 16
 
 #: Upstreams with pending requests that one message tells of at most.
-MOST_PENDING_TOLD = 8
+MAX_PENDING_REPORTED = 8
 
 #: Means of its kind from which a request in progress counts as pending.  One in seven requests of
 #: exponential work takes as long; shorter ones are weak evidence.
-LEAST_PENDING_MEANS = 2.0
+MIN_PENDING_MEANS = 2.0
 
 #: Answers, and means, that one message tells of one upstream at most: a byte, and two bytes.
-MOST_ANSWERS_TOLD = 255
-MOST_MEANS_TOLD = 1023
+MAX_ANSWERS_REPORTED = 255
+MAX_MEANS_REPORTED = 1023
 
 
 class AnswerCount:
@@ -75,32 +75,32 @@
 class PendingRequest:
     """Hold a request in progress at an upstream."""
 
-    __slots__ = ('asked_at', 'kind', 'upstream')
+    __slots__ = ('kind', 'sent_at', 'upstream')
 
-    def __init__(self, upstream: Upstream, kind: bytes, asked_at: float) -> None:
+    def __init__(self, upstream: Upstream, kind: bytes, sent_at: float) -> None:
         """Keep the upstream, the kind of the request and when it was sent."""
         self.upstream = upstream
         self.kind = kind
-        self.asked_at = asked_at
+        self.sent_at = sent_at
 
 
-class ToldCounts:
+class ReportedCounts:
     """Hold what a host counted since it last told.
 
-    `told_ms` is its steady clock in milliseconds, which orders its messages.  `pending` counts the
-    requests in progress for at least `LEAST_PENDING_MEANS`, with the sums of their ages in means.
+    `reported_ms` is its steady clock in milliseconds, which orders its messages.  `pending` counts the
+    requests in progress for at least `MIN_PENDING_MEANS`, with the sums of their ages in means.
     """
 
-    __slots__ = ('counts', 'pending', 'told_ms')
+    __slots__ = ('counts', 'pending', 'reported_ms')
 
     def __init__(
         self,
-        told_ms: int,
+        reported_ms: int,
         counts: tuple[AnswerCount, ...],
         pending: tuple[AnswerCount, ...] = (),
     ) -> None:
         """Keep the counts as they are sent."""
-        self.told_ms = told_ms
+        self.reported_ms = reported_ms
         self.counts = counts
         self.pending = pending
 
@@ -108,12 +108,12 @@
 class KindMean:
     """Hold the mean seconds of the answers of one kind of requests."""
 
-    __slots__ = ('_answers', '_left_out', '_mean_s')
+    __slots__ = ('_answers', '_ignored', '_mean_s')
 
     def __init__(self) -> None:
         """Start without an answer."""
         self._answers = 0
-        self._left_out = 0
+        self._ignored = 0
         self._mean_s: float = 0
 
     @property
@@ -121,7 +121,7 @@
         """Mean seconds, zero while there are too few answers."""
         return self._mean_s if self._answers >= _SETTLED_ANSWERS else 0
 
-    def measure(self, work_s: float) -> float | None:
+    def add(self, work_s: float) -> float | None:
         """Take one answer; return its time in means, None if it counts for nothing.
 
         What goes wrong when those that are no work are left out for ever: the first answers of a
@@ -129,16 +129,16 @@
         """
         settled = self._answers >= _SETTLED_ANSWERS and self._mean_s > 0
         means = work_s / self._mean_s if settled else 0
-        if settled and work_s < LEAST_MEANS * self._mean_s:
-            self._left_out += 1
-            if self._left_out >= _SETTLED_ANSWERS:
+        if settled and work_s < MIN_MEANS * self._mean_s:
+            self._ignored += 1
+            if self._ignored >= _SETTLED_ANSWERS:
                 self._answers = 0
-                self._left_out = 0
+                self._ignored = 0
             return None
-        self._left_out = 0
+        self._ignored = 0
         if settled:
-            work_s = min(work_s, MOST_MEANS * self._mean_s)
-        self._answers = min(self._answers + 1, _MOST_ANSWERS)
+            work_s = min(work_s, MAX_MEANS * self._mean_s)
+        self._answers = min(self._answers + 1, _MAX_ANSWERS)
         self._mean_s += (work_s - self._mean_s) / self._answers
         return soft_clip(means) if settled else None
 
@@ -161,13 +161,13 @@
     Answers to requests that began before `valid_from` count for nothing.  Answers faster and
     slower than the mean are counted separately, since neighbours weigh each answer by the mean of
     its count.  `pending_by_upstream` counts the requests in progress for at least
-    `LEAST_PENDING_MEANS`.
+    `MIN_PENDING_MEANS`.
     """
 
     __slots__ = (
         '_mean_by_kind',
-        '_taken',
-        '_untold_by_upstream_and_speed',
+        '_new_answers',
+        '_unreported_by_upstream_and_speed',
         'pending_by_upstream',
         'valid_from',
     )
@@ -175,95 +175,99 @@
     def __init__(self) -> None:
         """Start with none."""
         self.valid_from: float = 0
-        self._taken: list[Answer] = []
+        self._new_answers: list[Answer] = []
         self._mean_by_kind: dict[bytes, KindMean] = {}
-        self._untold_by_upstream_and_speed: dict[tuple[Upstream, bool], AnswerCount] = {}
+        self._unreported_by_upstream_and_speed: dict[tuple[Upstream, bool], AnswerCount] = {}
         self.pending_by_upstream: dict[Upstream, AnswerCount] = {}
 
-    def note(self, upstream: Upstream, kind: bytes, asked_at: float, now: float) -> None:
+    def note(self, upstream: Upstream, kind: bytes, sent_at: float, now: float) -> None:
         """Take the answer of an upstream to a request of some kind.
 
         While an upstream is cold its answers tell nothing of what it can do later.
         """
-        if now < upstream.warm_at or asked_at < self.valid_from:
+        if now < upstream.warm_at or sent_at < self.valid_from:
             return
-        work_s = max(0, now - asked_at - upstream.pool.way_s)
-        if kind not in self._mean_by_kind and len(self._mean_by_kind) >= _MOST_KINDS:
+        work_s = max(0, now - sent_at - upstream.pool.way_s)
+        if kind not in self._mean_by_kind and len(self._mean_by_kind) >= _MAX_KINDS:
             self._mean_by_kind.pop(next(iter(self._mean_by_kind)))
-        means = self._mean_by_kind.setdefault(kind, KindMean()).measure(work_s)
+        means = self._mean_by_kind.setdefault(kind, KindMean()).add(work_s)
         if means is None:
             return
-        self._taken.append(Answer(upstream, work_s, means))
+        self._new_answers.append(Answer(upstream, work_s, means))
         key = (upstream, means > 1)
-        untold = self._untold_by_upstream_and_speed.get(key)
-        if untold is None:
-            untold = _empty_count(upstream)
-            self._untold_by_upstream_and_speed[key] = untold
-        untold.answers += 1
-        untold.means += means
+        unreported = self._unreported_by_upstream_and_speed.get(key)
+        if unreported is None:
+            unreported = _empty_count(upstream)
+            self._unreported_by_upstream_and_speed[key] = unreported
+        unreported.answers += 1
+        unreported.means += means
 
     def note_pending(self, requests: Iterable[PendingRequest], now: float) -> None:
         """Replace the pending requests, given all requests in progress."""
         self.pending_by_upstream = {}
         for request in requests:
             upstream = request.upstream
-            if now < upstream.warm_at or request.asked_at < self.valid_from:
+            if now < upstream.warm_at or request.sent_at < self.valid_from:
                 continue
             means = self._age_in_means(request, now)
-            if means < LEAST_PENDING_MEANS:
+            if means < MIN_PENDING_MEANS:
                 continue
             pending = self.pending_by_upstream.setdefault(upstream, _empty_count(upstream))
             pending.answers += 1
             pending.means += soft_clip(means)
 
-    def take(self) -> list[Answer]:
+    def pop_answers(self) -> list[Answer]:
         """Return the answers since the last call."""
-        taken = self._taken
-        self._taken = []
-        return taken
+        new_answers = self._new_answers
+        self._new_answers = []
+        return new_answers
 
-    def tell(self, now: float) -> ToldCounts | None:
+    def pop_report(self, now: float) -> ReportedCounts | None:
         """Return what the next message tells, None if there is nothing; it is told once."""
-        if not self._untold_by_upstream_and_speed and not self.pending_by_upstream:
+        if not self._unreported_by_upstream_and_speed and not self.pending_by_upstream:
             return None
-        changed = sorted(self._untold_by_upstream_and_speed, key=self._untold_answers, reverse=True)
-        told = [self._untold_by_upstream_and_speed.pop(key) for key in changed[:MOST_TOLD]]
+        changed = sorted(
+            self._unreported_by_upstream_and_speed, key=self._unreported_answers, reverse=True
+        )
+        reported = [
+            self._unreported_by_upstream_and_speed.pop(key) for key in changed[:MAX_REPORTED_COUNTS]
+        ]
         pending = sorted(self.pending_by_upstream.values(), key=_means_of, reverse=True)
-        return ToldCounts(
+        return ReportedCounts(
             ms_of(now),
-            tuple(map(_bounded, told)),
-            tuple(map(_bounded, pending[:MOST_PENDING_TOLD])),
+            tuple(map(_bounded, reported)),
+            tuple(map(_bounded, pending[:MAX_PENDING_REPORTED])),
         )
 
-    def keep(self, is_known: Callable[[Upstream], bool]) -> None:
+    def discard_unknown(self, is_known: Callable[[Upstream], bool]) -> None:
         """Forget what is untold of upstreams that are not known any more."""
-        for upstream, is_slow in list(self._untold_by_upstream_and_speed):
+        for upstream, is_slow in list(self._unreported_by_upstream_and_speed):
             if not is_known(upstream):
-                self._untold_by_upstream_and_speed.pop((upstream, is_slow))
+                self._unreported_by_upstream_and_speed.pop((upstream, is_slow))
 
     def _age_in_means(self, request: PendingRequest, now: float) -> float:
         """Return the age of a request in means of its kind, zero while the mean is not settled."""
         mean = self._mean_by_kind.get(request.kind)
         if mean is None or not mean.settled_mean_s:
             return 0
-        return (now - request.asked_at - request.upstream.pool.way_s) / mean.settled_mean_s
+        return (now - request.sent_at - request.upstream.pool.way_s) / mean.settled_mean_s
 
-    def _untold_answers(self, key: tuple[Upstream, bool]) -> int:
-        return self._untold_by_upstream_and_speed[key].answers
+    def _unreported_answers(self, key: tuple[Upstream, bool]) -> int:
+        return self._unreported_by_upstream_and_speed[key].answers
 
 
 def soft_clip(means: float) -> float:
-    """Return a time in means, compressed above `_CLIP_START_MEANS` to stay below ``MOST_MEANS``."""
+    """Return a time in means, compressed above `_CLIP_START_MEANS` to stay below ``MAX_MEANS``."""
     if means <= _CLIP_START_MEANS:
         return means
-    return MOST_MEANS - _CLIP_RANGE_MEANS**2 / (means - _CLIP_START_MEANS + _CLIP_RANGE_MEANS)
+    return MAX_MEANS - _CLIP_RANGE_MEANS**2 / (means - _CLIP_START_MEANS + _CLIP_RANGE_MEANS)
 
 
 def invert_soft_clip(clipped: float) -> float:
     """Return the time in means that was soft-clipped to `clipped`."""
     if clipped <= _CLIP_START_MEANS:
         return clipped
-    margin = max(MOST_MEANS - clipped, _LEAST_CLIP_MARGIN)
+    margin = max(MAX_MEANS - clipped, _MIN_CLIP_MARGIN)
     return _CLIP_START_MEANS - _CLIP_RANGE_MEANS + _CLIP_RANGE_MEANS**2 / margin
 
 
@@ -287,9 +291,9 @@
 
 def _bounded(count: AnswerCount) -> AnswerCount:
     """Return a count that fits into its place; its mean stays."""
-    if count.answers <= MOST_ANSWERS_TOLD and count.means <= MOST_MEANS_TOLD:
+    if count.answers <= MAX_ANSWERS_REPORTED and count.means <= MAX_MEANS_REPORTED:
         return count
-    share = min(MOST_ANSWERS_TOLD / count.answers, MOST_MEANS_TOLD / max(count.means, 1))
+    share = min(MAX_ANSWERS_REPORTED / count.answers, MAX_MEANS_REPORTED / max(count.means, 1))
     answers = max(1, int(count.answers * share))
     means = count.means * answers / count.answers
     return AnswerCount(count.number, count.start, answers, means)
--- a/src/bronzekeel/core/routing/answer_times.py
+++ b/src/bronzekeel/core/routing/answer_times.py
@@ -1,6 +1,6 @@
 """Estimate the distribution of a pool's answer times, and the evidence of single answers.
 
-The times of all answers of a pool, in means of their kind, are kept in a histogram with
+The times of all answers of a pool, in means of their kind, are unclamped in a histogram with
 logarithmic bins, the reference distribution.  The evidence of an answer is a log-likelihood ratio:
 its likelihood under the reference distribution stretched by a ratio, against that under the
 reference distribution itself.  Only ranks matter, so a long tail of the work and the queues behind
@@ -31,7 +31,7 @@
 )
 
 #: Answers below which there is no evidence: about four per bin.
-_FEWEST_ANSWERS = 150
+_MIN_ANSWERS = 150
 
 #: Half-life in seconds of an answer in the reference distribution.
 _HALF_LIFE_S = 20.0
@@ -39,7 +39,7 @@
 #: Half-life in seconds of the newest answers, and how many of them the slowdown of the pool is
 #: measured from.
 _NEWEST_HALF_LIFE_S = 0.5
-_FEWEST_NEWEST_ANSWERS = 10
+_MIN_NEWEST_ANSWERS = 10
 
 #: Pseudocount added to each bin, which bounds the evidence of a single answer.
 _PRIOR_ANSWERS = 2.0
@@ -87,13 +87,13 @@
         if to_reference:
             self._answers_by_bin[_bin_of(means / self.pool_slowdown)] += answers
 
-    def fade(self, elapsed_s: float) -> None:
+    def decay(self, elapsed_s: float) -> None:
         """Let some seconds pass, and update the log-likelihood ratios."""
         factor = 0.5 ** (elapsed_s / _HALF_LIFE_S)
         self._answers_by_bin = [answers * factor for answers in self._answers_by_bin]
         factor = 0.5 ** (elapsed_s / _NEWEST_HALF_LIFE_S)
         self._newest_answers_by_bin = [answers * factor for answers in self._newest_answers_by_bin]
-        if sum(self._answers_by_bin) < _FEWEST_ANSWERS:
+        if sum(self._answers_by_bin) < _MIN_ANSWERS:
             return
         self.variance = _variance(self._answers_by_bin)
         self.pool_slowdown = self._median_ratio()
@@ -120,7 +120,7 @@
 
     def _median_ratio(self) -> float:
         """Return the ratio of the medians of the newest and of all answers, at least one."""
-        if sum(self._newest_answers_by_bin) < _FEWEST_NEWEST_ANSWERS:
+        if sum(self._newest_answers_by_bin) < _MIN_NEWEST_ANSWERS:
             return 1
         bins = _median_bin(self._newest_answers_by_bin) - _median_bin(self._answers_by_bin)
         return max(2 ** (bins / _BINS_PER_OCTAVE), 1)
@@ -168,9 +168,9 @@
 def _stretched(answers_by_bin: list[float], ratio: int) -> list[float]:
     """Return the bins of answers that take `ratio` times as long."""
     step = round(_BINS_PER_OCTAVE * log2(ratio))
-    kept = len(answers_by_bin) - step
-    stretched = _empty_bins(step) + answers_by_bin[:kept]
-    stretched[-1] += sum(answers_by_bin[kept:])
+    unclamped = len(answers_by_bin) - step
+    stretched = _empty_bins(step) + answers_by_bin[:unclamped]
+    stretched[-1] += sum(answers_by_bin[unclamped:])
     return stretched
 
 
--- a/src/bronzekeel/core/routing/answer_windows.py
+++ b/src/bronzekeel/core/routing/answer_windows.py
@@ -6,15 +6,15 @@
 
 #: Loads between none and all at which the requests in progress are reckoned once.  Source: between
 #: two of them the line differs from the curve by less than a hundredth of a slot.
-_LOADS = 256
+_LOAD_STEPS = 256
 
-_held_by_slots: dict[int, list[float]] = {}
+_in_progress_by_slots: dict[int, list[float]] = {}
 
 #: Seconds that a window has seen when it starts: the first message tells of up to a second.
-_FIRST_S = 1.0
+_INITIAL_SECONDS = 1.0
 
 #: Answers in a window below which nothing is reckoned from it.
-_FEWEST_ANSWERS = 1.0
+_MIN_ANSWERS = 1.0
 
 
 class AnswerWindow:
@@ -30,7 +30,7 @@
         self._half_life_s = half_life_s
         self.answers: float = 0
         self.means: float = 0
-        self.seconds = _FIRST_S
+        self.seconds = _INITIAL_SECONDS
         self._squares: float = 0
 
     @property
@@ -41,9 +41,9 @@
         return min(self.answers * self.answers / self._squares, 2 * self.answers)
 
     @property
-    def told(self) -> bool:
+    def has_enough_answers(self) -> bool:
         """Whether there is enough to reckon from."""
-        return self.answers >= _FEWEST_ANSWERS and self.means > 0
+        return self.answers >= _MIN_ANSWERS and self.means > 0
 
     def add(self, answers: int, means: float) -> None:
         """Add answers with the sum of their times in means."""
@@ -51,7 +51,7 @@
         self.means += means
         self._squares += answers
 
-    def fade(self, elapsed_s: float) -> None:
+    def decay(self, elapsed_s: float) -> None:
         """Let some seconds pass."""
         factor = 0.5 ** (elapsed_s / self._half_life_s)
         self.answers *= factor
@@ -86,22 +86,22 @@
     times the answer time; with random arrivals `slots` at a load of r hold about
     slots * r + r ** sqrt(2 * (slots + 1)) / (1 - r) of them (Sakasegawa, 1977).
     """
-    held = _held_by_slots.get(slots)
-    if held is None:
-        held = _held(slots)
-        _held_by_slots[slots] = held
-    place = bisect_left(held, in_progress)
-    if place >= len(held):
+    in_progress_by_load = _in_progress_by_slots.get(slots)
+    if in_progress_by_load is None:
+        in_progress_by_load = _in_progress_by_load(slots)
+        _in_progress_by_slots[slots] = in_progress_by_load
+    place = bisect_left(in_progress_by_load, in_progress)
+    if place >= len(in_progress_by_load):
         return slots
     if not place:
         return 0
-    below = held[place - 1]
-    load = place - 1 + (in_progress - below) / (held[place] - below)
-    return slots * load / _LOADS
+    below = in_progress_by_load[place - 1]
+    load = place - 1 + (in_progress - below) / (in_progress_by_load[place] - below)
+    return slots * load / _LOAD_STEPS
 
 
-def _held(slots: int) -> list[float]:
+def _in_progress_by_load(slots: int) -> list[float]:
     """Return the requests in progress at each load from none up to the last below all."""
     power = sqrt(2 * (slots + 1))
-    loads = [step / _LOADS for step in range(_LOADS)]
+    loads = [step / _LOAD_STEPS for step in range(_LOAD_STEPS)]
     return [slots * load + load**power / (1 - load) for load in loads]
--- a/src/bronzekeel/core/routing/balance.py
+++ b/src/bronzekeel/core/routing/balance.py
@@ -18,7 +18,7 @@
 
 
 #: Interval in seconds at which rates and shares are reckoned.
-RECKON_S = 1.0
+UPDATE_INTERVAL_S = 1.0
 
 #: Weight of the newest second in a rate.  Source: five seconds of forty requests a
 #: second are 200, of which chance is seven percent.
@@ -30,10 +30,10 @@
 
 #: Requests a second of a service, in all data centres, below which nothing is shared
 #: out.  Source: with fewer, differences between data centres are chance.
-LEAST_RATE = 20.0
+MIN_RATE = 20.0
 
 #: Flows of a service after which those placed before count half.
-_REMEMBERED_FLOWS = 100
+_MAX_COUNTED_FLOWS = 100
 
 
 class RateMeter:
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         """Start with none."""
         self.by_service: dict[str, float] = {}
-        self._reckoned = 0
+        self._intervals = 0
         self._seen_by_service: dict[str, int] = {}
 
     @property
@@ -52,13 +52,13 @@
         What goes wrong without it: all hosts start, traffic comes back to one data
         centre a second before another, and flows are sent away from the first.
         """
-        return self._reckoned >= _SETTLED_INTERVALS
+        return self._intervals >= _SETTLED_INTERVALS
 
-    def reckon(self, requests_by_service: Mapping[str, int]) -> None:
+    def update(self, requests_by_service: Mapping[str, int]) -> None:
         """Take the requests seen so far, one interval later."""
-        self._reckoned += 1
+        self._intervals += 1
         for service, requests in requests_by_service.items():
-            newest = (requests - self._seen_by_service.get(service, 0)) / RECKON_S
+            newest = (requests - self._seen_by_service.get(service, 0)) / UPDATE_INTERVAL_S
             self._seen_by_service[service] = requests
             self.by_service[service] = _smoothed(self.by_service.get(service), newest)
 
@@ -66,19 +66,19 @@
 class Balance:
     """Hold which share of a service's new flows goes to which other data centre.
 
-    A data centre keeps `tolerated` times its share of the requests; beyond it flows
-    go elsewhere from when its upstreams had `bearable` requests in progress a slot.  Shares are
+    A data centre keeps `tolerated_ratio` times its share of the requests; beyond it flows
+    go elsewhere from when its upstreams had `min_sharing_load` requests in progress a slot.  Shares are
     settled at `reckon_at`; this balancer `reckons` them itself when other data centres tell it
     what their callers ask for.
     """
 
     def __init__(self, host: str = '') -> None:
-        """Start with all flows of `host` at home."""
+        """Start with all flows of `host` at local_centre."""
         self.host = host
-        self.reckon_at: float = 0
-        self.reckons = False
-        self.tolerated: float = 1
-        self.bearable: float = 0
+        self.next_update_at: float = 0
+        self.computes_shares = False
+        self.tolerated_ratio: float = 1
+        self.min_sharing_load: float = 0
         self._strained: set[str] = set()
         self.meter = RateMeter()
         self._shares_by_service: dict[str, dict[str, float]] = {}
@@ -100,25 +100,27 @@
             by_centre = self._shares_by_service.setdefault(share.service, {})
             by_centre[share.data_centre] = share.share
 
-    def settle(self, shares: tuple[FlowShare, ...], home_loads: Mapping[str, float]) -> None:
-        """Put those of the `shares` in force whose services are strained at home."""
-        self.adopt(self.settled(shares, home_loads))
+    def adopt_strained(
+        self, shares: tuple[FlowShare, ...], local_loads: Mapping[str, float]
+    ) -> None:
+        """Put those of the `shares` in force whose services are strained at local_centre."""
+        self.adopt(self.filter_strained(shares, local_loads))
 
-    def settled(
+    def filter_strained(
         self,
         shares: tuple[FlowShare, ...],
-        home_loads: Mapping[str, float],
+        local_loads: Mapping[str, float],
     ) -> tuple[FlowShare, ...]:
-        """Return those of the `shares` whose services are strained at home.
+        """Return those of the `shares` whose services are strained at local_centre.
 
         A service is from when its load has reached the bearable one until its callers
-        ask for no more than is tolerated: sharing out takes the load away at once.
+        ask for no more than is tolerated_ratio: sharing out takes the load away at once.
         """
         above = {share.service for share in shares}
         self._strained = {
             service
             for service in above
-            if service in self._strained or home_loads.get(service, 0) >= self.bearable
+            if service in self._strained or local_loads.get(service, 0) >= self.min_sharing_load
         }
         return tuple(share for share in shares if share.service in self._strained)
 
@@ -131,7 +133,7 @@
                 return centre
         return None
 
-    def sends_away(self, service: str) -> bool:
+    def sends_remote(self, service: str) -> bool:
         """Whether a share of a service's new flows goes elsewhere."""
         return bool(self._shares_by_service.get(service))
 
@@ -139,38 +141,40 @@
         """Note where a flow was placed."""
         placed = self._placed_by_service.setdefault(service, {})
         placed[centre] = placed.get(centre, 0) + 1
-        if sum(placed.values()) > _REMEMBERED_FLOWS:
+        if sum(placed.values()) > _MAX_COUNTED_FLOWS:
             for name in placed:
                 placed[name] /= 2
 
 
-def reckoned(
+def compute_shares(
     directory: Directory,
-    home: str,
+    local_centre: str,
     rates_by_centre: Mapping[str, Mapping[str, float]],
-    tolerated: float,
+    tolerated_ratio: float,
 ) -> tuple[FlowShare, ...]:
     """Return the shares that follow from what the callers of each data centre ask for."""
     shares: list[FlowShare] = []
-    for service in rates_by_centre[home]:
+    for service in rates_by_centre[local_centre]:
         rate_by_centre = {
             centre: rate_by_service.get(service, 0)
             for centre, rate_by_service in rates_by_centre.items()
         }
         capacity_by_centre = directory.pool_members.capacity_by_centre(service)
-        share_by_centre = shares_of(home, capacity_by_centre, rate_by_centre, tolerated)
+        share_by_centre = shares_of(
+            local_centre, capacity_by_centre, rate_by_centre, tolerated_ratio
+        )
         for centre, share in share_by_centre.items():
             shares.append(FlowShare(service, centre, share))
     return tuple(shares)
 
 
-def load_at(directory: Directory, home: str, service: str) -> float:
-    """Return the requests in progress per slot of capacity at a service's upstreams at `home`."""
-    capacity = directory.pool_members.capacity_by_centre(service).get(home, 0)
+def load_at(directory: Directory, local_centre: str, service: str) -> float:
+    """Return the requests in progress per slot of capacity at a service's upstreams at `local_centre`."""
+    capacity = directory.pool_members.capacity_by_centre(service).get(local_centre, 0)
     if not capacity:
         return 0
     busy = 0
-    for upstream in directory.pool_members.of_pool(service, home):
+    for upstream in directory.pool_members.of_pool(service, local_centre):
         in_progress = upstream.busy_flows + upstream.busy_elsewhere
         if in_progress and upstream.counts_toward_capacity:
             busy += in_progress
@@ -178,33 +182,33 @@
 
 
 def shares_of(
-    home: str,
+    local_centre: str,
     capacity_by_centre: Mapping[str, float],
     rate_by_centre: Mapping[str, float],
-    tolerated: float,
+    tolerated_ratio: float,
 ) -> dict[str, float]:
-    """Return the share of the flows at `home` that each other data centre gets.
+    """Return the share of the flows at `local_centre` that each other data centre gets.
 
-    None while `home` is asked for no more than `tolerated` times its share.  Only
+    None while `local_centre` is asked for no more than `tolerated_ratio` times its share.  Only
     data centres of which both rate and capacity are known count.
     """
     known = [centre for centre in rate_by_centre if capacity_by_centre.get(centre)]
     capacity = sum(capacity_by_centre[centre] for centre in known)
     rate = sum(rate_by_centre[centre] for centre in known)
-    if home not in known or rate < LEAST_RATE:
+    if local_centre not in known or rate < MIN_RATE:
         return {}
     mean = rate / capacity
-    above = rate_by_centre[home] - mean * capacity_by_centre[home]
-    if rate_by_centre[home] <= tolerated * mean * capacity_by_centre[home]:
+    above = rate_by_centre[local_centre] - mean * capacity_by_centre[local_centre]
+    if rate_by_centre[local_centre] <= tolerated_ratio * mean * capacity_by_centre[local_centre]:
         return {}
     below_by_centre = {
         centre: max(0, mean * capacity_by_centre[centre] - rate_by_centre[centre])
         for centre in known
     }
-    room = sum(below_by_centre.values())
-    if room <= 0:
+    free_capacity = sum(below_by_centre.values())
+    if free_capacity <= 0:
         return {}
-    share = above / rate_by_centre[home] / room
+    share = above / rate_by_centre[local_centre] / free_capacity
     return {name: share * below for name, below in below_by_centre.items() if below > 0}
 
 
--- a/src/bronzekeel/core/routing/balancing.py
+++ b/src/bronzekeel/core/routing/balancing.py
@@ -1,7 +1,7 @@
 """Settle where the flows of a data centre go, from what balancers tell each other."""
 
 from bronzekeel.core.routing.admission import capacity_at
-from bronzekeel.core.routing.balance import RECKON_S, load_at, reckoned
+from bronzekeel.core.routing.balance import UPDATE_INTERVAL_S, compute_shares, load_at
 from bronzekeel.core.routing.load_moves import (
     adopt_shares,
     allowances_in_force,
@@ -12,29 +12,31 @@
 from bronzekeel.core.routing.state import RoutingState
 
 
-def reckon_balance(state: RoutingState, now: float) -> None:
-    """Settle once in ``RECKON_S`` where the flows of this data centre are to go.
+def update_balance(state: RoutingState, now: float) -> None:
+    """Settle once in ``UPDATE_INTERVAL_S`` where the flows of this data centre are to go.
 
     The few hosts that other data centres tell reckon it; the others take it from them.
     """
-    if now < state.balance.reckon_at:
+    if now < state.balance.next_update_at:
         return
-    state.balance.reckon_at = now + RECKON_S
-    state.balance.meter.reckon(state.flows.requests_by_service)
+    state.balance.next_update_at = now + UPDATE_INTERVAL_S
+    state.balance.meter.update(state.flows.requests_by_service)
     rates_by_centre = state.relays.rates_elsewhere(now)
-    state.balance.reckons = bool(rates_by_centre) and state.balance.meter.settled
-    if not state.balance.reckons:
+    state.balance.computes_shares = bool(rates_by_centre) and state.balance.meter.settled
+    if not state.balance.computes_shares:
         adopt_shares(state, state.peers.shares_near(now))
         return
-    home = state.peers.me.data_centre
-    rates_by_centre[home] = rates_of_centre(state, now)
-    tolerated = state.balance.tolerated
-    shares = reckoned(state.directory, home, rates_by_centre, tolerated)
-    loads = {share.service: load_at(state.directory, home, share.service) for share in shares}
-    adopt_shares(state, state.balance.settled(shares, loads))
+    local_centre = state.peers.me.data_centre
+    rates_by_centre[local_centre] = rates_of_centre(state, now)
+    tolerated_ratio = state.balance.tolerated_ratio
+    shares = compute_shares(state.directory, local_centre, rates_by_centre, tolerated_ratio)
+    loads = {
+        share.service: load_at(state.directory, local_centre, share.service) for share in shares
+    }
+    adopt_shares(state, state.balance.filter_strained(shares, loads))
 
 
-def reckon_room(state: RoutingState, now: float) -> None:
+def update_free_capacity(state: RoutingState, now: float) -> None:
     """Find once in ``RECKON_ROOM_S`` how much room other data centres have.
 
     The few hosts that other data centres tell reckon it; the others take it from them.
@@ -45,34 +47,38 @@
     room.reckon_at = now + RECKON_ROOM_S
     load_by_service_by_centre = state.relays.loads_elsewhere(now)
     room.reckons = bool(load_by_service_by_centre)
-    home = state.peers.me.data_centre
+    local_centre = state.peers.me.data_centre
     if room.reckons:
         rates_by_centre = state.relays.rates_elsewhere(now)
-        rates_by_centre[home] = rates_of_centre(state, now)
-        reckoned_here = allowances_of(
+        rates_by_centre[local_centre] = rates_of_centre(state, now)
+        local_allowances = allowances_of(
             state.directory,
-            home,
+            local_centre,
             load_by_service_by_centre,
             rates_by_centre,
         )
-        room.allowances = moved_allowances(state, reckoned_here, now)
+        room.allowances = moved_allowances(state, local_allowances, now)
     else:
         room.allowances = state.peers.allowances_near(now)
     allowances = allowances_in_force(state, now)
     services = {allowance.service for allowance in allowances}
     shares = {service: state.admission.share_of(service, now) for service in services}
-    homeless = {service for service in services if _is_homeless(state, service, now)}
-    put_in_force(state.directory, home, allowances, shares, homeless)
+    remote_only_services = {
+        service for service in services if _has_no_local_upstream(state, service, now)
+    }
+    put_in_force(state.directory, local_centre, allowances, shares, remote_only_services)
     reckon_moving_shares(state, now)
 
 
-def _is_homeless(state: RoutingState, service: str, now: float) -> bool:
+def _has_no_local_upstream(state: RoutingState, service: str, now: float) -> bool:
     """Whether the own data centre has no upstream of a service that new flows may go to."""
-    home = state.peers.me.data_centre
-    pool = state.directory.pools_by_service.get(service, {}).get(home)
+    local_centre = state.peers.me.data_centre
+    pool = state.directory.pools_by_service.get(service, {}).get(local_centre)
     if pool is not None and pool.evacuated:
         return True
-    return not capacity_at(state.directory.pool_members.of_pool(service, home), home, now)
+    return not capacity_at(
+        state.directory.pool_members.of_pool(service, local_centre), local_centre, now
+    )
 
 
 def rates_of_centre(state: RoutingState, now: float) -> dict[str, float]:
--- a/src/bronzekeel/core/routing/capacities.py
+++ b/src/bronzekeel/core/routing/capacities.py
@@ -15,11 +15,11 @@
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.answer_counts import (
     CLOCK_RANGE,
-    MOST_MEANS,
+    MAX_MEANS,
     Answer,
     AnswerCount,
     AnswerCounts,
-    ToldCounts,
+    ReportedCounts,
     start_of,
     invert_soft_clip,
 )
@@ -38,56 +38,56 @@
 
 #: Interval in seconds at which speeds are reckoned.  Source: a quarter of the interval of
 #: heartbeats in a data centre of 25 hosts.
-RECKON_S = 0.25
+UPDATE_INTERVAL_S = 0.25
 
 #: Seconds that each upstream adds to that interval.  Source: a look at one takes a fiftieth of it,
 #: so all looks together take two hundredths of a core.
-SPACING_S = 0.001
+INTERVAL_PER_UPSTREAM_S = 0.001
 
 #: Least interval in seconds when an upstream may have become slower: that of ticks.
-LEAST_RECKON_S = 0.1
+MIN_UPDATE_INTERVAL_S = 0.1
 
 #: Half-lives in seconds of the two windows.  Source: a slowdown must be followed within 2 s, one of
 #: which a heartbeat may take; steady differences take a hundred answers to tell a third.
 SHORT_S = 0.75
 LONG_S = 8.0
 
-#: Standard errors beyond which a difference is believed, and below which it is no longer.  Source:
+#: Standard errors beyond which a difference is differs, and below which it is no longer.  Source:
 #: sixty upstreams are looked at four times a second, for days; the sums of few answers are skewed.
-BELIEVED_ERRORS = 5.0
-DOUBTED_ERRORS = 2.5
+DIFFERENCE_START_ERRORS = 5.0
+DIFFERENCE_END_ERRORS = 2.5
 
 #: Standard errors by which the short window must be nearer to the mean than the long one to replace
 #: it.  Most upstreams are alike, so the end of a difference needs less evidence than its start.
-RETURNED_ERRORS = 2.5
+RECOVERY_ERRORS = 2.5
 
 #: Standard errors by which the answers since the start or the end of a slowdown must differ from
 #: the earlier ones for the earlier ones to be forgotten.
-CHANGED_ERRORS = 3.0
+CHANGE_ERRORS = 3.0
 
 #: Bounds of how many times more windows vary than single answers tell, and what is taken for it
 #: before that was seen.  What goes wrong without it: a few long requests take all slots of an
 #: upstream, those behind them wait together, and by their number it is sure that it is slow.
-_LEAST_NOISE = 1.0
-_FIRST_NOISE = 6.0
+_MIN_NOISE = 1.0
+_INITIAL_NOISE = 6.0
 
 #: Upper limit on the squared standard errors that one block contributes to the noise, so that a
 #: change in the speed of one upstream raises it little.
-_MOST_NOISE = 100.0
+_MAX_BLOCK_NOISE = 100.0
 
 #: Minimum length in seconds of a block of answers whose mean is compared with the long window.
 #: Shorter blocks split the correlated answers of one queue and underestimate the noise.
 _BLOCK_S = 2.0
 
-#: Number of blocks below which `_FIRST_NOISE` is used instead of the measured noise.
-_FEWEST_BLOCKS = 40
+#: Number of blocks below which `_INITIAL_NOISE` is used instead of the measured noise.
+_MIN_BLOCKS = 40
 
 #: Minimum weight of the newest block in the moving average of the noise.
-_LEAST_BLOCK_WEIGHT = 0.005
+_MIN_BLOCK_WEIGHT = 0.005
 
 #: Share by which the work must differ at least.  Source: a fifth of the capacity is no more than
 #: what chance makes of the load within a second.
-LEAST_DIFFERENCE = 0.2
+MIN_DIFFERENCE = 0.2
 
 #: Seconds for which a neighbour's report of its pending requests is valid: one and a half intervals
 #: of heartbeats, so that a late one leaves no gap.
@@ -95,16 +95,16 @@
 
 #: Bounds of a learned speed.  Source: one that is slower by more than ten is no use, and must
 #: still get requests to show that it is not.
-LEAST_SPEED = 0.1
-MOST_SPEED = 3.0
+MIN_SPEED = 0.1
+MAX_SPEED = 3.0
 
 #: Share of its capacity that an upstream has left at least.  Source: one whose queue is full still
 #: has to be asked now and then.
-LEAST_SPARE = 0.05
+MIN_SPARE = 0.05
 
 #: Least variance of an answer's time in means.  Source: half of the mean, as of work that hardly
 #: differs; the way to an upstream adds its own.
-_LEAST_VARIANCE = 0.25
+_MIN_VARIANCE = 0.25
 
 #: Weight of the newest answer in the mean seconds of a service, and how many answers
 #: make them.
@@ -132,14 +132,14 @@
     @property
     def noise(self) -> float:
         """Ratio of the variance of block means to that expected of independent answers."""
-        if self._blocks < _FEWEST_BLOCKS:
-            return _FIRST_NOISE
-        return max(self._noise, _LEAST_NOISE)
+        if self._blocks < _MIN_BLOCKS:
+            return _INITIAL_NOISE
+        return max(self._noise, _MIN_NOISE)
 
     @property
     def variance(self) -> float:
         """Variance of the time of an answer in means."""
-        return max(self.times.variance, _LEAST_VARIANCE)
+        return max(self.times.variance, _MIN_VARIANCE)
 
     @property
     def has_answers(self) -> bool:
@@ -160,10 +160,10 @@
         inverse = 1 / block.answers + 1 / block.baseline_evidence
         squared_errors = difference * difference / self.variance / inverse
         self._blocks += 1
-        weight = max(1 / self._blocks, _LEAST_BLOCK_WEIGHT)
-        self._noise += (min(squared_errors, _MOST_NOISE) - self._noise) * weight
+        weight = max(1 / self._blocks, _MIN_BLOCK_WEIGHT)
+        self._noise += (min(squared_errors, _MAX_BLOCK_NOISE) - self._noise) * weight
 
-    def take(self, answer: Answer) -> None:
+    def add(self, answer: Answer) -> None:
         """Take one answer of this host's callers."""
         self._answers += 1
         weight = max(1 / self._answers, _NEWEST_WEIGHT)
@@ -180,8 +180,8 @@
         self.answers = 0
         self.means: float = 0
         self.seconds: float = 0
-        self.baseline_evidence = window.evidence if window.told else 0
-        self.baseline_mean = window.means / window.answers if window.told else 0
+        self.baseline_evidence = window.evidence if window.has_enough_answers else 0
+        self.baseline_mean = window.means / window.answers if window.has_enough_answers else 0
 
     @property
     def is_full(self) -> bool:
@@ -197,13 +197,13 @@
 class LearnedWork:
     """Hold what was learned of one upstream.
 
-    `believed` tells that it differs beyond chance, `slowed` that a slowdown was detected and is not
+    `differs` tells that it differs beyond chance, `slowed` that a slowdown was detected and is not
     over.  `since_change` has the answers since the detector last had no evidence for a change.
     """
 
     __slots__ = (
-        'believed',
         'block',
+        'differs',
         'long',
         'short',
         'since_change',
@@ -220,7 +220,7 @@
         self.since_change = AnswerWindow(LONG_S)
         self.block = AnswerBlock(self.long)
         self.slowdown = SlowdownDetector()
-        self.believed = False
+        self.differs = False
         self.slowed = False
 
     def add(self, answers: int, means: float, evidence: list[float]) -> None:
@@ -233,10 +233,10 @@
         self.block.answers += answers
         self.block.means += means
 
-    def fade(self, elapsed_s: float) -> None:
+    def decay(self, elapsed_s: float) -> None:
         """Let some seconds pass."""
         for window in (self.short, self.long, self.since_change):
-            window.fade(elapsed_s)
+            window.decay(elapsed_s)
         self.block.seconds += elapsed_s
 
     @property
@@ -244,9 +244,9 @@
         """Whether a slowdown was detected, without enough evidence for its end."""
         return self.slowed and not self.slowdown.has_ended
 
-    def update_believed(self, differs: bool) -> None:  # noqa: FBT001 (the only argument)
+    def update_differs(self, differs: bool) -> None:  # noqa: FBT001 (the only argument)
         """Set whether it differs; if it does not, a slowdown is over."""
-        self.believed = differs
+        self.differs = differs
         if self.slowed and not differs:
             self.slowed = False
             self.slowdown.reset()
@@ -276,10 +276,10 @@
 
     __slots__ = (
         '_learned_by_upstream',
+        '_next_update_at',
         '_pending_by_host',
-        '_reckon_at',
-        '_reckoned_at',
-        '_told_ms_by_host',
+        '_reported_ms_by_host',
+        '_updated_at',
         '_work_by_pool',
         'counts',
     )
@@ -289,10 +289,10 @@
         self.counts = AnswerCounts()
         self._learned_by_upstream: dict[Upstream, LearnedWork] = {}
         self._pending_by_host: dict[str, PendingReport] = {}
-        self._told_ms_by_host: dict[str, int] = {}
+        self._reported_ms_by_host: dict[str, int] = {}
         self._work_by_pool: dict[Pool, ServiceWork] = {}
-        self._reckoned_at: float | None = None
-        self._reckon_at: float = 0
+        self._updated_at: float | None = None
+        self._next_update_at: float = 0
 
     @property
     def learned_speeds(self) -> list[float]:
@@ -300,60 +300,62 @@
         return [
             learned.upstream.speed
             for learned in self._learned_by_upstream.values()
-            if learned.believed
+            if learned.differs
         ]
 
-    def hear(self, host: str, told: ToldCounts, directory: Directory) -> None:
+    def add_report(self, host: str, report: ReportedCounts, directory: Directory) -> None:
         """Take what a neighbour counted, once and never out of order."""
-        if not self._is_newer(host, told.told_ms):
+        if not self._is_newer(host, report.reported_ms):
             return
-        self._told_ms_by_host[host] = told.told_ms
-        for upstream, count in _valid_counts(told.counts, directory):
+        self._reported_ms_by_host[host] = report.reported_ms
+        for upstream, count in _valid_counts(report.counts, directory):
             self._add(upstream, count.answers, count.means)
-        valid_until = (self._reckoned_at or 0) + PENDING_VALID_S
+        valid_until = (self._updated_at or 0) + PENDING_VALID_S
         self._pending_by_host[host] = PendingReport(
-            _valid_counts(told.pending, directory), valid_until
+            _valid_counts(report.pending, directory), valid_until
         )
 
-    def forget_hosts(self, known: Iterable[str]) -> None:
+    def forget_unknown_hosts(self, known: Iterable[str]) -> None:
         """Forget the order of the messages of all hosts but those that are known."""
         names = set(known)
-        for host in list(self._told_ms_by_host):
+        for host in list(self._reported_ms_by_host):
             if host not in names:
-                self._told_ms_by_host.pop(host)
+                self._reported_ms_by_host.pop(host)
                 self._pending_by_host.pop(host, None)
 
-    def reckon(self, directory: Directory, data_centre: str, now: float) -> list[Effect]:
+    def update(self, directory: Directory, data_centre: str, now: float) -> list[Effect]:
         """Set speeds and spare capacities by what is known; return lines on what changed."""
-        last_at = now if self._reckoned_at is None else self._reckoned_at
-        if now < self._reckon_at:
+        last_at = now if self._updated_at is None else self._updated_at
+        if now < self._next_update_at:
             return []
-        self._reckoned_at = now
-        self._reckon_at = now + max(RECKON_S, len(self._learned_by_upstream) * SPACING_S)
-        self._take_own()
+        self._updated_at = now
+        self._next_update_at = now + max(
+            UPDATE_INTERVAL_S, len(self._learned_by_upstream) * INTERVAL_PER_UPSTREAM_S
+        )
+        self._add_own_answers()
         self._update_pending_evidence(now)
         effects: list[Effect] = []
         for pool in directory.pools_of(data_centre):
-            near = (
+            local = (
                 directory.pool_members.of_pool(pool.service, data_centre) if pool.controlled else []
             )
-            former_speeds = [upstream.speed for upstream in near]
-            effects.extend(self._reckon_pool(pool, near, now - last_at))
-            if former_speeds != [upstream.speed for upstream in near]:
+            former_speeds = [upstream.speed for upstream in local]
+            effects.extend(self._update_pool(pool, local, now - last_at))
+            if former_speeds != [upstream.speed for upstream in local]:
                 directory.pool_members.invalidate_all_capacities()
         effects.extend(self._forget_removed(directory))
         return effects
 
-    def hurry(self) -> None:
+    def request_update(self) -> None:
         """Reckon at the next call, whatever the interval."""
-        self._reckon_at = 0
+        self._next_update_at = 0
 
-    def _is_newer(self, host: str, told_ms: int) -> bool:
+    def _is_newer(self, host: str, reported_ms: int) -> bool:
         """Whether a message is newer than the last of its host, or of a later start."""
-        last_ms = self._told_ms_by_host.get(host)
+        last_ms = self._reported_ms_by_host.get(host)
         if last_ms is None:
             return True
-        ahead_ms = (told_ms - last_ms) % CLOCK_RANGE
+        ahead_ms = (reported_ms - last_ms) % CLOCK_RANGE
         if ahead_ms < _HALF_RANGE:
             return ahead_ms > 0
         return CLOCK_RANGE - ahead_ms > _LATE_MS
@@ -381,18 +383,18 @@
         learned.add(answers, means, times.evidence(mean_time))
         times.add(mean_time, answers, to_reference=not learned.slowed)
         if evidence_before < SLOWDOWN_START_NATS <= learned.slowdown.total_evidence:
-            self._reckon_soon()
+            self._update_soon()
 
-    def _reckon_soon(self) -> None:
+    def _update_soon(self) -> None:
         """Reckon sooner, since an upstream may have become slower."""
-        spaced_s = len(self._learned_by_upstream) * SPACING_S / 2
-        soonest_at = (self._reckoned_at or 0) + max(LEAST_RECKON_S, spaced_s)
-        self._reckon_at = min(self._reckon_at, soonest_at)
+        spaced_s = len(self._learned_by_upstream) * INTERVAL_PER_UPSTREAM_S / 2
+        soonest_at = (self._updated_at or 0) + max(MIN_UPDATE_INTERVAL_S, spaced_s)
+        self._next_update_at = min(self._next_update_at, soonest_at)
 
-    def _take_own(self) -> None:
-        for answer in self.counts.take():
+    def _add_own_answers(self) -> None:
+        for answer in self.counts.pop_answers():
             self._add(answer.upstream, 1, answer.means)
-            self._work_of(answer.upstream.pool).take(answer)
+            self._work_of(answer.upstream.pool).add(answer)
 
     def _update_pending_evidence(self, now: float) -> None:
         """Weigh the pending requests of this host and of the last valid reports of neighbours."""
@@ -417,7 +419,7 @@
             return known is upstream and upstream.pool.controlled
 
         effects: list[Effect] = []
-        self.counts.keep(is_known)
+        self.counts.discard_unknown(is_known)
         for upstream, learned in list(self._learned_by_upstream.items()):
             if is_known(upstream):
                 continue
@@ -425,25 +427,25 @@
             upstream.speed = 1
             upstream.spare = None
             directory.pool_members.invalidate_all_capacities()
-            if learned.believed:
+            if learned.differs:
                 effects.append(_line(LogNumber.SPEED_FORGOTTEN, learned))
         return effects
 
-    def _reckon_pool(self, pool: Pool, near: list[Upstream], elapsed_s: float) -> list[Effect]:
-        learned_here = [self._learned_of(upstream) for upstream in near]
-        for fading in learned_here:
-            fading.fade(elapsed_s)
+    def _update_pool(self, pool: Pool, local: list[Upstream], elapsed_s: float) -> list[Effect]:
+        learned_here = [self._learned_of(upstream) for upstream in local]
+        for decaying in learned_here:
+            decaying.decay(elapsed_s)
         work = self._work_by_pool.get(pool)
         if work is None or not work.has_answers:
             return []
-        work.times.fade(elapsed_s)
+        work.times.decay(elapsed_s)
         _update_noise(learned_here, work)
-        _follow_slowdowns(learned_here, work)
-        _follow_changes(learned_here, work)
+        _detect_slowdowns(learned_here, work)
+        _detect_recoveries(learned_here, work)
         effects: list[Effect] = []
         mean = _mean_work([learned.long for learned in learned_here], learned_here, work)
         for learned in learned_here:
-            effects.extend(_settle(learned, work, mean))
+            effects.extend(_update_speed(learned, work, mean))
             _set_spare(learned, work)
         return effects
 
@@ -457,7 +459,7 @@
     total: float = 0
     answers: float = 0
     for window, learned in zip(windows, learned_here, strict=True):
-        if window.told:
+        if window.has_enough_answers:
             total += window.work(work.mean_s, learned.upstream.entry.slots)
             answers += window.answers
     return total / answers if answers else 0
@@ -489,34 +491,34 @@
             continue
         if count.start != start_of(upstream.entry):
             continue
-        means = min(count.means, MOST_MEANS * count.answers)
+        means = min(count.means, MAX_MEANS * count.answers)
         known.append((upstream, AnswerCount(count.number, count.start, count.answers, means)))
     return known
 
 
 def _update_noise(learned_here: list[LearnedWork], work: ServiceWork) -> None:
-    """Update the noise with full blocks of upstreams not believed to differ; start new blocks."""
+    """Update the noise with full blocks of upstreams not differs to differ; start new blocks."""
     for learned in learned_here:
         if not learned.block.is_full:
             continue
-        if learned.block.is_comparable and not learned.believed:
+        if learned.block.is_comparable and not learned.differs:
             work.update_noise(learned.block)
         learned.block = AnswerBlock(learned.long)
 
 
-def _follow_slowdowns(learned_here: list[LearnedWork], work: ServiceWork) -> None:
+def _detect_slowdowns(learned_here: list[LearnedWork], work: ServiceWork) -> None:
     """Detect the start and the end of slowdowns, relative to the other upstreams of the pool."""
     median = median_evidence([learned.slowdown for learned in learned_here])
     needed = SLOWDOWN_START_NATS * sqrt(work.noise) * work.times.pool_slowdown
     for learned in learned_here:
         if learned.slowed:
             if learned.slowdown.has_ended and _forget_before_change(learned, work):
-                learned.update_believed(False)
+                learned.update_differs(False)
             continue
         if learned.slowdown.total_evidence - median < needed:
             continue
         learned.slowed = True
-        learned.believed = True
+        learned.differs = True
         _forget_before_change(learned, work)
         learned.slowdown.reset()
 
@@ -528,69 +530,69 @@
     """
     since_change = learned.since_change
     former = learned.long
-    if not since_change.told or not former.told:
+    if not since_change.has_enough_answers or not former.has_enough_answers:
         return True
     difference = since_change.means / since_change.answers - former.means / former.answers
-    if abs(difference) < CHANGED_ERRORS * work.error(since_change, former):
+    if abs(difference) < CHANGE_ERRORS * work.error(since_change, former):
         return False
     learned.replace_long_window()
     return True
 
 
-def _follow_changes(learned_here: list[LearnedWork], work: ServiceWork) -> None:
+def _detect_recoveries(learned_here: list[LearnedWork], work: ServiceWork) -> None:
     """Let the short window replace the long one of upstreams that no longer differ."""
     short_mean = _mean_work([learned.short for learned in learned_here], learned_here, work)
     long_mean = _mean_work([learned.long for learned in learned_here], learned_here, work)
     if not short_mean or not long_mean:
         return
-    differing = [learned for learned in learned_here if learned.believed and not learned.slowed]
+    differing = [learned for learned in learned_here if learned.differs and not learned.slowed]
     for learned in differing:
-        if not learned.short.told or not learned.long.told:
+        if not learned.short.has_enough_answers or not learned.long.has_enough_answers:
             continue
         newest = _work_of(learned.short, learned, work) / short_mean
         usual = _work_of(learned.long, learned, work) / long_mean
-        if _has_returned(learned, work, newest, usual):
+        if _has_recovered(learned, work, newest, usual):
             learned.since_change.replace_by(learned.short)
             learned.replace_long_window()
 
 
-def _has_returned(learned: LearnedWork, work: ServiceWork, newest: float, usual: float) -> bool:
+def _has_recovered(learned: LearnedWork, work: ServiceWork, newest: float, usual: float) -> bool:
     """Whether the newest work is significantly nearer to the mean than the usual work."""
     errors = _difference(newest, usual) / work.error(learned.short, learned.long)
-    return abs(newest - 1) < abs(usual - 1) and abs(errors) > RETURNED_ERRORS
+    return abs(newest - 1) < abs(usual - 1) and abs(errors) > RECOVERY_ERRORS
 
 
-def _settle(learned: LearnedWork, work: ServiceWork, mean: float) -> list[Effect]:
+def _update_speed(learned: LearnedWork, work: ServiceWork, mean: float) -> list[Effect]:
     """Set an upstream's speed; return a line if it began or ceased to differ."""
     difference: float = 0
     error: float = 1
-    if learned.long.told and mean:
+    if learned.long.has_enough_answers and mean:
         difference = _difference(_work_of(learned.long, learned, work), mean)
         error = work.error(learned.long)
     former = learned.upstream.speed != 1
-    learned.update_believed(learned.is_still_slowed or _is_significant(learned, difference, error))
+    learned.update_differs(learned.is_still_slowed or _is_significant(learned, difference, error))
     learned.upstream.speed = _speed_of(learned, difference, error)
-    if former == learned.believed:
+    if former == learned.differs:
         return []
-    number = LogNumber.SPEED_LEARNED if learned.believed else LogNumber.SPEED_FORGOTTEN
+    number = LogNumber.SPEED_LEARNED if learned.differs else LogNumber.SPEED_FORGOTTEN
     return [_line(number, learned)]
 
 
 def _is_significant(learned: LearnedWork, difference: float, error: float) -> bool:
-    """Whether a difference is significant, with hysteresis for one that is believed."""
-    needed = DOUBTED_ERRORS if learned.believed else BELIEVED_ERRORS
-    return abs(difference) > max(needed * error, LEAST_DIFFERENCE)
+    """Whether a difference is significant, with hysteresis for one that is differs."""
+    needed = DIFFERENCE_END_ERRORS if learned.differs else DIFFERENCE_START_ERRORS
+    return abs(difference) > max(needed * error, MIN_DIFFERENCE)
 
 
 def _speed_of(learned: LearnedWork, difference: float, error: float) -> float:
-    """Return the speed that corresponds to a difference of work, one unless it is believed."""
-    if not learned.believed:
+    """Return the speed that corresponds to a difference of work, one unless it is differs."""
+    if not learned.differs:
         return 1
     sure = 1 + max(abs(difference) - error, 0)
     speed = 1 / sure if difference > 0 else sure
     if learned.is_still_slowed:
-        speed = min(speed, 1 / learned.slowdown.least_ratio)
-    return min(max(speed, LEAST_SPEED), MOST_SPEED)
+        speed = min(speed, 1 / learned.slowdown.min_ratio)
+    return min(max(speed, MIN_SPEED), MAX_SPEED)
 
 
 def _line(number: LogNumber, learned: LearnedWork) -> Effect:
@@ -607,5 +609,5 @@
     """Note the capacity that the flows which are open leave."""
     upstream = learned.upstream
     slots = upstream.entry.slots
-    busy = learned.long.busy(work.mean_s, slots) if learned.long.told else 0
-    upstream.spare = upstream.speed * max(slots - busy, LEAST_SPARE * slots)
+    busy = learned.long.busy(work.mean_s, slots) if learned.long.has_enough_answers else 0
+    upstream.spare = upstream.speed * max(slots - busy, MIN_SPARE * slots)
--- a/src/bronzekeel/core/routing/cold_starts.py
+++ b/src/bronzekeel/core/routing/cold_starts.py
@@ -34,24 +34,24 @@
 
 #: Seconds for which it is remembered who sends to an upstream.  Source: as long as a heartbeat
 #: takes to tell of a new host.
-_REMEMBERED_S = 0.25
+_SENDER_CACHE_S = 0.25
 
 #: Upstreams that are remembered before those that are warm by now are forgotten.
-_MANY_REMEMBERED = 4096
+_MAX_RECORDS = 4096
 
 
-class _Sent:
+class _SendRecord:
     """Hold whether this host sends to an upstream, until when that holds, and when it did.
 
     The upstream is cold until `warm_at`.
     """
 
-    __slots__ = ('at', 'is_sender', 'known_until', 'warm_at')
+    __slots__ = ('cached_until', 'is_sender', 'at', 'warm_at')
 
     def __init__(self) -> None:
         self.warm_at: float = 0
         self.is_sender = False
-        self.known_until: float = 0
+        self.cached_until: float = 0
         self.at: deque[float] = deque()
 
 
@@ -76,51 +76,51 @@
         self._slack = slack
         self._alone = alone
         self._started_at: float = 0
-        self._sent_by_name: dict[str, _Sent] = {}
-        self._forget_beyond = _MANY_REMEMBERED
+        self._record_by_name: dict[str, _SendRecord] = {}
+        self._prune_above = _MAX_RECORDS
 
     def begin(self, now: float) -> None:
         """Note the start of this host."""
         self._started_at = now
 
-    def may_take(self, upstream: Upstream, rate: float, now: float) -> bool:
+    def may_place(self, upstream: Upstream, rate: float, now: float) -> bool:
         """Whether a new flow may go to an upstream that bears `rate` requests a second."""
         if now >= upstream.warm_at:
             return True
-        sent = self._sent_to(upstream, now)
-        if not sent.is_sender:
+        record = self._record_of(upstream, now)
+        if not record.is_sender:
             return False
-        most = self._most(rate)
-        window_s = WINDOW_S if most >= 1 else WINDOW_S / most
-        while sent.at and sent.at[0] <= now - window_s:
-            sent.at.popleft()
-        return len(sent.at) < max(1, int(most))
+        max_rate = self._max_rate(rate)
+        window_s = WINDOW_S if max_rate >= 1 else WINDOW_S / max_rate
+        while record.at and record.at[0] <= now - window_s:
+            record.at.popleft()
+        return len(record.at) < max(1, int(max_rate))
 
     def note_placed(self, upstream: Upstream, now: float) -> None:
         """Note that a new flow goes to a cold upstream."""
         if now < upstream.warm_at:
-            self._sent_to(upstream, now).at.append(now)
+            self._record_of(upstream, now).at.append(now)
 
-    def _most(self, rate: float) -> float:
+    def _max_rate(self, rate: float) -> float:
         """Return the flows a second of one sender: those of two stay below all that is allowed."""
         return min(rate, (rate * self._overage + self._slack) / _SENDERS)
 
-    def _sent_to(self, upstream: Upstream, now: float) -> _Sent:
-        if len(self._sent_by_name) > self._forget_beyond:
-            self._forget_warm(now)
-        sent = self._sent_by_name.setdefault(upstream.entry.name, _Sent())
-        sent.warm_at = upstream.warm_at
-        if now >= sent.known_until:
-            sent.known_until = now + _REMEMBERED_S
-            sent.is_sender = self._is_sender(upstream, now)
-        return sent
-
-    def _forget_warm(self, now: float) -> None:
+    def _record_of(self, upstream: Upstream, now: float) -> _SendRecord:
+        if len(self._record_by_name) > self._prune_above:
+            self._prune_warm(now)
+        record = self._record_by_name.setdefault(upstream.entry.name, _SendRecord())
+        record.warm_at = upstream.warm_at
+        if now >= record.cached_until:
+            record.cached_until = now + _SENDER_CACHE_S
+            record.is_sender = self._is_sender(upstream, now)
+        return record
+
+    def _prune_warm(self, now: float) -> None:
         """Forget the upstreams that are warm; what was sent to the others still counts."""
-        for name, sent in list(self._sent_by_name.items()):
-            if now >= sent.warm_at:
-                self._sent_by_name.pop(name)
-        self._forget_beyond = max(_MANY_REMEMBERED, 2 * len(self._sent_by_name))
+        for name, record in list(self._record_by_name.items()):
+            if now >= record.warm_at:
+                self._record_by_name.pop(name)
+        self._prune_above = max(_MAX_RECORDS, 2 * len(self._record_by_name))
 
     def _is_sender(self, upstream: Upstream, now: float) -> bool:
         """Whether this host is the one of all that were heard lately that sends there."""
@@ -130,7 +130,9 @@
         known = self._peers.by_name.values()
         if all(peer.heard_at is None for peer in known):
             return self._alone
-        near = {peer.address.name for peer in known if peer.address.data_centre == me.data_centre}
-        near.add(me.name)
-        starting = upstream.entry.name
-        return me.name == max(near, key=lambda name: rank_of(f'{starting}/{name}'))
+        local_names = {
+            peer.address.name for peer in known if peer.address.data_centre == me.data_centre
+        }
+        local_names.add(me.name)
+        upstream_name = upstream.entry.name
+        return me.name == max(local_names, key=lambda name: rank_of(f'{upstream_name}/{name}'))
--- a/src/bronzekeel/core/routing/eligibility.py
+++ b/src/bronzekeel/core/routing/eligibility.py
@@ -44,18 +44,20 @@
         """Return the upstreams of a service that a new flow of `route` may go to."""
         upstreams = self._directory.of_service(service)
         if route.homes:
-            upstreams = [upstream for upstream in upstreams if self._is_home(upstream, route)]
+            upstreams = [
+                upstream for upstream in upstreams if self._is_in_allowed_region(upstream, route)
+            ]
         rate = text.cold_rate_by_service.get(service)
         if rate is None:
             return upstreams
-        may_take = self._cold_starts.may_take
-        return [upstream for upstream in upstreams if may_take(upstream, rate, now)]
+        may_place = self._cold_starts.may_place
+        return [upstream for upstream in upstreams if may_place(upstream, rate, now)]
 
     def note_placed(self, upstream: Upstream, text: RoutingText, now: float) -> None:
         """Note that a new flow goes to an upstream."""
         if upstream.entry.service in text.cold_rate_by_service:
             self._cold_starts.note_placed(upstream, now)
 
-    def _is_home(self, upstream: Upstream, route: Route) -> bool:
+    def _is_in_allowed_region(self, upstream: Upstream, route: Route) -> bool:
         """Whether an upstream is in a home; one whose region is not known is in none."""
         return self._region_by_centre.get(upstream.entry.data_centre) in route.homes
--- a/src/bronzekeel/core/routing/flow_lengths.py
+++ b/src/bronzekeel/core/routing/flow_lengths.py
@@ -12,19 +12,19 @@
 #: than before it.
 LONG_FLOW_REQUESTS = 3.0
 
-#: Flows after which what was counted before weighs half.
-_REMEMBERED_FLOWS = 200
+#: Flows after which what was counts before weighs half.
+_MAX_COUNTED_FLOWS = 200
 
 #: Flows from which on a route's are judged.  Source: the mean of ten is half a request off where
 #: flows carry one or two.
-_LEAST_FLOWS = 10
+_MIN_FLOWS = 10
 
-#: Routes that are counted at most; the one counted first makes room.  Source: twice a text of
+#: Routes that are counts at most; the one counts first makes room.  Source: twice a text of
 #: 2,000 routes, so that those of a former text do not push out those in force.
-MOST_ROUTES = 4_000
+MAX_ROUTES = 4_000
 
 
-class _Counted:
+class _RouteCounts:
     __slots__ = ('openings', 'requests')
 
     def __init__(self) -> None:
@@ -35,19 +35,19 @@
 class FlowLengths:
     """Count flows and requests by route."""
 
-    __slots__ = ('_counted_by_route',)
+    __slots__ = ('_counts_by_route',)
 
     def __init__(self) -> None:
         """Start with none."""
-        self._counted_by_route: dict[bytes, _Counted] = {}
+        self._counts_by_route: dict[bytes, _RouteCounts] = {}
 
     def note_opening(self, flow: bytes) -> None:
         """Note that a flow is opened."""
-        counted = self._of_flow(flow)
-        counted.openings += 1
-        if counted.openings > _REMEMBERED_FLOWS:
-            counted.openings /= 2
-            counted.requests /= 2
+        counts = self._of_flow(flow)
+        counts.openings += 1
+        if counts.openings > _MAX_COUNTED_FLOWS:
+            counts.openings /= 2
+            counts.requests /= 2
 
     def note_request(self, flow: bytes) -> None:
         """Note a request of a flow, its first one too."""
@@ -55,17 +55,17 @@
 
     def is_short(self, route: bytes) -> bool:
         """Whether flows of a route are known to carry a request or two."""
-        counted = self._counted_by_route.get(route)
-        if counted is None or counted.openings < _LEAST_FLOWS:
+        counts = self._counts_by_route.get(route)
+        if counts is None or counts.openings < _MIN_FLOWS:
             return False
-        return counted.requests < counted.openings * LONG_FLOW_REQUESTS
+        return counts.requests < counts.openings * LONG_FLOW_REQUESTS
 
-    def _of_flow(self, flow: bytes) -> _Counted:
+    def _of_flow(self, flow: bytes) -> _RouteCounts:
         route = flow[-_ROUTE_BYTES:]
-        counted = self._counted_by_route.get(route)
-        if counted is None:
-            if len(self._counted_by_route) >= MOST_ROUTES:
-                self._counted_by_route.pop(next(iter(self._counted_by_route)))
-            counted = _Counted()
-            self._counted_by_route[route] = counted
-        return counted
+        counts = self._counts_by_route.get(route)
+        if counts is None:
+            if len(self._counts_by_route) >= MAX_ROUTES:
+                self._counts_by_route.pop(next(iter(self._counts_by_route)))
+            counts = _RouteCounts()
+            self._counts_by_route[route] = counts
+        return counts
--- a/src/bronzekeel/core/routing/heartbeats.py
+++ b/src/bronzekeel/core/routing/heartbeats.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import TypeVar
 
-from bronzekeel.core.routing.answer_counts import ToldCounts
+from bronzekeel.core.routing.answer_counts import ReportedCounts
 from bronzekeel.core.routing.balance import load_at
 from bronzekeel.core.routing.balancing import rates_of_centre
 from bronzekeel.core.routing.load_moves import told_shares
@@ -74,7 +74,7 @@
 def near_heartbeat(
     state: RoutingState,
     now: float,
-    counts: ToldCounts | None = None,
+    counts: ReportedCounts | None = None,
 ) -> Heartbeat:
     """Return all that a neighbour may use; `counts` only in one that all neighbours get."""
     busy_by_number = {
--- a/src/bronzekeel/core/routing/load_moves.py
+++ b/src/bronzekeel/core/routing/load_moves.py
@@ -60,7 +60,7 @@
 
     Where operators ask for equal work, all shares count.
     """
-    if not state.balance.bearable or not state.controls_demand:
+    if not state.balance.min_sharing_load or not state.controls_demand:
         state.balance.adopt(shares)
 
 
@@ -72,7 +72,7 @@
     """
     moving = state.demand.moving
     services = controlled_services(state)
-    if not services or not state.balance.bearable:
+    if not services or not state.balance.min_sharing_load:
         return
     words = state.relays.words_elsewhere(now, ROOM_WORD_S)
     complete = bool(words) and set(words) >= set(centres_heard(state, now))
@@ -86,9 +86,9 @@
 
     What goes wrong with shares that neighbours told: hosts repeat each other's for ever.
     """
-    if not state.balance.reckons:
+    if not state.balance.computes_shares:
         return None
-    if not state.balance.bearable or not state.controls_demand:
+    if not state.balance.min_sharing_load or not state.controls_demand:
         return state.balance.shares
     return state.demand.moving.reckoned_shares
 
--- a/src/bronzekeel/core/routing/messages.py
+++ b/src/bronzekeel/core/routing/messages.py
@@ -4,7 +4,7 @@
 from types import MappingProxyType
 
 from bronzekeel.core.routing.caller_words import CallersWord
-from bronzekeel.core.routing.answer_counts import ToldCounts
+from bronzekeel.core.routing.answer_counts import ReportedCounts
 from bronzekeel.core.routing.model import RoutingText, UpstreamEntry
 
 
@@ -138,7 +138,7 @@
         evacuated: Evacuated = NOTHING_EVACUATED,
         unanswered_by_number: Mapping[int, int] = _NOBODY,
         callers_by_service: Mapping[str, CallersWord] = _NO_WORDS,
-        counts: ToldCounts | None = None,
+        counts: ReportedCounts | None = None,
         asked_by_service: Mapping[str, Asked] | None = None,
         hears: tuple[str, ...] = (),
         unheard: tuple[str, ...] = (),
--- a/src/bronzekeel/core/routing/moving_load.py
+++ b/src/bronzekeel/core/routing/moving_load.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 
 from bronzekeel.core.routing.asked_meter import AskedMeter
-from bronzekeel.core.routing.balance import LEAST_RATE, shares_of
+from bronzekeel.core.routing.balance import MIN_RATE, shares_of
 from bronzekeel.core.routing.departures import Departures
 from bronzekeel.core.routing.messages import Allowance, FlowShare
 from bronzekeel.core.routing.overflow import (
@@ -265,7 +265,7 @@
         capacity_by_centre: Mapping[str, float],
         rate_by_centre: Mapping[str, float],
     ) -> dict[str, float]:
-        if sum(rate_by_centre.values()) < LEAST_RATE:
+        if sum(rate_by_centre.values()) < MIN_RATE:
             return {}
         factor = CLAIM_KEPT_FACTOR if service in self._claiming else CLAIM_FACTOR
         claims = claims_of(home, capacity_by_centre, rate_by_centre, factor)
--- a/src/bronzekeel/core/routing/placement.py
+++ b/src/bronzekeel/core/routing/placement.py
@@ -33,11 +33,11 @@
     #: How many times its share of the requests a data centre keeps before it sends the
     #: rest elsewhere.  Source: twice as much makes callers wait where upstreams are
     #: half busy; less is no reason to cross data centres.
-    tolerated: ClassVar[float] = 2.0
+    tolerated_ratio: ClassVar[float] = 2.0
 
     #: Requests in progress a slot from which it does so.  Source: below it hardly a
     #: caller waits, and crossing data centres costs more than it brings.
-    bearable: ClassVar[float] = 0.8
+    min_sharing_load: ClassVar[float] = 0.8
 
     def __init__(self, data_centre: str, balance: Balance) -> None:
         """Prefer upstreams of `data_centre`, but for the flows that `balance` sends away."""
@@ -45,8 +45,8 @@
         self._data_centre = data_centre
         self._balance = balance
         self._shares = SharesByCapacity(balance.host)
-        balance.tolerated = self.tolerated
-        balance.bearable = self.bearable
+        balance.tolerated_ratio = self.tolerated_ratio
+        balance.min_sharing_load = self.min_sharing_load
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
         """Return the upstream with the least load in the data centre whose turn it is."""
@@ -63,20 +63,22 @@
         self,
         candidates: Sequence[Upstream],
         now: float,
-        near: str,
+        preferred_centre: str,
     ) -> Upstream | None:
         # All other candidates rank after these.
         preferred = [
             upstream
             for upstream in candidates
-            if upstream.entry.data_centre == near
+            if upstream.entry.data_centre == preferred_centre
             and upstream.missing_at is None
             and now >= upstream.avoided_until
         ]
-        alike = _least_reluctant(preferred, now, near) or _least_reluctant(candidates, now, near)
-        if alike and alike[0].pool.controlled:
-            return self._shares.choose(alike, now)
-        return min(alike, key=_asked, default=None)
+        tied = _best_ranked(preferred, now, preferred_centre) or _best_ranked(
+            candidates, now, preferred_centre
+        )
+        if tied and tied[0].pool.controlled:
+            return self._shares.choose(tied, now)
+        return min(tied, key=_recent_requests, default=None)
 
 
 class EqualWork(LeastBusy):
@@ -88,49 +90,49 @@
     """
 
     #: Source: the users' bound on the busiest upstream's work.
-    tolerated = 1.1
-    bearable = 0
+    tolerated_ratio = 1.1
+    min_sharing_load = 0
 
 
-def _least_reluctant(
+def _best_ranked(
     candidates: Sequence[Upstream],
     now: float,
-    near: str,
+    preferred_centre: str,
 ) -> list[Upstream]:
-    """Return the upstreams with the least reluctance among those that take flows."""
-    alike: list[Upstream] = []
-    least: tuple[float, ...] = ()
+    """Return the upstreams with the least rank among those that take flows."""
+    tied: list[Upstream] = []
+    lowest: tuple[float, ...] = ()
     for upstream in candidates:
         if not upstream.takes_flows(now):
             continue
-        reluctance = _reluctance(upstream, now, near)
-        if not alike or reluctance < least:
-            alike = [upstream]
-            least = reluctance
-        elif reluctance == least:
-            alike.append(upstream)
-    return alike
+        rank = _rank(upstream, now, preferred_centre)
+        if not tied or rank < lowest:
+            tied = [upstream]
+            lowest = rank
+        elif rank == lowest:
+            tied.append(upstream)
+    return tied
 
 
-def _reluctance(upstream: Upstream, now: float, near: str) -> tuple[float, ...]:
-    """Rank an upstream for a flow that is to go to the data centre `near`.
+def _rank(upstream: Upstream, now: float, preferred_centre: str) -> tuple[float, ...]:
+    """Rank an upstream for a flow that is to go to the data centre `preferred_centre`.
 
     Smaller is better.  One that does not answer comes after all others of any data
     centre, and is still better than nobody.
     """
-    silent = now < upstream.avoided_until
-    far = upstream.entry.data_centre != near
-    return (silent, upstream.missing_at is not None, far, load_of(upstream, now))
+    unresponsive = now < upstream.avoided_until
+    other_centre = upstream.entry.data_centre != preferred_centre
+    return (unresponsive, upstream.missing_at is not None, other_centre, load_of(upstream, now))
 
 
-def _asked(upstream: Upstream) -> float:
+def _recent_requests(upstream: Upstream) -> float:
     return upstream.asked
 
 
 def load_of(upstream: Upstream, now: float) -> float:
     """Return the load of an upstream with one more flow, per slot of capacity.
 
-    Where capacity is learned, idle upstreams look alike however fast they are.
+    Where capacity is learned, idle upstreams look tied however fast they are.
     """
     if upstream.pool.controlled:
         return upstream.busy_flows / upstream.capacity + upstream.shared_load
--- a/src/bronzekeel/core/routing/placement_by_capacity.py
+++ b/src/bronzekeel/core/routing/placement_by_capacity.py
@@ -3,8 +3,8 @@
 Every host goes by nearly the same sums, which are as old as a heartbeat.  What goes wrong if each
 takes the upstream with the most capacity left: all send there what comes until the next
 heartbeat, a new upstream is rushed, and a flow that is kept open stays where that put it.  So each
-host gives every upstream its share of the flows, in turn (smooth weighted round robin), and starts
-the turns at a place of its own.
+host gives every upstream its share of the flows, in credit (smooth weighted round robin), and starts
+the credits at a place of its own.
 """
 
 from collections.abc import Sequence
@@ -20,17 +20,17 @@
 
 #: Turns that an upstream may be ahead or behind at most.  What goes wrong without it: one that was
 #: busy or silent for long gets all flows when it is back.
-_MOST_TURNS = 1.0
+_MAX_CREDIT = 1.0
 
 #: Turns of a service that are kept beside twice its upstreams.
-_MANY_TURNS = 64
+_MAX_STALE_CREDITS = 64
 
 _HASH_BITS = 32
-_HASHES = 1 << _HASH_BITS
+_HASH_RANGE = 1 << _HASH_BITS
 
 
-class _Turns:
-    """Hold the turns of one service's upstreams; `most` of them were to choose from at a time."""
+class _Credits:
+    """Hold the credits of one service's upstreams; `most` of them were to choose from at a time."""
 
     __slots__ = ('by_upstream', 'most')
 
@@ -38,10 +38,10 @@
         self.by_upstream: dict[Upstream, float] = {}
         self.most = 0
 
-    def keep(self, candidates: Sequence[Upstream]) -> None:
-        """Forget the turns of all but the candidates if there are far more than upstreams."""
+    def discard_stale(self, candidates: Sequence[Upstream]) -> None:
+        """Forget the credits of all but the candidates if there are far more than upstreams."""
         self.most = max(self.most, len(candidates))
-        if len(self.by_upstream) <= _MANY_TURNS + 2 * self.most:
+        if len(self.by_upstream) <= _MAX_STALE_CREDITS + 2 * self.most:
             return
         self.by_upstream = {
             upstream: self.by_upstream[upstream]
@@ -53,40 +53,45 @@
 class SharesByCapacity:
     """Give new flows to upstreams in proportion to the capacity that they have left."""
 
-    __slots__ = ('_host', '_turns_by_service')
+    __slots__ = ('_credits_by_service', '_host')
 
     def __init__(self, host: str) -> None:
-        """Start the turns at the place of `host`."""
+        """Start the credits at the place of `host`."""
         self._host = host
-        self._turns_by_service: dict[str, _Turns] = {}
+        self._credits_by_service: dict[str, _Credits] = {}
 
     @property
-    def kept(self) -> int:
+    def credit_count(self) -> int:
         """Turns that are kept."""
-        return sum(len(turns.by_upstream) for turns in self._turns_by_service.values())
+        return sum(
+            len(service_credits.by_upstream)
+            for service_credits in self._credits_by_service.values()
+        )
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream:
-        """Return the upstream of some of one service that look alike whose turn it is."""
-        turns = self._turns_by_service.setdefault(candidates[0].entry.service, _Turns())
-        turns.keep(candidates)
+        """Return the upstream of some of one service that look alike whose credit it is."""
+        service_credits = self._credits_by_service.setdefault(
+            candidates[0].entry.service, _Credits()
+        )
+        service_credits.discard_stale(candidates)
         weights = [spare_of(upstream, now) for upstream in candidates]
         total = sum(weights)
         best = candidates[0]
-        best_turn = float('-inf')
+        best_credit = float('-inf')
         for upstream, weight in zip(candidates, weights, strict=True):
-            if upstream not in turns.by_upstream:
-                turns.by_upstream[upstream] = self._first_turn(upstream)
-            turn = turns.by_upstream[upstream] + weight / total
-            turns.by_upstream[upstream] = min(turn, _MOST_TURNS)
-            if turn > best_turn:
+            if upstream not in service_credits.by_upstream:
+                service_credits.by_upstream[upstream] = self._initial_credit(upstream)
+            credit = service_credits.by_upstream[upstream] + weight / total
+            service_credits.by_upstream[upstream] = min(credit, _MAX_CREDIT)
+            if credit > best_credit:
                 best = upstream
-                best_turn = turn
-        turns.by_upstream[best] = max(best_turn - 1, -_MOST_TURNS)
+                best_credit = credit
+        service_credits.by_upstream[best] = max(best_credit - 1, -_MAX_CREDIT)
         return best
 
-    def _first_turn(self, upstream: Upstream) -> float:
+    def _initial_credit(self, upstream: Upstream) -> float:
         name = upstream.entry.name
-        return crc32(f'{self._host}/{name}'.encode()) / _HASHES - 1 / 2
+        return crc32(f'{self._host}/{name}'.encode()) / _HASH_RANGE - 1 / 2
 
 
 def spare_of(upstream: Upstream, now: float) -> float:
--- a/src/bronzekeel/core/routing/reducer.py
+++ b/src/bronzekeel/core/routing/reducer.py
@@ -8,7 +8,7 @@
 from types import MappingProxyType
 
 from bronzekeel.core.log_numbers import LogNumber
-from bronzekeel.core.routing.balancing import reckon_balance, reckon_room
+from bronzekeel.core.routing.balancing import update_balance, update_free_capacity
 from bronzekeel.core.routing.effects import DropWaiting, Effect, End, WriteLine
 from bronzekeel.core.routing.evacuations import (
     end_evacuations,
@@ -140,8 +140,8 @@
 def _reckon_load(state: RoutingState, now: float) -> list[Effect]:
     """Reckon capacities, where flows go, how many requests may begin, and callers' shares."""
     effects = learn_capacities(state, now)
-    reckon_balance(state, now)
-    reckon_room(state, now)
+    update_balance(state, now)
+    update_free_capacity(state, now)
     effects.extend(look_at_load(state, now))
     state.admission.reckon(now)
     pools = state.directory.pools_of(state.peers.me.data_centre)
--- a/src/bronzekeel/core/routing/sharing.py
+++ b/src/bronzekeel/core/routing/sharing.py
@@ -15,7 +15,7 @@
 from bronzekeel.core.routing.events import HeartbeatHeard, ViewFailed, ViewFetched
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.heartbeats import answer_to, far_heartbeat, near_heartbeat
-from bronzekeel.core.routing.learning import take_counts
+from bronzekeel.core.routing.learning import apply_counts
 from bronzekeel.core.routing.load_moves import hasten_room, is_hurried
 from bronzekeel.core.routing.messages import Heartbeat, Known, MissingEntry, PeerAddress, View
 from bronzekeel.core.routing.readiness import become_ready
@@ -59,7 +59,7 @@
         state.peers.beat_soon()
     near = state.peers.due_neighbours(now)
     if near:
-        counts = state.demand.capacities.counts.tell(now)
+        counts = state.demand.capacities.counts.pop_report(now)
         effects.append(SendHeartbeat(near_heartbeat(state, now, counts), near))
     far = state.peers.due_seeds(now, ready=state.ready)
     far.extend(
@@ -95,7 +95,7 @@
     joined = state.peers.note_heartbeat(heartbeat, now)
     effects.extend(_take_evacuated(state, heartbeat, now))
     take_silent(state, heartbeat.unanswered_by_number, now)
-    take_counts(state, heartbeat)
+    apply_counts(state, heartbeat)
     hasten_room(state, heartbeat)
     if joined:
         effects.append(WriteLine(LogNumber.MEMBER_JOINED, peer=sender.name))
--- a/src/bronzekeel/core/routing/slowdowns.py
+++ b/src/bronzekeel/core/routing/slowdowns.py
@@ -20,7 +20,7 @@
 
 #: Upper limit of the evidence from answers.  When a whole pool becomes slower, all its upstreams
 #: reach the limit and none exceeds the median.
-_MOST_NATS = 12.0
+_MAX_NATS = 12.0
 
 
 class SlowdownDetector:
@@ -53,7 +53,7 @@
         return self.start_evidence + self.pending_evidence
 
     @property
-    def least_ratio(self) -> float:
+    def min_ratio(self) -> float:
         """Lower bound of the ratio by which answers take longer."""
         least = SLOWDOWN_RATIOS[0]
         return sqrt(least * SLOWDOWN_RATIOS[-1]) if self.is_severe else sqrt(least)
@@ -67,7 +67,7 @@
     def add(self, evidence: list[float], answers: int) -> None:
         """Add answers, each with these log-likelihood ratios for ``SLOWDOWN_RATIOS``."""
         started = self.start_evidence + sum(evidence) / len(evidence) * answers
-        self.start_evidence = min(max(started, 0), _MOST_NATS)
+        self.start_evidence = min(max(started, 0), _MAX_NATS)
         self._severity_evidence += (evidence[-1] - evidence[0]) * answers
         for place, nats in enumerate(evidence):
             ended = self._end_evidence_by_ratio[place] - nats * answers
--- a/src/bronzekeel/core/routing/steering.py
+++ b/src/bronzekeel/core/routing/steering.py
@@ -186,7 +186,7 @@
             if held is not None:
                 return held
             upstream = sibling or upstream
-        crowded = self._state.balance.sends_away(service)
+        crowded = self._state.balance.sends_remote(service)
         departure = Departure.CROWD if crowded else Departure.NO_UPSTREAM
         return self._place(packet, upstream, route, text, now, departure)
 
--- a/src/bronzekeel/entry/count_fields.py
+++ b/src/bronzekeel/entry/count_fields.py
@@ -5,7 +5,7 @@
 from struct import Struct
 from typing import Any
 
-from bronzekeel.core.routing.answer_counts import AnswerCount, ToldCounts
+from bronzekeel.core.routing.answer_counts import AnswerCount, ReportedCounts
 
 
 _HEAD = Struct('!I')
@@ -17,24 +17,24 @@
 _PARTS = 64
 
 
-def encode_counts(told: ToldCounts) -> dict[str, str]:
+def encode_counts(told: ReportedCounts) -> dict[str, str]:
     """Return counts as fields of a message; without pending requests their field is absent."""
-    fields = {'answers': _pack_counts(_HEAD.pack(told.told_ms), told.counts)}
+    fields = {'answers': _pack_counts(_HEAD.pack(told.reported_ms), told.counts)}
     if told.pending:
         fields['pending'] = _pack_counts(b'', told.pending)
     return fields
 
 
-def decode_counts(fields: Mapping[str, Any]) -> ToldCounts | None:
+def decode_counts(fields: Mapping[str, Any]) -> ReportedCounts | None:
     """Return the counts in the fields of a message, None if absent.  Raises ValueError."""
     if fields.get('answers') is None:
         return None
     raw = b64decode(str(fields['answers']), validate=True)
     if len(raw) < _HEAD.size:
         raise ValueError(f'counts of answers are too short: {len(raw)} bytes')
-    told_ms = _HEAD.unpack_from(raw)[0]
+    reported_ms = _HEAD.unpack_from(raw)[0]
     pending = b64decode(str(fields.get('pending', '')), validate=True)
-    return ToldCounts(told_ms, _unpack_counts(raw[_HEAD.size :]), _unpack_counts(pending))
+    return ReportedCounts(reported_ms, _unpack_counts(raw[_HEAD.size :]), _unpack_counts(pending))
 
 
 def _pack_counts(head: bytes, counts: tuple[AnswerCount, ...]) -> str:
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -84,7 +84,7 @@
         """A balancer that is alone is the one that sends."""
         alone = ColdStarts(PeerTable(_peer(0), ()), alone=True)
         alone.begin(0)
-        self.assertTrue(alone.may_take(_cold(1), _RATE, SETTLING_S))
+        self.assertTrue(alone.may_place(_cold(1), _RATE, SETTLING_S))
 
     def test_a_rate_below_one(self) -> None:
         """One flow each four seconds is one flow each four seconds."""
@@ -94,7 +94,7 @@
         sent = 0
         for step in range(2000):
             now = SETTLING_S + step * _STEP_S
-            if alone.may_take(upstream, 0.5, now):
+            if alone.may_place(upstream, 0.5, now):
                 alone.note_placed(upstream, now)
                 sent += 1
         self.assertLessEqual(sent, 6)
@@ -113,8 +113,8 @@
         for step in range(100):
             now = SETTLING_S + step * _STEP_S
             for number in range(2, 100):
-                alone.may_take(_cold(step * 100 + number, cold_s=60), _RATE, now)
-            if alone.may_take(upstream, _RATE, now):
+                alone.may_place(_cold(step * 100 + number, cold_s=60), _RATE, now)
+            if alone.may_place(upstream, _RATE, now):
                 alone.note_placed(upstream, now)
                 sent += 1
         self.assertLessEqual(sent, _RATE)
@@ -123,7 +123,7 @@
         """Another data centre's cold upstreams are left to its own hosts."""
         alone = ColdStarts(PeerTable(_peer(0), ()), alone=True)
         alone.begin(0)
-        self.assertFalse(alone.may_take(_cold(1, data_centre=_AWAY), _RATE, SETTLING_S))
+        self.assertFalse(alone.may_place(_cold(1, data_centre=_AWAY), _RATE, SETTLING_S))
 
     def _assert_within(self, hears: _Hears, *, heard_before: bool = False) -> int:
         """Play 25 hosts that send what they may; return how much that was."""
@@ -133,7 +133,7 @@
         for step in range(int((_COLD_S - 1) / _STEP_S)):
             now = 1 + step * _STEP_S
             for host, upstream in product(hosts, upstreams):
-                if not host.may_take(upstream, _RATE, now):
+                if not host.may_place(upstream, _RATE, now):
                     continue
                 host.note_placed(upstream, now)
                 at_by_name[upstream.entry.name].append(now)
--- a/tests/test_learned_capacity.py
+++ b/tests/test_learned_capacity.py
@@ -7,12 +7,12 @@
 
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.answer_counts import (
-    MOST_TOLD,
+    MAX_REPORTED_COUNTS,
     AnswerCount,
     AnswerCounts,
     KindMean,
     PendingRequest,
-    ToldCounts,
+    ReportedCounts,
     start_of,
 )
 from bronzekeel.core.routing.answer_times import AnswerTimes
@@ -82,16 +82,16 @@
         """Guards against a kind whose first answers were late: nothing counted any more."""
         mean = KindMean()
         for _ in range(16):
-            mean.measure(0.5)
-        counted = [mean.measure(0.02) for _ in range(100)]
+            mean.add(0.5)
+        counted = [mean.add(0.02) for _ in range(100)]
         self.assertIsNotNone(counted[-1])
 
     def test_a_mean_of_nothing_is_no_mean(self) -> None:
         """Guards against a way that was overestimated at first, which left work of no time."""
         mean = KindMean()
         for _ in range(16):
-            mean.measure(0)
-        counted = [mean.measure(0.02) for _ in range(100)]
+            mean.add(0)
+        counted = [mean.add(0.02) for _ in range(100)]
         self.assertAlmostEqual(1, counted[-1] or 0, delta=0.5)
 
 
@@ -126,14 +126,14 @@
         """Guards against slowdowns that are detected at all upstreams of an overloaded pool."""
         self._add([self.random.expovariate(1) for _ in range(2000)])
         before = self.times.evidence(6)[-1]
-        self.times.fade(1)
+        self.times.decay(1)
         self._add([self.random.expovariate(0.2) for _ in range(500)])
         self.assertLess(self.times.evidence(6)[-1], before / 2)
 
     def _add(self, times: list[float]) -> None:
         for time in times:
             self.times.add(time)
-        self.times.fade(0.1)
+        self.times.decay(0.1)
 
 
 class SlowdownDetectorTest(TestCase):
@@ -219,7 +219,7 @@
             self._note_pending()
             self._tell()
             for host in self.hosts:
-                self._note(host.reckon(self.directory, 'dc-a', self.now))
+                self._note(host.update(self.directory, 'dc-a', self.now))
 
     def speeds(self) -> list[float]:
         """Return the speeds that the last host reckoned."""
@@ -249,7 +249,7 @@
             sent.host.counts.note(
                 request.upstream,
                 request.kind,
-                request.asked_at,
+                request.sent_at,
                 sent.seen_at,
             )
 
@@ -259,7 +259,7 @@
             pending = [
                 sent.request
                 for sent in self.answers
-                if sent.host is host and sent.request.asked_at <= self.now
+                if sent.host is host and sent.request.sent_at <= self.now
             ]
             host.counts.note_pending(pending, self.now)
 
@@ -269,12 +269,12 @@
         for place, host in enumerate(self.hosts):
             if place % round(_BEAT_S / _TICK_S) != turn:
                 continue
-            told = host.counts.tell(self.now)
+            told = host.counts.pop_report(self.now)
             if told is None or not self.hears:
                 continue
             for other in self.hosts:
                 if other is not host:
-                    other.hear(f'a{place}', told, self.directory)
+                    other.add_report(f'a{place}', told, self.directory)
 
     def _note(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -388,7 +388,7 @@
         upstream = Upstream(entry(1, cold_s=3), 0)
         for _ in range(40):
             counts.note(upstream, _KIND, 1, 1.5)
-        self.assertIsNone(counts.tell(2))
+        self.assertIsNone(counts.pop_report(2))
 
     def test_refusals_are_no_answers(self) -> None:
         """Guards against an upstream that turns requests away at once and looks fast."""
@@ -396,9 +396,9 @@
         upstream = Upstream(entry(1), 0)
         for _ in range(40):
             counts.note(upstream, _KIND, 1, 1.04)
-        counts.take()
+        counts.pop_answers()
         counts.note(upstream, _KIND, 1, 1.001)
-        self.assertEqual([], counts.take())
+        self.assertEqual([], counts.pop_answers())
 
     def test_a_pause_teaches_nothing(self) -> None:
         """Guards against a host that stood still and takes its own pause for slow upstreams."""
@@ -408,15 +408,15 @@
         counts.valid_from = 5
         for _ in range(40):
             counts.note(upstream, _KIND, 4, 6)
-        self.assertEqual([], counts.take())
+        self.assertEqual([], counts.pop_answers())
 
     def test_a_queue_is_no_slowness(self) -> None:
         """Guards against an upstream that got more than its share and then looks slow."""
         usual = AnswerWindow(LONG_S)
         queued = AnswerWindow(LONG_S)
         for _ in range(200):
-            usual.fade(_TICK_S)
-            queued.fade(_TICK_S)
+            usual.decay(_TICK_S)
+            queued.decay(_TICK_S)
             usual.add(2, 2)
             queued.add(4, 4 * 1.9)
         # 20 and 40 requests a second of 25 ms at two slots: by M/M/2 1.07 and 1.33 times that.
@@ -485,7 +485,7 @@
     def test_the_word_of_a_former_start_is_left_out(self) -> None:
         """Guards against an upstream that started again and is taken for its slow former self."""
         count = AnswerCount(self.upstream.entry.short_number, 77, 10, 50)
-        self.host.hear('a2', ToldCounts(1000, (count,)), self.directory)
+        self.host.add_report('a2', ReportedCounts(1000, (count,)), self.directory)
         self.assertEqual(0, self._answers())
 
     def test_a_restarted_upstream_starts_anew(self) -> None:
@@ -516,12 +516,12 @@
             upstream = Upstream(entry(number + 1), 0)
             for _ in range(20):
                 counts.note(upstream, _KIND, 1, 1.04)
-        told = counts.tell(2)
-        self.assertEqual(MOST_TOLD, len(told.counts) if told else 0)
+        told = counts.pop_report(2)
+        self.assertEqual(MAX_REPORTED_COUNTS, len(told.counts) if told else 0)
         without = len(encode_heartbeat(_heartbeat(None)))
         name = len(',"answers":')
         told_bytes = len(encode_heartbeat(_heartbeat(told))) - without - name
-        self.assertLessEqual(told_bytes, 11 * MOST_TOLD + 6)
+        self.assertLessEqual(told_bytes, 11 * MAX_REPORTED_COUNTS + 6)
 
     def test_an_immense_count_fits_its_place(self) -> None:
         """Guards against a host that told nobody for long and then cannot write its message."""
@@ -529,7 +529,7 @@
         upstream = Upstream(entry(1), 0)
         for _ in range(5000):
             counts.note(upstream, _KIND, 1, 1.04)
-        told = decode_heartbeat(encode_heartbeat(_heartbeat(counts.tell(2)))).counts
+        told = decode_heartbeat(encode_heartbeat(_heartbeat(counts.pop_report(2)))).counts
         self.assertIsNotNone(told)
         for count in told.counts if told else ():
             self.assertAlmostEqual(1, count.means / count.answers, delta=0.05)
@@ -537,12 +537,12 @@
     def test_what_is_told_is_read(self) -> None:
         """Guards against a message that means something else at its reader."""
         count = AnswerCount(4_000_000_000, 255, 17, 12.5)
-        sent = _heartbeat(ToldCounts(4_294_967_295, (count,)))
+        sent = _heartbeat(ReportedCounts(4_294_967_295, (count,)))
         told = decode_heartbeat(encode_heartbeat(sent)).counts
         self.assertIsNotNone(told)
         if told:
             read = told.counts[0]
-            self.assertEqual(4_294_967_295, told.told_ms)
+            self.assertEqual(4_294_967_295, told.reported_ms)
             self.assertEqual(
                 (4_000_000_000, 255, 17, 12.5),
                 (read.number, read.start, read.answers, read.means),
@@ -560,7 +560,7 @@
     def test_pending_requests_are_decoded(self) -> None:
         """Guards against counts of pending requests that change in encoding."""
         pending = AnswerCount(4_000_000_000, 255, 3, 12.5)
-        sent = _heartbeat(ToldCounts(1000, (), (pending,)))
+        sent = _heartbeat(ReportedCounts(1000, (), (pending,)))
         told = decode_heartbeat(encode_heartbeat(sent)).counts
         self.assertIsNotNone(told)
         if told:
@@ -573,7 +573,7 @@
     def test_an_empty_pending_field_is_omitted(self) -> None:
         """Guards against larger heartbeats while no request is pending."""
         count = AnswerCount(1, 2, 1, 1)
-        raw = encode_heartbeat(_heartbeat(ToldCounts(1000, (count,))))
+        raw = encode_heartbeat(_heartbeat(ReportedCounts(1000, (count,))))
         self.assertNotIn(b'pending', raw)
 
     def test_only_long_pending_requests_are_told(self) -> None:
@@ -582,7 +582,7 @@
         new = PendingRequest(self.upstream, _KIND, 9.98)
         old = PendingRequest(self.upstream, _KIND, 9.8)
         counts.note_pending([new, old], 10)
-        told = counts.tell(10)
+        told = counts.pop_report(10)
         self.assertEqual([1], [count.answers for count in told.pending] if told else [])
 
     def test_fast_and_slow_answers_are_counted_separately(self) -> None:
@@ -590,7 +590,7 @@
         counts = _settled_counts(self.upstream)
         counts.note(self.upstream, _KIND, 1, 1.02)
         counts.note(self.upstream, _KIND, 1, 1.12)
-        told = counts.tell(10)
+        told = counts.pop_report(10)
         self.assertEqual(2, len(told.counts) if told else 0)
 
     def test_a_later_report_replaces_pending_requests(self) -> None:
@@ -602,10 +602,10 @@
         host = hosts.hosts[0]
         host.counts.note_pending([], hosts.now)
         evidence = []
-        for told_ms in (1, 2):
-            host.hear('a99', ToldCounts(told_ms, (), (count,)), hosts.directory)
-            host.hurry()
-            host.reckon(hosts.directory, 'dc-a', hosts.now)
+        for reported_ms in (1, 2):
+            host.add_report('a99', ReportedCounts(reported_ms, (), (count,)), hosts.directory)
+            host.request_update()
+            host.update(hosts.directory, 'dc-a', hosts.now)
             learned = host._learned_by_upstream[upstream]  # noqa: SLF001
             evidence.append(learned.slowdown.pending_evidence)
         self.assertGreater(evidence[0], 0)
@@ -619,10 +619,10 @@
         long = self.host._learned_by_upstream[self.upstream].long  # noqa: SLF001
         self.assertLessEqual(long.means, 50)
 
-    def _hear(self, told_ms: int, means: float = 10) -> None:
+    def _hear(self, reported_ms: int, means: float = 10) -> None:
         number = self.upstream.entry.short_number
         count = AnswerCount(number, start_of(self.upstream.entry), 10, means)
-        self.host.hear('a2', ToldCounts(told_ms, (count,)), self.directory)
+        self.host.add_report('a2', ReportedCounts(reported_ms, (count,)), self.directory)
 
     def _answers(self) -> float:
         learned = self.host._learned_by_upstream.get(self.upstream)  # noqa: SLF001
@@ -667,7 +667,7 @@
         state = ready_state(entry(1), entry(2))
         reduce(state, Ticked(), 0.1)
         self._serve(state, 40)
-        self.assertEqual([], state.demand.capacities.counts.take())
+        self.assertEqual([], state.demand.capacities.counts.pop_answers())
         for beat in self._beats(state, 50):
             self.assertIsNone(beat.counts)
         for upstream in state.directory.by_number.values():
@@ -772,7 +772,7 @@
         share = SharesByCapacity('a1')
         for _ in range(100):
             share.choose(_alike(5), 1)
-        self.assertLess(share.kept, 100)
+        self.assertLess(share.credit_count, 100)
 
     def test_services_do_not_push_each_other_out(self) -> None:
         """Guards against turns that always start anew: one upstream got all flows of a service."""
@@ -802,11 +802,11 @@
     counts = AnswerCounts()
     for _ in range(40):
         counts.note(upstream, _KIND, 1, 1 + _MEAN_S)
-    counts.tell(2)
+    counts.pop_report(2)
     return counts
 
 
-def _heartbeat(counts: ToldCounts | None) -> Heartbeat:
+def _heartbeat(counts: ReportedCounts | None) -> Heartbeat:
     return Heartbeat(PeerAddress('a1', 'dc-a', ('10.0.0.9', 9)), 1, 1, {}, counts=counts)
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -154,7 +154,7 @@
 
 
 def _shares(home: str, rate_by_centre: dict[str, float]) -> dict[str, float]:
-    return shares_of(home, {'a': 6, 'b': 6, 'c': 9}, rate_by_centre, EqualWork.tolerated)
+    return shares_of(home, {'a': 6, 'b': 6, 'c': 9}, rate_by_centre, EqualWork.tolerated_ratio)
 
 
 class SharesTest(TestCase):
@@ -208,15 +208,15 @@
         Cause: going by shares of the requests alone, or by the load of the moment.
         """
         balance = Balance()
-        balance.bearable = 0.8
+        balance.min_sharing_load = 0.8
         shares = (FlowShare('portal', 'b', 0.4),)
-        balance.settle(shares, {'portal': 0.3})
+        balance.adopt_strained(shares, {'portal': 0.3})
         self.assertEqual((), balance.shares)
-        balance.settle(shares, {'portal': 0.9})
+        balance.adopt_strained(shares, {'portal': 0.9})
         self.assertEqual(1, len(balance.shares))
-        balance.settle(shares, {'portal': 0.3})
+        balance.adopt_strained(shares, {'portal': 0.3})
         self.assertEqual(1, len(balance.shares))
-        balance.settle((), {'portal': 0.9})
+        balance.adopt_strained((), {'portal': 0.9})
         self.assertEqual((), balance.shares)
 
     def test_flows_go_where_the_shares_say(self) -> None:
--- a/tests/test_room_elsewhere.py
+++ b/tests/test_room_elsewhere.py
@@ -9,7 +9,7 @@
 from bronzekeel.core.routing.departures import ENDED_S, Departure, Departures
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.effects import Effect, WriteLine
-from bronzekeel.core.routing.flow_lengths import MOST_ROUTES, FlowLengths
+from bronzekeel.core.routing.flow_lengths import MAX_ROUTES, FlowLengths
 from bronzekeel.core.routing.heartbeats import far_heartbeat, near_heartbeat
 from bronzekeel.core.routing.messages import Asked, Heartbeat, PeerAddress
 from bronzekeel.core.routing.moving_load import (
@@ -319,13 +319,13 @@
     def test_routes_that_are_counted_are_bounded(self) -> None:
         """Guards against memory that grows with each route that ever was."""
         lengths = FlowLengths()
-        for number in range(MOST_ROUTES + 1):
+        for number in range(MAX_ROUTES + 1):
             key = number.to_bytes(6, 'big')
             for _ in range(10):
                 lengths.note_opening(flow(1, key))
                 lengths.note_request(flow(1, key))
         self.assertFalse(lengths.is_short((0).to_bytes(6, 'big')))
-        self.assertTrue(lengths.is_short(MOST_ROUTES.to_bytes(6, 'big')))
+        self.assertTrue(lengths.is_short(MAX_ROUTES.to_bytes(6, 'big')))
 
     def test_requests_of_open_flows_count(self) -> None:
         """Guards against flows of many requests that are counted by their openings."""
