--- a/src/bronzekeel/core/routing/answer_counts.py
+++ b/src/bronzekeel/core/routing/answer_counts.py
@@ -1,11 +1,9 @@
-"""Count the answers of upstreams by own sight, as figures that add up among hosts.
+"""Count the answers of upstreams that this host observes, in units that hosts can add up.
 
-An answer counts with its time beside the mean of its kind, so that an upstream that is asked for
-more work than others does not look slow.  A time counts for a few means at most: the long tail of
-the work is as likely at any upstream.
-
-What goes wrong with plain times: two upstreams of the same speed serve different kinds of
-requests, or one of them a request of a minute, and flows leave it.
+The time of an answer is divided by the mean time of its kind of request, so that an upstream with
+more expensive requests does not appear slow.  With absolute times, flows would be moved away from
+an upstream because it serves other kinds of requests than an equally fast one.  Times are limited
+to a few means, since a single request of a minute is as likely at any upstream.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,59 +11,60 @@
 from bronzekeel.core.routing.model import Upstream, UpstreamEntry
 
 
-#: Times the mean of its kind that an answer counts for at most.  Source: an upstream that works
-#: five times slower is told apart by 0.8 of that, and of exponential work 0.7% is longer.
+#: Upper limit of the time of an answer, in means of its kind.  0.7% of exponentially distributed
+#: times are longer, and 0.8 of the difference of an upstream that is five times slower is retained.
 MAX_MEANS = 5.0
 
-#: Times the mean above which the time of an answer is soft-clipped towards `MAX_MEANS`.
+#: Time in means above which the time of an answer is soft-clipped towards `MAX_MEANS`.
 _CLIP_START_MEANS = 4.0
 _CLIP_RANGE_MEANS = MAX_MEANS - _CLIP_START_MEANS
 
-#: Least distance from `MAX_MEANS` when soft clipping is inverted: the resolution of means in
+#: Minimum distance from `MAX_MEANS` when soft clipping is inverted: the resolution of means in
 #: messages.
 _MIN_CLIP_MARGIN = 0.015625
 
-#: Share of the mean of its kind below which an answer is no work: an upstream without a free place
-#: turns requests away at once.  Source: of exponential work 5% is shorter.
+#: Time in means below which an answer is ignored, because an upstream without a free slot rejects
+#: requests immediately.  5% of exponentially distributed times are shorter.
 MIN_MEANS = 0.05
 
-#: Answers of a kind that make its mean.  Source: its standard error is then a quarter of it, and
-#: the errors of hosts cancel in the sum.
+#: Minimum number of answers of a kind for a usable mean.  The standard error is then a quarter of
+#: the mean, and the errors of different hosts average out in the sum.
 _SETTLED_ANSWERS = 16
 
-#: Answers that a mean is made of at most, the newest ones.
+#: Effective number of newest answers that determine a mean.
 _MAX_ANSWERS = 256
 
-#: Kinds of which means are kept at most.  Source: twice the routes of docs/CAPACITY.md would take
-#: half a megabyte; a host without a mean of a kind leaves out its first answers.
+#: Maximum number of kinds with a mean.  This is twice the number of routes in docs/CAPACITY.md and
+#: takes half a megabyte.  A host without a mean for a kind ignores the first answers of that kind.
 _MAX_KINDS = 4000
 
-#: Upstreams whose answer counts one message carries at most, those with the most answers first.  A
-#: host with ten requests a second that reports every second has no more to report.
+#: Maximum number of answer counts in one message, those with the most answers first.  A host with
+#: ten requests per second that reports every second does not have more.
 MAX_REPORTED_COUNTS = 16
 
-#: Upstreams with pending requests that one message tells of at most.
+#: Maximum number of upstreams with pending requests in one message.
 MAX_PENDING_REPORTED = 8
 
-#: Means of its kind from which a request in progress counts as pending.  One in seven requests of
-#: exponential work takes as long; shorter ones are weak evidence.
+#: Age in means from which a request in progress counts as pending.  One in seven exponentially
+#: distributed times is longer; younger requests are weak evidence.
 MIN_PENDING_MEANS = 2.0
 
-#: Answers, and means, that one message tells of one upstream at most: a byte, and two bytes.
+#: Maximum number of answers and sum of means per count in a message: they are encoded in one byte
+#: and in two bytes.
 MAX_ANSWERS_REPORTED = 255
 MAX_MEANS_REPORTED = 1023
 
 
 class AnswerCount:
-    """Hold the answers of one upstream: how many, and their sum in means of their kinds.
+    """Hold the number of answers of one upstream and the sum of their times in means.
 
-    `start` tells starts of the upstream apart.
+    `number` is the short number of the upstream; `start` distinguishes its restarts.
     """
 
     __slots__ = ('answers', 'means', 'number', 'start')
 
     def __init__(self, number: int, start: int, answers: int = 0, means: float = 0) -> None:
-        """Count for the upstream with a short number."""
+        """Start a count for the upstream with this short number."""
         self.number = number
         self.start = start
         self.answers = answers
@@ -78,17 +77,18 @@
     __slots__ = ('kind', 'sent_at', 'upstream')
 
     def __init__(self, upstream: Upstream, kind: bytes, sent_at: float) -> None:
-        """Keep the upstream, the kind of the request and when it was sent."""
+        """Store the upstream, the kind of the request and when it was sent."""
         self.upstream = upstream
         self.kind = kind
         self.sent_at = sent_at
 
 
 class ReportedCounts:
-    """Hold what a host counted since it last told.
+    """Hold what a host has counted since its previous report.
 
-    `reported_ms` is its steady clock in milliseconds, which orders its messages.  `pending` counts the
-    requests in progress for at least `MIN_PENDING_MEANS`, with the sums of their ages in means.
+    `reported_ms` is the monotonic clock of the host in milliseconds, which orders its reports.
+    `pending` counts the requests in progress for at least `MIN_PENDING_MEANS`, with the sums of
+    their ages in means.
     """
 
     __slots__ = ('counts', 'pending', 'reported_ms')
@@ -99,33 +99,33 @@
         counts: tuple[AnswerCount, ...],
         pending: tuple[AnswerCount, ...] = (),
     ) -> None:
-        """Keep the counts as they are sent."""
+        """Store the counts of one report."""
         self.reported_ms = reported_ms
         self.counts = counts
         self.pending = pending
 
 
 class KindMean:
-    """Hold the mean seconds of the answers of one kind of requests."""
+    """Track the mean answer time of one kind of request."""
 
     __slots__ = ('_answers', '_ignored', '_mean_s')
 
     def __init__(self) -> None:
-        """Start without an answer."""
+        """Start without answers."""
         self._answers = 0
         self._ignored = 0
         self._mean_s: float = 0
 
     @property
     def settled_mean_s(self) -> float:
-        """Mean seconds, zero while there are too few answers."""
+        """Mean answer time in seconds, zero while there are too few answers."""
         return self._mean_s if self._answers >= _SETTLED_ANSWERS else 0
 
     def add(self, work_s: float) -> float | None:
-        """Take one answer; return its time in means, None if it counts for nothing.
+        """Add one answer and return its time in means, or None if the answer is ignored.
 
-        What goes wrong when those that are no work are left out for ever: the first answers of a
-        kind came late, its mean is many times its work, and nothing is learned from it any more.
+        The mean starts again after a series of ignored answers.  Otherwise a kind whose first
+        answers were delayed would keep a mean so high that all later answers are ignored.
         """
         settled = self._answers >= _SETTLED_ANSWERS and self._mean_s > 0
         means = work_s / self._mean_s if settled else 0
@@ -144,23 +144,23 @@
 
 
 class Answer:
-    """Hold one answer: its upstream, its work in seconds and in means of its kind."""
+    """Hold one answer: its upstream and its time in seconds and in means of its kind."""
 
     __slots__ = ('means', 'upstream', 'work_s')
 
     def __init__(self, upstream: Upstream, work_s: float, means: float) -> None:
-        """Keep what was measured."""
+        """Store the measured times."""
         self.upstream = upstream
         self.work_s = work_s
         self.means = means
 
 
 class AnswerCounts:
-    """Count the answers of upstreams, and what of it neighbours are still to be told.
+    """Count the answers of upstreams, including those not yet reported to neighbours.
 
-    Answers to requests that began before `valid_from` count for nothing.  Answers faster and
-    slower than the mean are counted separately, since neighbours weigh each answer by the mean of
-    its count.  `pending_by_upstream` counts the requests in progress for at least
+    Answers to requests that were sent before `valid_from` are ignored.  Answers faster and slower
+    than the mean are counted separately, since neighbours evaluate each answer at the mean of its
+    count.  `pending_by_upstream` counts the requests in progress for at least
     `MIN_PENDING_MEANS`.
     """
 
@@ -173,7 +173,7 @@
     )
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without answers or pending requests."""
         self.valid_from: float = 0
         self._new_answers: list[Answer] = []
         self._mean_by_kind: dict[bytes, KindMean] = {}
@@ -181,9 +181,9 @@
         self.pending_by_upstream: dict[Upstream, AnswerCount] = {}
 
     def note(self, upstream: Upstream, kind: bytes, sent_at: float, now: float) -> None:
-        """Take the answer of an upstream to a request of some kind.
+        """Add the answer of an upstream to a request of this kind.
 
-        While an upstream is cold its answers tell nothing of what it can do later.
+        Answers of a cold upstream are ignored, since they do not show its later speed.
         """
         if now < upstream.warm_at or sent_at < self.valid_from:
             return
@@ -217,13 +217,13 @@
             pending.means += soft_clip(means)
 
     def pop_answers(self) -> list[Answer]:
-        """Return the answers since the last call."""
+        """Return the answers since the previous call."""
         new_answers = self._new_answers
         self._new_answers = []
         return new_answers
 
     def pop_report(self, now: float) -> ReportedCounts | None:
-        """Return what the next message tells, None if there is nothing; it is told once."""
+        """Return and clear the counts for the next message, None if there are none."""
         if not self._unreported_by_upstream_and_speed and not self.pending_by_upstream:
             return None
         changed = sorted(
@@ -240,13 +240,13 @@
         )
 
     def discard_unknown(self, is_known: Callable[[Upstream], bool]) -> None:
-        """Forget what is untold of upstreams that are not known any more."""
+        """Discard unreported counts of upstreams that are no longer known."""
         for upstream, is_slow in list(self._unreported_by_upstream_and_speed):
             if not is_known(upstream):
                 self._unreported_by_upstream_and_speed.pop((upstream, is_slow))
 
     def _age_in_means(self, request: PendingRequest, now: float) -> float:
-        """Return the age of a request in means of its kind, zero while the mean is not settled."""
+        """Return the age of a request in means of its kind, zero without a usable mean."""
         mean = self._mean_by_kind.get(request.kind)
         if mean is None or not mean.settled_mean_s:
             return 0
@@ -272,12 +272,12 @@
 
 
 def start_of(entry: UpstreamEntry) -> int:
-    """Return a byte that mostly differs between two starts of an upstream."""
+    """Return a byte that usually differs between two starts of an upstream."""
     return entry.started_ms % _BYTE
 
 
 def ms_of(now: float) -> int:
-    """Return a moment in milliseconds as a message holds it; it wraps after seven weeks."""
+    """Return a time in milliseconds as encoded in messages; it wraps after seven weeks."""
     return int(now * _MS) % CLOCK_RANGE
 
 
@@ -290,7 +290,7 @@
 
 
 def _bounded(count: AnswerCount) -> AnswerCount:
-    """Return a count that fits into its place; its mean stays."""
+    """Return a count scaled down to the encodable limits, with the same mean."""
     if count.answers <= MAX_ANSWERS_REPORTED and count.means <= MAX_MEANS_REPORTED:
         return count
     share = min(MAX_ANSWERS_REPORTED / count.answers, MAX_MEANS_REPORTED / max(count.means, 1))
--- a/src/bronzekeel/core/routing/answer_times.py
+++ b/src/bronzekeel/core/routing/answer_times.py
@@ -1,10 +1,10 @@
 """Estimate the distribution of a pool's answer times, and the evidence of single answers.
 
-The times of all answers of a pool, in means of their kind, are unclamped in a histogram with
+Each answer time is divided by the mean time of its kind of request and added to a histogram with
 logarithmic bins, the reference distribution.  The evidence of an answer is a log-likelihood ratio:
-its likelihood under the reference distribution stretched by a ratio, against that under the
-reference distribution itself.  Only ranks matter, so a long tail of the work and the queues behind
-long requests are part of the reference distribution and are weak evidence.
+its likelihood under the reference distribution stretched by a ratio, against its likelihood under
+the reference distribution itself.  Only ranks matter: a long tail of answer times and the queues
+behind long requests are part of the reference distribution, so such answers are weak evidence.
 """
 
 from math import log, log2
@@ -16,32 +16,32 @@
 #: Ratios by which the reference distribution is stretched, in ascending order.
 SLOWDOWN_RATIOS = (2, 4)
 
-#: Bins for each doubling of the time.
+#: Number of bins per doubling of the time.
 _BINS_PER_OCTAVE = 4
 
-#: Times in means of the lowest and the highest bin.  These bins also hold all shorter and all
+#: Times of the lowest and the highest bin, in means.  These two bins also hold all shorter and all
 #: longer times.
 _LOWEST_BIN_MEANS = 0.03125
 _HIGHEST_BIN_MEANS = 16
 _BINS = round(_BINS_PER_OCTAVE * log2(_HIGHEST_BIN_MEANS / _LOWEST_BIN_MEANS)) + 1
 
-#: Soft-clipped time in means of an answer in each bin.
+#: Soft-clipped answer time of each bin, in means.
 _CLIPPED_MEANS_BY_BIN = tuple(
     soft_clip(_LOWEST_BIN_MEANS * 2 ** (place / _BINS_PER_OCTAVE)) for place in range(_BINS)
 )
 
-#: Answers below which there is no evidence: about four per bin.
+#: Minimum number of answers for evidence: about four per bin.
 _MIN_ANSWERS = 150
 
-#: Half-life in seconds of an answer in the reference distribution.
+#: Half-life in seconds of the weight of an answer in the reference distribution.
 _HALF_LIFE_S = 20.0
 
-#: Half-life in seconds of the newest answers, and how many of them the slowdown of the pool is
-#: measured from.
+#: Half-life in seconds of the weight of the newest answers, and the minimum number of them from
+#: which the slowdown of the pool is measured.
 _NEWEST_HALF_LIFE_S = 0.5
 _MIN_NEWEST_ANSWERS = 10
 
-#: Pseudocount added to each bin, which bounds the evidence of a single answer.
+#: Pseudocount added to each bin.  It bounds the evidence of a single answer.
 _PRIOR_ANSWERS = 2.0
 
 #: Smoothing kernel over neighbouring bins.
@@ -53,11 +53,12 @@
     """Hold the reference distribution of the answer times of one pool.
 
     `pool_slowdown` is the ratio by which the newest answers of all upstreams take longer than
-    usual; times are divided by it, since it says nothing about a single upstream.
-    `log_ratios_by_bin` has, for each of ``SLOWDOWN_RATIOS``, the log-likelihood ratio of an answer
-    in each bin, at most that of a request still in progress after as long.  `pending_log_ratios`
-    has the latter, averaged over the ratios.  All are zero until there are enough answers.
-    `variance` is that of the soft-clipped times.
+    usual.  Times are divided by it, since a slowdown of the whole pool is no evidence about a
+    single upstream.  `log_ratios_by_bin` has, for each of ``SLOWDOWN_RATIOS``, the log-likelihood
+    ratio of an answer in each bin, limited to that of a request still in progress after the same
+    time.  `pending_log_ratios` has the ratios of requests in progress, averaged over
+    ``SLOWDOWN_RATIOS``.  All are zero until there are enough answers.  `variance` is the variance
+    of the soft-clipped times.
     """
 
     __slots__ = (
@@ -70,7 +71,7 @@
     )
 
     def __init__(self) -> None:
-        """Start without an answer."""
+        """Start without answers."""
         self._answers_by_bin = _empty_bins()
         self._newest_answers_by_bin = _empty_bins()
         self.pool_slowdown: float = 1
@@ -79,7 +80,7 @@
         self.variance: float = 1
 
     def add(self, means: float, answers: int = 1, *, to_reference: bool = True) -> None:
-        """Add answers with the same time in means.
+        """Add a number of answers that each took `means` times the mean of their kind.
 
         Without `to_reference` they only contribute to the slowdown of the pool.
         """
@@ -88,7 +89,7 @@
             self._answers_by_bin[_bin_of(means / self.pool_slowdown)] += answers
 
     def decay(self, elapsed_s: float) -> None:
-        """Let some seconds pass, and update the log-likelihood ratios."""
+        """Decay the weights by the elapsed time and update the log-likelihood ratios."""
         factor = 0.5 ** (elapsed_s / _HALF_LIFE_S)
         self._answers_by_bin = [answers * factor for answers in self._answers_by_bin]
         factor = 0.5 ** (elapsed_s / _NEWEST_HALF_LIFE_S)
@@ -115,11 +116,11 @@
         return [ratios[place] for ratios in self.log_ratios_by_bin]
 
     def pending_evidence(self, means: float) -> float:
-        """Return the mean log-likelihood ratio of a request in progress for so many means."""
+        """Return the mean log-likelihood ratio of a request in progress for `means`."""
         return self.pending_log_ratios[_bin_of(means / self.pool_slowdown)]
 
     def _median_ratio(self) -> float:
-        """Return the ratio of the medians of the newest and of all answers, at least one."""
+        """Return the ratio of the median of the newest answers to that of all, at least one."""
         if sum(self._newest_answers_by_bin) < _MIN_NEWEST_ANSWERS:
             return 1
         bins = _median_bin(self._newest_answers_by_bin) - _median_bin(self._answers_by_bin)
@@ -155,7 +156,7 @@
 
 
 def _smoothed(answers_by_bin: list[float]) -> list[float]:
-    """Return smoothed bins.  The highest bin has no upper bound and is not smoothed."""
+    """Return the bins smoothed by the kernel, except for the unbounded highest bin."""
     inner = answers_by_bin[:-1]
     smoothed = _empty_bins(len(inner))
     for place, answers in enumerate(inner):
@@ -166,7 +167,7 @@
 
 
 def _stretched(answers_by_bin: list[float], ratio: int) -> list[float]:
-    """Return the bins of answers that take `ratio` times as long."""
+    """Return the histogram of the same answers if each took `ratio` times as long."""
     step = round(_BINS_PER_OCTAVE * log2(ratio))
     unclamped = len(answers_by_bin) - step
     stretched = _empty_bins(step) + answers_by_bin[:unclamped]
@@ -175,7 +176,7 @@
 
 
 def _shares(answers_by_bin: list[float]) -> list[float]:
-    """Return the probability of each bin, with the pseudocounts."""
+    """Return the probability of each bin, including the pseudocounts."""
     total = sum(answers_by_bin) + _PRIOR_ANSWERS * len(answers_by_bin)
     return [(answers + _PRIOR_ANSWERS) / total for answers in answers_by_bin]
 
--- a/src/bronzekeel/core/routing/capacities.py
+++ b/src/bronzekeel/core/routing/capacities.py
@@ -1,12 +1,12 @@
-"""Learn what upstreams do a second from the answers that all hosts of a data centre saw.
+"""Learn the speeds of upstreams from the answers that all hosts of a data centre observe.
 
-Hosts tell each other counts, which every host adds up, so that all reckon nearly the same.  An
-upstream's work a request, without the time in its queue, is compared with that of its service in
-the data centre.  Two windows are kept: a long one, which tells steady differences beyond chance,
-and a short one, which replaces the long one when an upstream no longer differs.  Slowdowns are
-detected from single answers and requests in progress (`core.routing.slowdowns`).
+Hosts report their counts to each other and every host adds them up, so that all compute nearly the
+same speeds.  The work per request of an upstream, without the time in its queue, is compared with
+the mean of its service in the data centre.  A long window shows steady differences that are
+statistically significant.  A short window replaces the long one when an upstream no longer differs.
+Slowdowns are detected from single answers and requests in progress (`core.routing.slowdowns`).
 
-Load pattern: upstreams of one service work at different speeds, or one turns slow for seconds.
+Load pattern: the upstreams of one service have different speeds, or one becomes slow for seconds.
 """
 
 from collections.abc import Iterable
@@ -36,38 +36,40 @@
 )
 
 
-#: Interval in seconds at which speeds are reckoned.  Source: a quarter of the interval of
-#: heartbeats in a data centre of 25 hosts.
+#: Interval in seconds at which speeds are computed: a quarter of the heartbeat interval in a data
+#: centre of 25 hosts.
 UPDATE_INTERVAL_S = 0.25
 
-#: Seconds that each upstream adds to that interval.  Source: a look at one takes a fiftieth of it,
-#: so all looks together take two hundredths of a core.
+#: Minimum interval in seconds per upstream.  The update of one upstream takes a fiftieth of it, so
+#: that all updates together take at most two hundredths of a core.
 INTERVAL_PER_UPSTREAM_S = 0.001
 
-#: Least interval in seconds when an upstream may have become slower: that of ticks.
+#: Minimum interval in seconds when an upstream may have become slower: the interval of ticks.
 MIN_UPDATE_INTERVAL_S = 0.1
 
-#: Half-lives in seconds of the two windows.  Source: a slowdown must be followed within 2 s, one of
-#: which a heartbeat may take; steady differences take a hundred answers to tell a third.
+#: Half-lives in seconds of the two windows.  The speed must follow a slowdown within 2 s, of which
+#: a heartbeat may take 1 s.  A steady difference of a third takes a hundred answers to detect.
 SHORT_S = 0.75
 LONG_S = 8.0
 
-#: Standard errors beyond which a difference is differs, and below which it is no longer.  Source:
-#: sixty upstreams are looked at four times a second, for days; the sums of few answers are skewed.
+#: Standard errors above which a difference becomes significant, and below which it no longer is.
+#: They are high since sixty upstreams are tested four times a second for days, and since the sums
+#: of few answers are skewed.
 DIFFERENCE_START_ERRORS = 5.0
 DIFFERENCE_END_ERRORS = 2.5
 
 #: Standard errors by which the short window must be nearer to the mean than the long one to replace
-#: it.  Most upstreams are alike, so the end of a difference needs less evidence than its start.
+#: it.  Most upstreams are equal, so the end of a difference needs less evidence than its start.
 RECOVERY_ERRORS = 2.5
 
 #: Standard errors by which the answers since the start or the end of a slowdown must differ from
-#: the earlier ones for the earlier ones to be forgotten.
+#: the earlier ones for the earlier ones to be discarded.
 CHANGE_ERRORS = 3.0
 
-#: Bounds of how many times more windows vary than single answers tell, and what is taken for it
-#: before that was seen.  What goes wrong without it: a few long requests take all slots of an
-#: upstream, those behind them wait together, and by their number it is sure that it is slow.
+#: Lower bound and initial value of the noise, the ratio of the variance of windows to that expected
+#: of independent answers.  Without this factor, a few long requests that occupy all slots of an
+#: upstream would be enough to consider it slow, since all requests queued behind them are late
+#: together.
 _MIN_NOISE = 1.0
 _INITIAL_NOISE = 6.0
 
@@ -85,33 +87,31 @@
 #: Minimum weight of the newest block in the moving average of the noise.
 _MIN_BLOCK_WEIGHT = 0.005
 
-#: Share by which the work must differ at least.  Source: a fifth of the capacity is no more than
-#: what chance makes of the load within a second.
+#: Minimum relative difference of the work.  Random variations of the load within a second amount to
+#: a fifth of the capacity, so smaller differences do not matter.
 MIN_DIFFERENCE = 0.2
 
-#: Seconds for which a neighbour's report of its pending requests is valid: one and a half intervals
-#: of heartbeats, so that a late one leaves no gap.
+#: Seconds for which a neighbour's report of its pending requests is valid: one and a half heartbeat
+#: intervals, so that a late heartbeat leaves no gap.
 PENDING_VALID_S = 1.5
 
-#: Bounds of a learned speed.  Source: one that is slower by more than ten is no use, and must
-#: still get requests to show that it is not.
+#: Bounds of a learned speed.  An upstream that is more than ten times slower is of no use, but must
+#: still receive requests to show when it has recovered.
 MIN_SPEED = 0.1
 MAX_SPEED = 3.0
 
-#: Share of its capacity that an upstream has left at least.  Source: one whose queue is full still
-#: has to be asked now and then.
+#: Minimum spare capacity as a share of the capacity.  An upstream with a full queue must still
+#: receive an occasional request.
 MIN_SPARE = 0.05
 
-#: Least variance of an answer's time in means.  Source: half of the mean, as of work that hardly
-#: differs; the way to an upstream adds its own.
+#: Minimum variance of answer times in means: a standard deviation of half the mean.  Even if the
+#: work hardly differs, the time on the network varies.
 _MIN_VARIANCE = 0.25
 
-#: Weight of the newest answer in the mean seconds of a service, and how many answers
-#: make them.
+#: Minimum weight of the newest answer in the mean answer time of a pool.
 _NEWEST_WEIGHT = 0.004
 
-#: Milliseconds by which a message may be late.  A host whose clock is further back has started
-#: again.
+#: Milliseconds by which a report may be late.  A host whose clock is further back has restarted.
 _LATE_MS = 5000
 _HALF_RANGE = CLOCK_RANGE // 2
 
@@ -122,7 +122,7 @@
     __slots__ = ('_answers', '_blocks', '_noise', 'mean_s', 'times')
 
     def __init__(self) -> None:
-        """Start with exponential work of no length."""
+        """Start without answers."""
         self._answers = 0
         self._blocks = 0
         self._noise: float = 1
@@ -138,16 +138,16 @@
 
     @property
     def variance(self) -> float:
-        """Variance of the time of an answer in means."""
+        """Variance of answer times in means."""
         return max(self.times.variance, _MIN_VARIANCE)
 
     @property
     def has_answers(self) -> bool:
-        """Whether an answer to this host's callers was measured."""
+        """Whether this host has measured an answer."""
         return self._answers > 0
 
     def error(self, *windows: AnswerWindow) -> float:
-        """Return the standard error of the difference of some windows."""
+        """Return the standard error of a mean, or of the difference of the means of windows."""
         inverse = sum(1 / window.evidence for window in windows)
         return sqrt(self.variance * self.noise * inverse)
 
@@ -164,7 +164,7 @@
         self._noise += (min(squared_errors, _MAX_BLOCK_NOISE) - self._noise) * weight
 
     def add(self, answer: Answer) -> None:
-        """Take one answer of this host's callers."""
+        """Add one answer that this host measured."""
         self._answers += 1
         weight = max(1 / self._answers, _NEWEST_WEIGHT)
         self.mean_s += (answer.work_s - self.mean_s) * weight
@@ -195,10 +195,11 @@
 
 
 class LearnedWork:
-    """Hold what was learned of one upstream.
+    """Hold the answers and the test results of one upstream.
 
-    `differs` tells that it differs beyond chance, `slowed` that a slowdown was detected and is not
-    over.  `since_change` has the answers since the detector last had no evidence for a change.
+    `differs` is whether its work differs significantly from the mean, `slowed` whether a slowdown
+    was detected and has not ended.  `since_change` has the answers since the detector last had no
+    evidence for a change.
     """
 
     __slots__ = (
@@ -213,7 +214,7 @@
     )
 
     def __init__(self, upstream: Upstream) -> None:
-        """Start with nothing."""
+        """Start without answers."""
         self.upstream = upstream
         self.short = AnswerWindow(SHORT_S)
         self.long = AnswerWindow(LONG_S)
@@ -224,7 +225,7 @@
         self.slowed = False
 
     def add(self, answers: int, means: float, evidence: list[float]) -> None:
-        """Add answers of any host, each with the same log-likelihood ratios as `evidence`."""
+        """Add answers seen by any host, each with the log-likelihood ratios `evidence`."""
         self.slowdown.add(evidence, answers)
         if self.slowdown.shows_no_change(slowed=self.slowed):
             self.since_change = AnswerWindow(LONG_S)
@@ -234,25 +235,25 @@
         self.block.means += means
 
     def decay(self, elapsed_s: float) -> None:
-        """Let some seconds pass."""
+        """Decay the windows by the elapsed time."""
         for window in (self.short, self.long, self.since_change):
             window.decay(elapsed_s)
         self.block.seconds += elapsed_s
 
     @property
     def is_still_slowed(self) -> bool:
-        """Whether a slowdown was detected, without enough evidence for its end."""
+        """Whether a slowdown was detected and there is not enough evidence for its end."""
         return self.slowed and not self.slowdown.has_ended
 
     def update_differs(self, differs: bool) -> None:  # noqa: FBT001 (the only argument)
-        """Set whether it differs; if it does not, a slowdown is over."""
+        """Set whether the upstream differs; if not, end a detected slowdown."""
         self.differs = differs
         if self.slowed and not differs:
             self.slowed = False
             self.slowdown.reset()
 
     def replace_long_window(self) -> None:
-        """Forget the answers before the last change."""
+        """Discard the answers before the last change."""
         self.long.replace_by(self.since_change)
         self.block = AnswerBlock(self.long)
 
@@ -263,15 +264,15 @@
     __slots__ = ('pending', 'valid_until')
 
     def __init__(self, pending: list[tuple[Upstream, AnswerCount]], valid_until: float) -> None:
-        """Keep the counts and when they expire."""
+        """Store the counts and when they expire."""
         self.pending = pending
         self.valid_until = valid_until
 
 
 class Capacities:
-    """Hold what was learned of the upstreams of the own data centre.
+    """Learn the speeds and spare capacities of the upstreams of the local data centre.
 
-    `counts` has the answers that this host saw itself.
+    `counts` has the answers that this host observed itself.
     """
 
     __slots__ = (
@@ -285,7 +286,7 @@
     )
 
     def __init__(self) -> None:
-        """Start with nothing learned."""
+        """Start without answers."""
         self.counts = AnswerCounts()
         self._learned_by_upstream: dict[Upstream, LearnedWork] = {}
         self._pending_by_host: dict[str, PendingReport] = {}
@@ -296,7 +297,7 @@
 
     @property
     def learned_speeds(self) -> list[float]:
-        """Speeds of the upstreams whose work differs."""
+        """Speeds of the upstreams whose work differs significantly."""
         return [
             learned.upstream.speed
             for learned in self._learned_by_upstream.values()
@@ -304,7 +305,7 @@
         ]
 
     def add_report(self, host: str, report: ReportedCounts, directory: Directory) -> None:
-        """Take what a neighbour counted, once and never out of order."""
+        """Add the counts of a neighbour, ignoring duplicate and out-of-order reports."""
         if not self._is_newer(host, report.reported_ms):
             return
         self._reported_ms_by_host[host] = report.reported_ms
@@ -316,7 +317,7 @@
         )
 
     def forget_unknown_hosts(self, known: Iterable[str]) -> None:
-        """Forget the order of the messages of all hosts but those that are known."""
+        """Discard the clocks and pending requests of hosts that are not in `known`."""
         names = set(known)
         for host in list(self._reported_ms_by_host):
             if host not in names:
@@ -324,7 +325,7 @@
                 self._pending_by_host.pop(host, None)
 
     def update(self, directory: Directory, data_centre: str, now: float) -> list[Effect]:
-        """Set speeds and spare capacities by what is known; return lines on what changed."""
+        """Update speeds and spare capacities; return log lines about changes."""
         last_at = now if self._updated_at is None else self._updated_at
         if now < self._next_update_at:
             return []
@@ -347,11 +348,11 @@
         return effects
 
     def request_update(self) -> None:
-        """Reckon at the next call, whatever the interval."""
+        """Make the next call of `update` take effect regardless of the interval."""
         self._next_update_at = 0
 
     def _is_newer(self, host: str, reported_ms: int) -> bool:
-        """Whether a message is newer than the last of its host, or of a later start."""
+        """Whether a report is newer than the last of its host, or from after a restart."""
         last_ms = self._reported_ms_by_host.get(host)
         if last_ms is None:
             return True
@@ -375,7 +376,7 @@
         return work
 
     def _add(self, upstream: Upstream, answers: int, means: float) -> None:
-        """Add answers of any host to an upstream and to the distribution of its pool."""
+        """Add answers seen by any host to the upstream and the distribution of its pool."""
         learned = self._learned_of(upstream)
         times = self._work_of(upstream.pool).times
         mean_time = invert_soft_clip(means / answers)
@@ -386,7 +387,7 @@
             self._update_soon()
 
     def _update_soon(self) -> None:
-        """Reckon sooner, since an upstream may have become slower."""
+        """Advance the next update, since an upstream may have become slower."""
         spaced_s = len(self._learned_by_upstream) * INTERVAL_PER_UPSTREAM_S / 2
         soonest_at = (self._updated_at or 0) + max(MIN_UPDATE_INTERVAL_S, spaced_s)
         self._next_update_at = min(self._next_update_at, soonest_at)
@@ -397,7 +398,7 @@
             self._work_of(answer.upstream.pool).add(answer)
 
     def _update_pending_evidence(self, now: float) -> None:
-        """Weigh the pending requests of this host and of the last valid reports of neighbours."""
+        """Evaluate the pending requests of this host and of valid reports of neighbours."""
         for learned in self._learned_by_upstream.values():
             learned.slowdown.pending_evidence = 0
         pending = list(self.counts.pending_by_upstream.items())
@@ -412,9 +413,9 @@
             self._learned_of(upstream).slowdown.pending_evidence += nats * count.answers
 
     def _forget_removed(self, directory: Directory) -> list[Effect]:
-        """Forget upstreams that are gone, started again, or are no longer controlled."""
+        """Discard upstreams that are gone, have restarted or are no longer controlled."""
 
-        def is_known(upstream: Upstream) -> bool:  # noqa: WPS430 (holds the directory)
+        def is_known(upstream: Upstream) -> bool:  # noqa: WPS430 (uses the directory)
             known = directory.by_number.get(upstream.entry.short_number)
             return known is upstream and upstream.pool.controlled
 
@@ -455,7 +456,7 @@
     learned_here: list[LearnedWork],
     work: ServiceWork,
 ) -> float:
-    """Return the mean work of an answer at all upstreams, in means; zero if there are none."""
+    """Return the mean work per answer of all upstreams in means, zero without answers."""
     total: float = 0
     answers: float = 0
     for window, learned in zip(windows, learned_here, strict=True):
@@ -466,15 +467,15 @@
 
 
 def _work_of(window: AnswerWindow, learned: LearnedWork, work: ServiceWork) -> float:
-    """Return the mean work of an answer of one upstream, in means."""
+    """Return the mean work per answer of one upstream, in means."""
     return window.work(work.mean_s, learned.upstream.entry.slots) / window.answers
 
 
 def _difference(newer: float, usual: float) -> float:
-    """Return by how much some work differs from the usual.
+    """Return the relative difference of work from the usual.
 
-    It is the share by which it is more; where it is less, the logarithm of the ratio, since chance
-    makes a few answers short more often than long.
+    Less work than usual is expressed as the logarithm of the ratio, since random variation makes
+    the mean of a few answers too short more often than too long.
     """
     return newer / usual - 1 if newer > usual else log(newer / usual)
 
@@ -483,7 +484,7 @@
     counts: Iterable[AnswerCount],
     directory: Directory,
 ) -> list[tuple[Upstream, AnswerCount]]:
-    """Return the counts of controlled upstreams that match their current start, within bounds."""
+    """Return the counts for the current start of controlled upstreams, limited to bounds."""
     known: list[tuple[Upstream, AnswerCount]] = []
     for count in counts:
         upstream = directory.by_number.get(count.number)
@@ -497,7 +498,7 @@
 
 
 def _update_noise(learned_here: list[LearnedWork], work: ServiceWork) -> None:
-    """Update the noise with full blocks of upstreams not differs to differ; start new blocks."""
+    """Update the noise from full blocks of upstreams that do not differ; start new blocks."""
     for learned in learned_here:
         if not learned.block.is_full:
             continue
@@ -524,9 +525,9 @@
 
 
 def _forget_before_change(learned: LearnedWork, work: ServiceWork) -> bool:
-    """Forget the answers before a change if those since then differ significantly.
+    """Discard the answers before a change if those since then differ significantly.
 
-    Return whether they do; True as well if there are too few answers to compare.
+    Return whether they differ, and True if there are too few answers to compare.
     """
     since_change = learned.since_change
     former = learned.long
@@ -540,7 +541,7 @@
 
 
 def _detect_recoveries(learned_here: list[LearnedWork], work: ServiceWork) -> None:
-    """Let the short window replace the long one of upstreams that no longer differ."""
+    """Replace the long window by the short one for upstreams that no longer differ."""
     short_mean = _mean_work([learned.short for learned in learned_here], learned_here, work)
     long_mean = _mean_work([learned.long for learned in learned_here], learned_here, work)
     if not short_mean or not long_mean:
@@ -563,7 +564,7 @@
 
 
 def _update_speed(learned: LearnedWork, work: ServiceWork, mean: float) -> list[Effect]:
-    """Set an upstream's speed; return a line if it began or ceased to differ."""
+    """Set the speed of an upstream; return a log line if it starts or ceases to differ."""
     difference: float = 0
     error: float = 1
     if learned.long.has_enough_answers and mean:
@@ -579,13 +580,13 @@
 
 
 def _is_significant(learned: LearnedWork, difference: float, error: float) -> bool:
-    """Whether a difference is significant, with hysteresis for one that is differs."""
+    """Whether a difference is significant, with hysteresis for upstreams that differ."""
     needed = DIFFERENCE_END_ERRORS if learned.differs else DIFFERENCE_START_ERRORS
     return abs(difference) > max(needed * error, MIN_DIFFERENCE)
 
 
 def _speed_of(learned: LearnedWork, difference: float, error: float) -> float:
-    """Return the speed that corresponds to a difference of work, one unless it is differs."""
+    """Return the speed for a difference of work, one if the upstream does not differ."""
     if not learned.differs:
         return 1
     sure = 1 + max(abs(difference) - error, 0)
@@ -606,7 +607,7 @@
 
 
 def _set_spare(learned: LearnedWork, work: ServiceWork) -> None:
-    """Note the capacity that the flows which are open leave."""
+    """Set the spare capacity that open flows leave, in slots of an upstream of mean speed."""
     upstream = learned.upstream
     slots = upstream.entry.slots
     busy = learned.long.busy(work.mean_s, slots) if learned.long.has_enough_answers else 0
--- a/src/bronzekeel/core/routing/cold_starts.py
+++ b/src/bronzekeel/core/routing/cold_starts.py
@@ -46,7 +46,7 @@
     The upstream is cold until `warm_at`.
     """
 
-    __slots__ = ('cached_until', 'is_sender', 'at', 'warm_at')
+    __slots__ = ('at', 'cached_until', 'is_sender', 'warm_at')
 
     def __init__(self) -> None:
         self.warm_at: float = 0
--- a/src/bronzekeel/core/routing/learning.py
+++ b/src/bronzekeel/core/routing/learning.py
@@ -1,4 +1,4 @@
-"""Learn capacities where demand is controlled, from own answers and neighbours' word."""
+"""Learn capacities from the answers of this host and of neighbours if demand is controlled."""
 
 from bronzekeel.core.routing.effects import Effect
 from bronzekeel.core.routing.messages import Heartbeat
@@ -6,7 +6,7 @@
 
 
 def learn_capacities(state: RoutingState, now: float) -> list[Effect]:
-    """Say which pools are controlled, and reckon the capacities of their upstreams."""
+    """Mark the controlled pools and update the capacities of their upstreams."""
     local_centre = state.peers.me.data_centre
     controlled = state.controls_demand
     for pool in state.directory.pools_of(local_centre):
@@ -20,7 +20,7 @@
 
 
 def apply_counts(state: RoutingState, heartbeat: Heartbeat) -> None:
-    """Take the answers that a neighbour saw."""
+    """Apply the answer counts that a neighbour reports for the local data centre."""
     sender = heartbeat.sender
     if heartbeat.counts is None or sender.data_centre != state.peers.me.data_centre:
         return
--- a/src/bronzekeel/core/routing/slowdowns.py
+++ b/src/bronzekeel/core/routing/slowdowns.py
@@ -1,8 +1,8 @@
 """Detect with sequential tests when an upstream becomes slower and when the slowdown ends.
 
-Load pattern: one upstream turns several times slower for seconds.  The mean of a window detects
-that late, since the window must fill first; a cumulative sum of log-likelihood ratios (CUSUM,
-Page, 1954) takes each answer into account at once.
+Load pattern: one upstream becomes several times slower for seconds.  The mean of a window detects
+that late, since the window must fill first.  A cumulative sum of log-likelihood ratios (CUSUM,
+Page, 1954) takes each answer into account immediately.
 """
 
 from math import sqrt
@@ -11,11 +11,11 @@
 from bronzekeel.core.routing.answer_times import SLOWDOWN_RATIOS
 
 
-#: Evidence in nats, beyond the median of the pool, from which an upstream is taken for slower.
+#: Evidence in nats, above the median of the pool, from which an upstream is considered slower.
 SLOWDOWN_START_NATS = 7.0
 
-#: Evidence in nats from which a slowdown has ended.  It is lower than that for the start, since the
-#: next answers correct a wrong end.
+#: Evidence in nats from which a slowdown has ended.  It is lower than that for the start, since
+#: later answers correct a wrongly detected end.
 SLOWDOWN_END_NATS = 4.0
 
 #: Upper limit of the evidence from answers.  When a whole pool becomes slower, all its upstreams
@@ -26,9 +26,9 @@
 class SlowdownDetector:
     """Accumulate the evidence for the start and the end of a slowdown of one upstream.
 
-    `start_evidence` is the cumulative sum of the answers, `pending_evidence` that of the requests
-    in progress.  `is_severe` tells that the highest of ``SLOWDOWN_RATIOS`` fits better than the
-    lowest.
+    `start_evidence` is the cumulative sum of the answers, `pending_evidence` the evidence of the
+    requests in progress.  `is_severe` is whether the highest of ``SLOWDOWN_RATIOS`` fits better
+    than the lowest.
     """
 
     __slots__ = (
@@ -60,7 +60,7 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether a detected slowdown has ended, judged by the ratio that fits better."""
+        """Whether a detected slowdown has ended, according to the ratio that fits better."""
         ended = self._end_evidence_by_ratio[-1 if self.is_severe else 0]
         return ended - self.pending_evidence > SLOWDOWN_END_NATS
 
