--- a/src/bronzekeel/core/routing/balance.py
+++ b/src/bronzekeel/core/routing/balance.py
@@ -1,14 +1,12 @@
-"""Share out what the callers of one data centre ask beyond its share of the upstreams.
+"""Distribute the demand of a data centre beyond its share of the capacity to remote ones.
 
-What goes wrong without it: a data centre has lost most of its upstreams, or has more
-callers than others.  Its callers wait while upstreams elsewhere idle, and upstreams
-of one kind, and the firms that they belong to, work unequally.  One notices by the
-requests an upstream gets, compared over data centres.
+Without this, if a data centre has lost most of its upstreams or has more callers than others, its
+callers wait while remote upstreams are idle, and equal upstreams, and the organisations that own
+them, get unequal work.  This shows in the requests per upstream, compared over data centres.
 
-So data centres tell each other how many requests their callers send for each
-service, and one that is above the mean of all places a share of its new flows
-elsewhere.  What callers ask for does not depend on where it is placed, so the shares do
-not swing.
+Data centres therefore report to each other the request rates of their callers for each service.
+A data centre above the mean places a share of its new flows at remote upstreams.  The demand of
+callers does not depend on where it is placed, so the shares do not oscillate.
 """
 
 from collections.abc import Mapping
@@ -17,45 +15,44 @@
 from bronzekeel.core.routing.messages import FlowShare
 
 
-#: Interval in seconds at which rates and shares are reckoned.
+#: Interval in seconds at which rates and shares are updated.
 UPDATE_INTERVAL_S = 1.0
 
-#: Weight of the newest second in a rate.  Source: five seconds of forty requests a
-#: second are 200, of which chance is seven percent.
+#: Weight of the newest second in a rate.  Five seconds of 40 requests per second are 200 requests,
+#: with a random variation of seven percent.
 _NEWEST_WEIGHT = 0.2
 
-#: Intervals after which a rate is one to go by.  Source: the newest five make two
-#: thirds of it.
+#: Number of intervals after which rates are usable: the newest five contribute two thirds.
 _SETTLED_INTERVALS = 5
 
-#: Requests a second of a service, in all data centres, below which nothing is shared
-#: out.  Source: with fewer, differences between data centres are chance.
+#: Requests per second of a service in all data centres below which no flows are sent to remote data
+#: centres, since the differences between data centres are random.
 MIN_RATE = 20.0
 
-#: Flows of a service after which those placed before count half.
+#: Number of placed flows of a service above which their counts are halved.
 _MAX_COUNTED_FLOWS = 100
 
 
 class RateMeter:
-    """Measure the requests a second that pass this balancer, by service."""
+    """Measure the requests per second that pass this balancer, by service."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without requests."""
         self.by_service: dict[str, float] = {}
         self._intervals = 0
         self._seen_by_service: dict[str, int] = {}
 
     @property
     def settled(self) -> bool:
-        """Whether the rates are no longer those of a start.
+        """Whether there were enough intervals since the start for usable rates.
 
-        What goes wrong without it: all hosts start, traffic comes back to one data
-        centre a second before another, and flows are sent away from the first.
+        Without this, when all hosts start and traffic returns to one data centre a second before
+        another, the first would send flows away.
         """
         return self._intervals >= _SETTLED_INTERVALS
 
     def update(self, requests_by_service: Mapping[str, int]) -> None:
-        """Take the requests seen so far, one interval later."""
+        """Update the rates, given the total numbers of requests one interval later."""
         self._intervals += 1
         for service, requests in requests_by_service.items():
             newest = (requests - self._seen_by_service.get(service, 0)) / UPDATE_INTERVAL_S
@@ -64,16 +61,16 @@
 
 
 class Balance:
-    """Hold which share of a service's new flows goes to which other data centre.
+    """Hold which share of a service's new flows goes to which remote data centre.
 
-    A data centre keeps `tolerated_ratio` times its share of the requests; beyond it flows
-    go elsewhere from when its upstreams had `min_sharing_load` requests in progress a slot.  Shares are
-    settled at `reckon_at`; this balancer `reckons` them itself when other data centres tell it
-    what their callers ask for.
+    A data centre serves up to `tolerated_ratio` times its share of the requests itself.  Beyond
+    that, flows are sent away once its upstreams have `min_sharing_load` requests in progress per
+    slot.  Shares are updated at `next_update_at`.  `computes_shares` is whether this balancer
+    computes them itself, since other data centres report their demand to it.
     """
 
     def __init__(self, host: str = '') -> None:
-        """Start with all flows of `host` at local_centre."""
+        """Start with all flows of `host` in the local data centre."""
         self.host = host
         self.next_update_at: float = 0
         self.computes_shares = False
@@ -86,7 +83,7 @@
 
     @property
     def shares(self) -> tuple[FlowShare, ...]:
-        """The shares in force."""
+        """Shares in force."""
         return tuple(
             FlowShare(service, centre, share)
             for service, share_by_centre in self._shares_by_service.items()
@@ -94,7 +91,7 @@
         )
 
     def adopt(self, shares: tuple[FlowShare, ...]) -> None:
-        """Put shares in force that were reckoned here or by a neighbour."""
+        """Put shares in force that this host or a neighbour computed."""
         self._shares_by_service = {}
         for share in shares:
             by_centre = self._shares_by_service.setdefault(share.service, {})
@@ -103,7 +100,7 @@
     def adopt_strained(
         self, shares: tuple[FlowShare, ...], local_loads: Mapping[str, float]
     ) -> None:
-        """Put those of the `shares` in force whose services are strained at local_centre."""
+        """Put the `shares` of locally strained services in force."""
         self.adopt(self.filter_strained(shares, local_loads))
 
     def filter_strained(
@@ -111,10 +108,10 @@
         shares: tuple[FlowShare, ...],
         local_loads: Mapping[str, float],
     ) -> tuple[FlowShare, ...]:
-        """Return those of the `shares` whose services are strained at local_centre.
+        """Return those of the `shares` whose services are strained in the local data centre.
 
-        A service is from when its load has reached the bearable one until its callers
-        ask for no more than is tolerated_ratio: sharing out takes the load away at once.
+        A service becomes strained when its load reaches `min_sharing_load`.  It remains so until
+        there are no `shares` for it, since sending flows away reduces the load immediately.
         """
         above = {share.service for share in shares}
         self._strained = {
@@ -125,7 +122,7 @@
         return tuple(share for share in shares if share.service in self._strained)
 
     def centre_of_next(self, service: str) -> str | None:
-        """Return the data centre that is to get the next flow, None for the own."""
+        """Return the data centre that is to get the next flow, None for the local one."""
         placed = self._placed_by_service.get(service, {})
         total = sum(placed.values()) + 1
         for centre, share in self._shares_by_service.get(service, {}).items():
@@ -134,11 +131,11 @@
         return None
 
     def sends_remote(self, service: str) -> bool:
-        """Whether a share of a service's new flows goes elsewhere."""
+        """Whether a share of a service's new flows goes to remote data centres."""
         return bool(self._shares_by_service.get(service))
 
     def note_placed(self, service: str, centre: str) -> None:
-        """Note where a flow was placed."""
+        """Count a flow placed in a data centre."""
         placed = self._placed_by_service.setdefault(service, {})
         placed[centre] = placed.get(centre, 0) + 1
         if sum(placed.values()) > _MAX_COUNTED_FLOWS:
@@ -152,7 +149,7 @@
     rates_by_centre: Mapping[str, Mapping[str, float]],
     tolerated_ratio: float,
 ) -> tuple[FlowShare, ...]:
-    """Return the shares that follow from what the callers of each data centre ask for."""
+    """Return the shares that follow from the demand of the callers of each data centre."""
     shares: list[FlowShare] = []
     for service in rates_by_centre[local_centre]:
         rate_by_centre = {
@@ -169,7 +166,7 @@
 
 
 def load_at(directory: Directory, local_centre: str, service: str) -> float:
-    """Return the requests in progress per slot of capacity at a service's upstreams at `local_centre`."""
+    """Return the requests in progress per slot of capacity of a service in `local_centre`."""
     capacity = directory.pool_members.capacity_by_centre(service).get(local_centre, 0)
     if not capacity:
         return 0
@@ -187,10 +184,10 @@
     rate_by_centre: Mapping[str, float],
     tolerated_ratio: float,
 ) -> dict[str, float]:
-    """Return the share of the flows at `local_centre` that each other data centre gets.
+    """Return the share of the flows of `local_centre` that each remote data centre gets.
 
-    None while `local_centre` is asked for no more than `tolerated_ratio` times its share.  Only
-    data centres of which both rate and capacity are known count.
+    It is empty while the demand of `local_centre` is at most `tolerated_ratio` times its share.
+    Only data centres whose rate and capacity are both known are taken into account.
     """
     known = [centre for centre in rate_by_centre if capacity_by_centre.get(centre)]
     capacity = sum(capacity_by_centre[centre] for centre in known)
--- a/src/bronzekeel/core/routing/balancing.py
+++ b/src/bronzekeel/core/routing/balancing.py
@@ -1,4 +1,4 @@
-"""Settle where the flows of a data centre go, from what balancers tell each other."""
+"""Update where the flows of a data centre go from the reports of other balancers."""
 
 from bronzekeel.core.routing.admission import capacity_at
 from bronzekeel.core.routing.balance import UPDATE_INTERVAL_S, compute_shares, load_at
@@ -13,9 +13,10 @@
 
 
 def update_balance(state: RoutingState, now: float) -> None:
-    """Settle once in ``UPDATE_INTERVAL_S`` where the flows of this data centre are to go.
+    """Update the shares of flows for remote data centres once per ``UPDATE_INTERVAL_S``.
 
-    The few hosts that other data centres tell reckon it; the others take it from them.
+    The few hosts that receive the reports of other data centres compute the shares; the other hosts
+    adopt them.
     """
     if now < state.balance.next_update_at:
         return
@@ -37,9 +38,10 @@
 
 
 def update_free_capacity(state: RoutingState, now: float) -> None:
-    """Find once in ``RECKON_ROOM_S`` how much room other data centres have.
+    """Update the free capacity of remote data centres once per ``RECKON_ROOM_S``.
 
-    The few hosts that other data centres tell reckon it; the others take it from them.
+    The few hosts that receive the reports of other data centres compute it; the other hosts adopt
+    their results.
     """
     room = state.room
     if now < room.reckon_at:
@@ -71,7 +73,7 @@
 
 
 def _has_no_local_upstream(state: RoutingState, service: str, now: float) -> bool:
-    """Whether the own data centre has no upstream of a service that new flows may go to."""
+    """Whether the local data centre has no upstream of a service for new flows."""
     local_centre = state.peers.me.data_centre
     pool = state.directory.pools_by_service.get(service, {}).get(local_centre)
     if pool is not None and pool.evacuated:
@@ -82,7 +84,7 @@
 
 
 def rates_of_centre(state: RoutingState, now: float) -> dict[str, float]:
-    """Return the requests a second of all callers of this data centre, by service."""
+    """Return the requests per second of all callers of this data centre, by service."""
     total = dict(state.balance.meter.by_service)
     for rate_by_service in state.peers.rates_near(now):
         for service, rate in rate_by_service.items():
--- a/src/bronzekeel/core/routing/cold_starts.py
+++ b/src/bronzekeel/core/routing/cold_starts.py
@@ -1,16 +1,17 @@
-"""Say which host may send new flows to an upstream that has just started.
+"""Limit the rate of new flows to upstreams that have just started.
 
-Operators may state how many requests a second a cold upstream of a service bears.  All hosts
-together must stay below that, also hosts that do not hear each other.
+Operators can configure how many requests per second a cold upstream of a service can serve.  All
+hosts together must stay below this rate, including hosts that are partitioned from each other.
 
-What goes wrong without it: a release replaces an upstream; it looks idle to every host, all
-send it their next flows at once, and its first callers wait or are turned away.  A share of the
-rate for each host does not do: with 25 hosts and 10 requests a second none may send more than
-one each 2.5 s, and when they happen to send together the rate is passed all the same.
+Without this limit, an upstream that a release has replaced appears idle to all hosts, all send
+their next flows to it, and its first callers wait or are rejected.  Giving each host a share of
+the rate is not sufficient: with 25 hosts and 10 requests per second each host could send only one
+request per 2.5 s, and the rate would still be exceeded when the hosts send at the same time.
 
-So one host of the upstream's data centre sends to it, chosen by the hash of both names
-(rendezvous hashing) among all hosts that were heard in the last minute.  A host that is dead
-leaves an upstream without flows while it is cold; one that is cut off takes nobody's place.
+Instead a single host of the upstream's data centre sends to it.  Rendezvous hashing of the names
+of host and upstream selects it among all hosts heard from in the last minute.  If the selected
+host is dead, the upstream gets no flows while it is cold; a partitioned host does not replace
+another.
 """
 
 from collections import deque
@@ -19,31 +20,33 @@
 from bronzekeel.core.routing.peers import PeerTable, rank_of
 
 
-#: Seconds from its start for which a host sends nothing to cold upstreams with a stated rate.
-#: Source: neighbours answer a new host at once, and the slowest heartbeat comes each two seconds
-#: (``MOST_PEERS``); one that knows only some of them may take another's upstreams for its own.
+#: Seconds from its start for which a host sends nothing to cold upstreams with a configured rate.
+#: Neighbours answer a new host immediately and the longest heartbeat interval is two seconds
+#: (``MOST_PEERS``).  A host that knows only some of its neighbours could select itself as the
+#: sender of an upstream in place of another host.
 SETTLING_S = 3.0
 
-#: Hosts that may take themselves for the one that sends, while one joins or leaves.
+#: Maximum number of hosts that consider themselves the sender while a host joins or leaves.
 _SENDERS = 2
 
-#: Seconds in which no more than a second's flows are sent.  What goes wrong with one second: flows
-#: that were sent a little more than that apart arrive within it.  Source: ten times what the
-#: time on a link differs by.
+#: Length in seconds of the window in which at most one second's flows are sent.  With a window of
+#: one second, flows sent slightly more than a second apart could arrive within a second.  The
+#: margin is ten times the jitter of a link.
 WINDOW_S = 1.1
 
-#: Seconds for which it is remembered who sends to an upstream.  Source: as long as a heartbeat
-#: takes to tell of a new host.
+#: Seconds for which the selected sender of an upstream is cached: the time in which a heartbeat
+#: announces a new host.
 _SENDER_CACHE_S = 0.25
 
-#: Upstreams that are remembered before those that are warm by now are forgotten.
+#: Number of records above which those of warm upstreams are discarded.
 _MAX_RECORDS = 4096
 
 
 class _SendRecord:
-    """Hold whether this host sends to an upstream, until when that holds, and when it did.
+    """Hold whether this host is the sender of an upstream, and when it sent flows.
 
-    The upstream is cold until `warm_at`.
+    `is_sender` is cached until `cached_until`, `at` has the times at which flows were sent, and the
+    upstream is cold until `warm_at`.
     """
 
     __slots__ = ('at', 'cached_until', 'is_sender', 'warm_at')
@@ -56,7 +59,7 @@
 
 
 class ColdStarts:
-    """Limit this host's new flows to cold upstreams of services with a stated rate.
+    """Limit the new flows of this host to cold upstreams of services with a configured rate.
 
     The hosts of a data centre together may exceed the rate by the factor `overage` and by
     `slack` requests.
@@ -70,7 +73,7 @@
         *,
         alone: bool = False,
     ) -> None:
-        """Choose among `peers`; a host that is `alone` has no others to hear."""
+        """Select senders among `peers`; a host that is `alone` has no peers."""
         self._peers = peers
         self._overage = overage
         self._slack = slack
@@ -80,11 +83,11 @@
         self._prune_above = _MAX_RECORDS
 
     def begin(self, now: float) -> None:
-        """Note the start of this host."""
+        """Record the start time of this host."""
         self._started_at = now
 
     def may_place(self, upstream: Upstream, rate: float, now: float) -> bool:
-        """Whether a new flow may go to an upstream that bears `rate` requests a second."""
+        """Whether a new flow may go to an upstream limited to `rate` requests per second."""
         if now >= upstream.warm_at:
             return True
         record = self._record_of(upstream, now)
@@ -97,12 +100,12 @@
         return len(record.at) < max(1, int(max_rate))
 
     def note_placed(self, upstream: Upstream, now: float) -> None:
-        """Note that a new flow goes to a cold upstream."""
+        """Record a new flow to an upstream if it is cold."""
         if now < upstream.warm_at:
             self._record_of(upstream, now).at.append(now)
 
     def _max_rate(self, rate: float) -> float:
-        """Return the flows a second of one sender: those of two stay below all that is allowed."""
+        """Return the flows per second of one sender, so that two together stay within the limit."""
         return min(rate, (rate * self._overage + self._slack) / _SENDERS)
 
     def _record_of(self, upstream: Upstream, now: float) -> _SendRecord:
@@ -116,14 +119,14 @@
         return record
 
     def _prune_warm(self, now: float) -> None:
-        """Forget the upstreams that are warm; what was sent to the others still counts."""
+        """Discard the records of warm upstreams and keep those of cold ones."""
         for name, record in list(self._record_by_name.items()):
             if now >= record.warm_at:
                 self._record_by_name.pop(name)
         self._prune_above = max(_MAX_RECORDS, 2 * len(self._record_by_name))
 
     def _is_sender(self, upstream: Upstream, now: float) -> bool:
-        """Whether this host is the one of all that were heard lately that sends there."""
+        """Whether this host is the selected sender among all hosts heard from recently."""
         me = self._peers.me
         if upstream.entry.data_centre != me.data_centre or now < self._started_at + SETTLING_S:
             return False
--- a/src/bronzekeel/core/routing/eligibility.py
+++ b/src/bronzekeel/core/routing/eligibility.py
@@ -1,4 +1,4 @@
-"""Say which upstreams a new flow of a route may go to, whatever is down."""
+"""Determine which upstreams a new flow of a route may use, regardless of failures."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -12,9 +12,9 @@
 
 
 class Eligibility:
-    """Leave out upstreams outside a route's homes, and cold ones that have had their share.
+    """Exclude upstreams outside the allowed regions of a route, and cold ones at their rate limit.
 
-    Which of the others gets a flow is for placement to say.
+    Placement chooses among the others.
     """
 
     __slots__ = ('_cold_starts', '_directory', '_region_by_centre')
@@ -25,13 +25,13 @@
         cold_starts: ColdStarts,
         region_by_centre: Mapping[str, str] = NO_REGIONS,
     ) -> None:
-        """Choose among the upstreams of `directory`; data centres have their regions."""
+        """Use the upstreams of `directory`; `region_by_centre` has the regions of data centres."""
         self._directory = directory
         self._cold_starts = cold_starts
         self._region_by_centre = region_by_centre
 
     def begin(self, now: float) -> None:
-        """Note the start of this host."""
+        """Record the start time of this host."""
         self._cold_starts.begin(now)
 
     def of_service(
@@ -54,10 +54,10 @@
         return [upstream for upstream in upstreams if may_place(upstream, rate, now)]
 
     def note_placed(self, upstream: Upstream, text: RoutingText, now: float) -> None:
-        """Note that a new flow goes to an upstream."""
+        """Record a new flow to an upstream."""
         if upstream.entry.service in text.cold_rate_by_service:
             self._cold_starts.note_placed(upstream, now)
 
     def _is_in_allowed_region(self, upstream: Upstream, route: Route) -> bool:
-        """Whether an upstream is in a home; one whose region is not known is in none."""
+        """Whether the region of an upstream is allowed; an unknown region never is."""
         return self._region_by_centre.get(upstream.entry.data_centre) in route.homes
--- a/src/bronzekeel/core/routing/flow_lengths.py
+++ b/src/bronzekeel/core/routing/flow_lengths.py
@@ -1,26 +1,25 @@
 """Learn how many requests the flows of a route carry.
 
-A flow stays with the upstream that it was opened at, so one that carries many requests goes on
-crossing data centres long after its home has room again.
+A flow stays with its upstream, so a flow with many requests that was opened at a remote upstream
+continues to cause traffic between data centres long after the local one has free capacity again.
 """
 
 #: Bytes of the route at the end of a flow's key.
 _ROUTE_BYTES = 6
 
-#: Requests that a flow carries in the mean from which it is long.  Source: the request that
-#: opens a flow, and a second one: from the third on more bytes cross after the first answer
-#: than before it.
+#: Mean number of requests per flow from which the flows of a route are long.  From the third
+#: request on, more bytes are sent between data centres after the first answer than before it.
 LONG_FLOW_REQUESTS = 3.0
 
-#: Flows after which what was counts before weighs half.
+#: Number of flows above which the counts of a route are halved.
 _MAX_COUNTED_FLOWS = 200
 
-#: Flows from which on a route's are judged.  Source: the mean of ten is half a request off where
+#: Minimum number of flows for an estimate.  The error of the mean of ten flows is half a request if
 #: flows carry one or two.
 _MIN_FLOWS = 10
 
-#: Routes that are counts at most; the one counts first makes room.  Source: twice a text of
-#: 2,000 routes, so that those of a former text do not push out those in force.
+#: Maximum number of routes with counts; the oldest is discarded first.  This is twice a text of
+#: 2,000 routes, so that the routes of the previous text do not displace those in force.
 MAX_ROUTES = 4_000
 
 
@@ -38,11 +37,11 @@
     __slots__ = ('_counts_by_route',)
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without flows."""
         self._counts_by_route: dict[bytes, _RouteCounts] = {}
 
     def note_opening(self, flow: bytes) -> None:
-        """Note that a flow is opened."""
+        """Count the opening of a flow."""
         counts = self._of_flow(flow)
         counts.openings += 1
         if counts.openings > _MAX_COUNTED_FLOWS:
@@ -50,11 +49,11 @@
             counts.requests /= 2
 
     def note_request(self, flow: bytes) -> None:
-        """Note a request of a flow, its first one too."""
+        """Count a request of a flow, including the first."""
         self._of_flow(flow).requests += 1
 
     def is_short(self, route: bytes) -> bool:
-        """Whether flows of a route are known to carry a request or two."""
+        """Whether the flows of a route are known to carry few requests."""
         counts = self._counts_by_route.get(route)
         if counts is None or counts.openings < _MIN_FLOWS:
             return False
--- a/src/bronzekeel/core/routing/placement.py
+++ b/src/bronzekeel/core/routing/placement.py
@@ -10,37 +10,38 @@
 
 
 class Placement(ABC):
-    """Choose among upstreams; every policy answers one load pattern."""
+    """Choose among upstreams; each policy is designed for one load pattern."""
 
     def __init__(self, data_centre: str, balance: Balance) -> None:
-        """Choose for a balancer in `data_centre`; `balance` says what others ask for."""
+        """Choose for a balancer in `data_centre`; `balance` has the shares of other centres."""
 
     @abstractmethod
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
-        """Return the upstream for a new flow, None if none may get it."""
+        """Return the upstream for a new flow, None if no candidate accepts it."""
 
 
 class LeastBusy(Placement):
-    """Choose the least busy upstream, and one of the own data centre if it can be.
+    """Choose the least busy upstream, preferably of the local data centre.
 
-    Load pattern: requests come in bursts, long feeds gather on upstreams that
-    started early, and a data centre loses upstreams while others idle.  What
-    this balancer has in progress at each upstream keeps new flows from busy ones;
-    among equals the one that was asked for least gets them, so that upstreams of
-    one kind get equal work.  Another data centre gets them when the own one has none.
+    Load pattern: requests arrive in bursts, long-lived flows accumulate on upstreams that started
+    early, and a data centre loses upstreams while others are idle.  New flows avoid upstreams where
+    this balancer has many requests in progress.  Among equally loaded upstreams, the one with the
+    fewest recent requests is chosen, so that upstreams of one kind get equal work.  Other data
+    centres get flows if no local upstream accepts them.
     """
 
-    #: How many times its share of the requests a data centre keeps before it sends the
-    #: rest elsewhere.  Source: twice as much makes callers wait where upstreams are
-    #: half busy; less is no reason to cross data centres.
+    #: Ratio of a data centre's requests to its share above which it sends flows to remote data
+    #: centres.  At twice its share callers start to wait if upstreams are half busy on average;
+    #: less does not justify traffic between data centres.
     tolerated_ratio: ClassVar[float] = 2.0
 
-    #: Requests in progress a slot from which it does so.  Source: below it hardly a
-    #: caller waits, and crossing data centres costs more than it brings.
+    #: Local load, in requests in progress per slot, from which flows are sent to remote data
+    #: centres.  Below it hardly any caller waits, and traffic between data centres costs more than
+    #: it gains.
     min_sharing_load: ClassVar[float] = 0.8
 
     def __init__(self, data_centre: str, balance: Balance) -> None:
-        """Prefer upstreams of `data_centre`, but for the flows that `balance` sends away."""
+        """Prefer upstreams of `data_centre`, except for the flows that `balance` sends away."""
         super().__init__(data_centre, balance)
         self._data_centre = data_centre
         self._balance = balance
@@ -49,7 +50,7 @@
         balance.min_sharing_load = self.min_sharing_load
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
-        """Return the upstream with the least load in the data centre whose turn it is."""
+        """Return the least loaded upstream of the data centre that is to get the next flow."""
         if not candidates:
             return None
         service = candidates[0].entry.service
@@ -65,7 +66,7 @@
         now: float,
         preferred_centre: str,
     ) -> Upstream | None:
-        # All other candidates rank after these.
+        # All other candidates rank after the preferred ones.
         preferred = [
             upstream
             for upstream in candidates
@@ -84,12 +85,12 @@
 class EqualWork(LeastBusy):
     """Give equal upstreams of different data centres equal work.
 
-    Load pattern: callers are not where upstreams are.  Chosen by the setting `weighs`:
-    it costs bytes between data centres, and the flows that a cut between them breaks
-    (docs/DESIGN.md, "Equal work").
+    Load pattern: callers and upstreams are distributed differently over data centres.  The setting
+    `weighs` selects this policy.  It costs traffic between data centres, and a network partition
+    between them breaks more flows (docs/DESIGN.md, "Equal work").
     """
 
-    #: Source: the users' bound on the busiest upstream's work.
+    #: Upper limit that users set for the work of the busiest upstream relative to the mean.
     tolerated_ratio = 1.1
     min_sharing_load = 0
 
@@ -99,7 +100,7 @@
     now: float,
     preferred_centre: str,
 ) -> list[Upstream]:
-    """Return the upstreams with the least rank among those that take flows."""
+    """Return the upstreams with the lowest rank among those that accept flows."""
     tied: list[Upstream] = []
     lowest: tuple[float, ...] = ()
     for upstream in candidates:
@@ -115,10 +116,10 @@
 
 
 def _rank(upstream: Upstream, now: float, preferred_centre: str) -> tuple[float, ...]:
-    """Rank an upstream for a flow that is to go to the data centre `preferred_centre`.
+    """Return the rank of an upstream for a flow that prefers `preferred_centre`; lower is better.
 
-    Smaller is better.  One that does not answer comes after all others of any data
-    centre, and is still better than nobody.
+    An unresponsive upstream ranks after all others of any data centre, but can still be chosen if
+    there are no others.
     """
     unresponsive = now < upstream.avoided_until
     other_centre = upstream.entry.data_centre != preferred_centre
@@ -132,7 +133,8 @@
 def load_of(upstream: Upstream, now: float) -> float:
     """Return the load of an upstream with one more flow, per slot of capacity.
 
-    Where capacity is learned, idle upstreams look tied however fast they are.
+    In controlled pools the additional flow is not counted, so that idle upstreams have equal loads
+    regardless of their speeds.
     """
     if upstream.pool.controlled:
         return upstream.busy_flows / upstream.capacity + upstream.shared_load
--- a/src/bronzekeel/core/routing/placement_by_capacity.py
+++ b/src/bronzekeel/core/routing/placement_by_capacity.py
@@ -1,10 +1,10 @@
-"""Choose among upstreams that look alike by the capacity that their open flows leave.
+"""Distribute flows over equally ranked upstreams in proportion to their spare capacity.
 
-Every host goes by nearly the same sums, which are as old as a heartbeat.  What goes wrong if each
-takes the upstream with the most capacity left: all send there what comes until the next
-heartbeat, a new upstream is rushed, and a flow that is kept open stays where that put it.  So each
-host gives every upstream its share of the flows, in credit (smooth weighted round robin), and starts
-the credits at a place of its own.
+All hosts use nearly the same figures, which are up to a heartbeat interval old.  If each host chose
+the upstream with the most spare capacity, all would send their flows there until the next
+heartbeat, overload a new upstream, and persistent flows would stay where they were placed.  Instead
+each host gives every upstream its share of the flows by smooth weighted round robin, with initial
+credits that differ between hosts.
 """
 
 from collections.abc import Sequence
@@ -13,16 +13,16 @@
 from bronzekeel.core.routing.model import Upstream
 
 
-#: Work of a cold upstream as a multiple of a warm one's.  Source: upstreams
-#: that have just started took 1.6 times as long; rounded up, since a cold one
-#: also serves its first flows worst.
+#: Work per request of a cold upstream as a multiple of that of a warm one.  Upstreams that have
+#: just started take 1.6 times as long; the factor is rounded up, since the first flows of a cold
+#: upstream are the slowest.
 COLD_FACTOR = 2.0
 
-#: Turns that an upstream may be ahead or behind at most.  What goes wrong without it: one that was
-#: busy or silent for long gets all flows when it is back.
+#: Maximum absolute credit in flows.  Without this limit, an upstream that was busy or unresponsive
+#: for a long time would get all flows when it becomes available again.
 _MAX_CREDIT = 1.0
 
-#: Turns of a service that are kept beside twice its upstreams.
+#: Number of credits retained per service in addition to twice its number of upstreams.
 _MAX_STALE_CREDITS = 64
 
 _HASH_BITS = 32
@@ -30,7 +30,7 @@
 
 
 class _Credits:
-    """Hold the credits of one service's upstreams; `most` of them were to choose from at a time."""
+    """Hold the credits of the upstreams of one service; `most` is the maximum of candidates."""
 
     __slots__ = ('by_upstream', 'most')
 
@@ -39,7 +39,7 @@
         self.most = 0
 
     def discard_stale(self, candidates: Sequence[Upstream]) -> None:
-        """Forget the credits of all but the candidates if there are far more than upstreams."""
+        """Discard the credits of all but the candidates if there are far more than those."""
         self.most = max(self.most, len(candidates))
         if len(self.by_upstream) <= _MAX_STALE_CREDITS + 2 * self.most:
             return
@@ -51,25 +51,25 @@
 
 
 class SharesByCapacity:
-    """Give new flows to upstreams in proportion to the capacity that they have left."""
+    """Distribute new flows over upstreams in proportion to their spare capacity."""
 
     __slots__ = ('_credits_by_service', '_host')
 
     def __init__(self, host: str) -> None:
-        """Start the credits at the place of `host`."""
+        """Start without credits; the initial ones depend on the name `host`."""
         self._host = host
         self._credits_by_service: dict[str, _Credits] = {}
 
     @property
     def credit_count(self) -> int:
-        """Turns that are kept."""
+        """Number of upstreams with credits, over all services."""
         return sum(
             len(service_credits.by_upstream)
             for service_credits in self._credits_by_service.values()
         )
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream:
-        """Return the upstream of some of one service that look alike whose credit it is."""
+        """Return the upstream with the highest credit among candidates of one service."""
         service_credits = self._credits_by_service.setdefault(
             candidates[0].entry.service, _Credits()
         )
@@ -95,6 +95,6 @@
 
 
 def spare_of(upstream: Upstream, now: float) -> float:
-    """Return the capacity that an upstream has left, in slots."""
+    """Return the spare capacity of an upstream in slots."""
     spare = upstream.capacity if upstream.spare is None else upstream.spare
     return spare / COLD_FACTOR if now < upstream.warm_at else spare
