--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""Test that cold upstreams with a stated rate get no more than that from all hosts together."""
+"""Test that all hosts together keep the configured rate of cold upstreams."""
 
 from collections.abc import Callable
 from itertools import product
@@ -38,56 +38,56 @@
 _UPSTREAMS = 10
 _COLD_S = 5.0
 _STEP_S = 0.01
-_AWAY = 'dc-b'
+_REMOTE = 'dc-b'
 
 #: Flows to one cold upstream that the rate allows in any second.
 _ALLOWED = _RATE * _OVERAGE + _SLACK
 
-_Hears = Callable[[int, int], bool]
+_IsConnected = Callable[[int, int], bool]
 
 
 class RateTest(TestCase):
-    """Every host sends as much as it may, to each of ten upstreams that start together."""
+    """Each host sends as much as it may to each of ten upstreams that start simultaneously."""
 
-    def test_hosts_that_hear_each_other(self) -> None:
-        """Symptom: an upstream that has just started turns its first callers away.
+    def test_connected_hosts_keep_the_rate(self) -> None:
+        """Guards against an upstream that rejects its first callers after a start.
 
-        Sequence: ten start; each looks idle to 25 hosts, which all have flows to place.
-        Cause: each host keeps to the rate by itself.
+        A new upstream appears idle to 25 hosts with flows to place.  The rate is exceeded if each
+        host limits only its own flows.
         """
-        self._assert_within(lambda host, other: True)
+        self._assert_within_rate(lambda host, other: True)
 
-    def test_hosts_of_a_data_centre_that_is_cut_in_two(self) -> None:
-        """Symptom: the rate is passed while hosts do not hear each other.
+    def test_partitioned_hosts_keep_the_rate(self) -> None:
+        """Guards against exceeding the rate while hosts are partitioned.
 
-        Sequence: the halves of a data centre lose each other right after all were heard.
-        Cause: each half chooses a sender among those that it hears now.
+        The halves of a data centre lose each other, in one case right after all were connected.
+        The rate is exceeded if each half selects a sender among the hosts it can currently reach.
         """
-        for heard_before in (True, False):
-            with self.subTest(heard_before=heard_before):
-                self._assert_within(_in_one_half, heard_before=heard_before)
+        for connected_before in (True, False):
+            with self.subTest(connected_before=connected_before):
+                self._assert_within_rate(_in_same_half, connected_before=connected_before)
 
-    def test_hosts_that_hear_nobody_send_nothing(self) -> None:
-        """Symptom: hosts that start in a cut each send at the whole rate.
+    def test_isolated_hosts_send_nothing(self) -> None:
+        """Guards against hosts that each send at the full rate when they start in a partition.
 
-        Sequence: 25 hosts start and hear nobody, but know of seeds.
-        Cause: whoever hears nobody takes itself for the only one.
+        25 hosts with configured seeds start and receive nothing from each other.  The rate is
+        exceeded if a host that receives no heartbeats considers itself the only one.
         """
-        self.assertEqual(0, self._assert_within(lambda host, other: False))
+        self.assertEqual(0, self._assert_within_rate(lambda host, other: False))
 
-    def test_most_is_made_of_it(self) -> None:
-        """Where all hear each other, each upstream gets nearly its whole rate."""
-        sent = self._assert_within(lambda host, other: True)
+    def test_connected_hosts_use_most_of_the_rate(self) -> None:
+        """If all hosts are connected, each upstream gets nearly its full rate."""
+        sent = self._assert_within_rate(lambda host, other: True)
         self.assertGreater(sent, _UPSTREAMS * _RATE * (_COLD_S - SETTLING_S))
 
     def test_a_host_without_seeds_sends_by_itself(self) -> None:
-        """A balancer that is alone is the one that sends."""
+        """A single balancer without seeds is the sender."""
         alone = ColdStarts(PeerTable(_peer(0), ()), alone=True)
         alone.begin(0)
         self.assertTrue(alone.may_place(_cold(1), _RATE, SETTLING_S))
 
     def test_a_rate_below_one(self) -> None:
-        """One flow each four seconds is one flow each four seconds."""
+        """A rate of less than one flow per second is kept over several seconds."""
         alone = ColdStarts(PeerTable(_peer(0), ()), 1, 0, alone=True)
         alone.begin(0)
         upstream = _cold(1, cold_s=60)
@@ -100,11 +100,11 @@
         self.assertLessEqual(sent, 6)
         self.assertGreaterEqual(sent, 4)
 
-    def test_many_upstreams_take_no_memory_of_what_was_sent(self) -> None:
-        """A cold upstream could get twice its rate where a host sends to thousands of others.
+    def test_many_upstreams_do_not_discard_cold_records(self) -> None:
+        """Guards against twice the rate for a cold upstream if there are thousands of others.
 
-        What was sent to each is remembered for a second; beyond some thousands of upstreams all of
-        it was forgotten at once, and the window of each began anew.
+        The flows sent to each upstream are recorded for about a second.  If all records are
+        discarded when there are too many, the window of each cold upstream starts again.
         """
         alone = ColdStarts(PeerTable(_peer(0), ()), 1, 0, alone=True)
         alone.begin(0)
@@ -119,15 +119,20 @@
                 sent += 1
         self.assertLessEqual(sent, _RATE)
 
-    def test_a_host_elsewhere_sends_nothing(self) -> None:
-        """Another data centre's cold upstreams are left to its own hosts."""
+    def test_remote_host_sends_nothing(self) -> None:
+        """Only hosts of the same data centre send to a cold upstream."""
         alone = ColdStarts(PeerTable(_peer(0), ()), alone=True)
         alone.begin(0)
-        self.assertFalse(alone.may_place(_cold(1, data_centre=_AWAY), _RATE, SETTLING_S))
-
-    def _assert_within(self, hears: _Hears, *, heard_before: bool = False) -> int:
-        """Play 25 hosts that send what they may; return how much that was."""
-        hosts = [_host(number, hears, heard_before=heard_before) for number in range(_HOSTS)]
+        self.assertFalse(alone.may_place(_cold(1, data_centre=_REMOTE), _RATE, SETTLING_S))
+
+    def _assert_within_rate(
+        self, is_connected: _IsConnected, *, connected_before: bool = False
+    ) -> int:
+        """Let 25 hosts send as many flows as they may; return the number of flows."""
+        hosts = [
+            _host(number, is_connected, connected_before=connected_before)
+            for number in range(_HOSTS)
+        ]
         upstreams = [_cold(number) for number in range(1, _UPSTREAMS + 1)]
         at_by_name: dict[str, list[float]] = {upstream.entry.name: [] for upstream in upstreams}
         for step in range(int((_COLD_S - 1) / _STEP_S)):
@@ -144,28 +149,28 @@
         return sum(map(len, at_by_name.values()))
 
 
-class StatedTest(TestCase):
-    """What the text states of services and routes."""
+class ConfigurationTest(TestCase):
+    """The rates of services and the homes of routes in the text."""
 
     def test_a_cold_upstream_with_a_rate_has_one_sender(self) -> None:
-        """Flows go to a warm one instead; of a service without a rate nothing changes."""
-        state = ready_state(entry(1, cold_s=60), entry(2, data_centre=_AWAY))
+        """Other hosts place flows at a warm upstream; services without a rate are not limited."""
+        state = ready_state(entry(1, cold_s=60), entry(2, data_centre=_REMOTE))
         self.assertEqual('i-00000001', delivered_to(steering(state).decide(opening(1), 10)))
         _put(state, RoutingText(9, 9, text(9).route_by_key, 15, {PORTAL: 5.0}))
         self.assertEqual('i-00000002', delivered_to(steering(state).decide(opening(2), 10)))
 
-    def test_homes_hold_whatever_is_down(self) -> None:
-        """Symptom: a request leaves the region that it must not leave.
+    def test_homes_apply_regardless_of_failures(self) -> None:
+        """Guards against sending a request outside its allowed regions.
 
-        Sequence: the upstreams of its region are gone, others have room.
-        Cause: any upstream is better than none.
+        The upstreams of its region are gone while others have free capacity.  The flow must be
+        refused rather than placed at any upstream that is left.
         """
-        state = ready_state(entry(1, INTAKE), entry(2, INTAKE, data_centre=_AWAY), entry(3))
-        regions = {HOME: 'south', _AWAY: 'north'}
+        state = ready_state(entry(1, INTAKE), entry(2, INTAKE, data_centre=_REMOTE), entry(3))
+        regions = {HOME: 'south', _REMOTE: 'north'}
         state.eligibility = Eligibility(state.directory, ColdStarts(state.peers), regions)
-        bound = route(INTAKE_KEY, INTAKE)
-        bound.homes = frozenset(('north',))
-        _put(state, text(9, bound, route(PORTAL_KEY, PORTAL)))
+        restricted = route(INTAKE_KEY, INTAKE)
+        restricted.homes = frozenset(('north',))
+        _put(state, text(9, restricted, route(PORTAL_KEY, PORTAL)))
         decide = steering(state).decide
         self.assertEqual('i-00000002', delivered_to(decide(opening(1, key=INTAKE_KEY), 1)))
         self.assertEqual('i-00000003', delivered_to(decide(opening(2), 1)))
@@ -174,28 +179,28 @@
         refused = delivered_to(decide(opening(3, key=INTAKE_KEY), 9))
         self.assertEqual('Reset no_upstream', refused)
 
-    def test_an_unknown_region_is_no_home(self) -> None:
-        """A data centre that the settings do not have is in no region."""
+    def test_unknown_region_is_not_allowed(self) -> None:
+        """A data centre that is missing in the settings is in no region."""
         state = ready_state(entry(1))
-        bound = route(PORTAL_KEY, PORTAL)
-        bound.homes = frozenset(('north',))
-        _put(state, text(9, bound))
+        restricted = route(PORTAL_KEY, PORTAL)
+        restricted.homes = frozenset(('north',))
+        _put(state, text(9, restricted))
         self.assertEqual('Reset no_upstream', delivered_to(steering(state).decide(opening(1), 1)))
 
-    def test_peers_tell_both(self) -> None:
-        """A host that learns the text from a peer holds it the same."""
+    def test_peers_send_rates_and_homes(self) -> None:
+        """A host that receives the text from a peer has the same rates and homes."""
         state = ready_state(entry(1))
-        bound = route(PORTAL_KEY, PORTAL)
-        bound.homes = frozenset(('north', 'south'))
-        _put(state, RoutingText(9, 9, {bound.key: bound}, 15, {PORTAL: 2.5}))
-        told = decode_view(encode_view(view_since(state, Known(0, 0, 0), 1))).text
-        self.assertIsNotNone(told)
-        if told is not None:
-            self.assertEqual({PORTAL: 2.5}, told.cold_rate_by_service)
-            self.assertEqual(bound.homes, told.route_by_key[bound.key].homes)
+        restricted = route(PORTAL_KEY, PORTAL)
+        restricted.homes = frozenset(('north', 'south'))
+        _put(state, RoutingText(9, 9, {restricted.key: restricted}, 15, {PORTAL: 2.5}))
+        view_text = decode_view(encode_view(view_since(state, Known(0, 0, 0), 1))).text
+        self.assertIsNotNone(view_text)
+        if view_text is not None:
+            self.assertEqual({PORTAL: 2.5}, view_text.cold_rate_by_service)
+            self.assertEqual(restricted.homes, view_text.route_by_key[restricted.key].homes)
 
 
-def _in_one_half(host: int, other: int) -> bool:
+def _in_same_half(host: int, other: int) -> bool:
     half = _HOSTS // 2
     return (host < half) == (other < half)
 
@@ -213,13 +218,13 @@
     return Upstream(entry(number, cold_s=cold_s, data_centre=data_centre), 0)
 
 
-def _host(number: int, hears: _Hears, *, heard_before: bool) -> ColdStarts:
-    """Return a host that hears some others; `heard_before` that all were heard."""
+def _host(number: int, is_connected: _IsConnected, *, connected_before: bool) -> ColdStarts:
+    """Return a host that has heartbeats of its connections, or of all if `connected_before`."""
     peers = PeerTable(_peer(number), (('seed', 9),))
     for other in range(_HOSTS):
         if other == number:
             continue
-        if heard_before or hears(number, other):
+        if connected_before or is_connected(number, other):
             peers.note_heartbeat(Heartbeat(_peer(other), 1, 1, {}), 0)
     starts = ColdStarts(peers, _OVERAGE, _SLACK)
     starts.begin(-SETTLING_S)
--- a/tests/test_learned_capacity.py
+++ b/tests/test_learned_capacity.py
@@ -1,4 +1,4 @@
-"""Test what is learned of upstreams from answers, and where new flows go by it."""
+"""Test learned speeds of upstreams and the placement of new flows that depends on them."""
 
 from collections import Counter
 from operator import attrgetter
@@ -59,35 +59,35 @@
 _HOSTS = 20
 _UPSTREAMS = 10
 _TICK_S = 0.1
-_BEAT_S = 1.0
+_HEARTBEAT_S = 1.0
 _MEAN_S = 0.04
 
-#: Requests a second of one upstream: a quarter of what two slots can do, as on a usual day.
+#: Requests per second of one upstream: a quarter of the capacity of two slots, a typical load.
 _RATE = 12
 
-#: Seconds after which an upstream turns away a request that found no slot.
+#: Seconds after which an upstream rejects a request that has not got a slot.
 _QUEUE_S = 0.6
 _LONG_SHARE = 0.05
 
-#: Seconds in which a slowdown must be followed, and its end: the stated target.
-_FOLLOWED_S = 2
+#: Seconds within which a slowdown must be detected.
+_DETECTION_S = 2
 _KIND = bytes(6)
 _OTHER_KIND = bytes((1,)) * 6
 
 
 class KindMeanTest(TestCase):
-    """The mean work of a kind of requests."""
+    """The mean answer time of a kind of request."""
 
-    def test_it_is_found_anew_after_a_bad_start(self) -> None:
-        """Guards against a kind whose first answers were late: nothing counted any more."""
+    def test_mean_recovers_from_delayed_first_answers(self) -> None:
+        """Guards against ignoring all answers of a kind whose first answers were delayed."""
         mean = KindMean()
         for _ in range(16):
             mean.add(0.5)
         counted = [mean.add(0.02) for _ in range(100)]
         self.assertIsNotNone(counted[-1])
 
-    def test_a_mean_of_nothing_is_no_mean(self) -> None:
-        """Guards against a way that was overestimated at first, which left work of no time."""
+    def test_mean_of_zero_is_not_used(self) -> None:
+        """Guards against a mean of zero, from a network time that was overestimated at first."""
         mean = KindMean()
         for _ in range(16):
             mean.add(0)
@@ -104,26 +104,26 @@
         self.random = Random(1)
 
     def test_too_few_answers_give_no_evidence(self) -> None:
-        """Guards against evidence from a distribution of the first answers after a start."""
+        """Guards against evidence from the few answers after a start."""
         self._add([1 for _ in range(100)])
         self.assertEqual([0, 0], self.times.evidence(8))
 
     def test_a_slow_answer_is_evidence(self) -> None:
-        """Guards against slowdowns that are detected only from the mean of many answers."""
+        """Guards against detecting a slowdown only from the mean of many answers."""
         self._add([self.random.expovariate(1) for _ in range(2000)])
         self.assertGreater(min(self.times.evidence(4)), 1)
         self.assertLess(max(self.times.evidence(0.5)), 0)
         self.assertGreater(self.times.pending_evidence(4), 1)
 
     def test_a_long_answer_of_a_long_tail_is_weak_evidence(self) -> None:
-        """Guards against a slowdown that is detected from the longest requests of normal work."""
+        """Guards against a slowdown detected from the long tail of normal answer times."""
         self._add(self.random.choices((20, 0.5), (1, 19), k=2000))
         self.assertLess(max(self.times.evidence(20)), 1)
         self.assertLess(self.times.pending_evidence(20), 1)
         self.assertGreater(self.times.evidence(2)[-1], 2)
 
     def test_a_slowdown_of_the_pool_weakens_evidence(self) -> None:
-        """Guards against slowdowns that are detected at all upstreams of an overloaded pool."""
+        """Guards against a slowdown detected at each upstream of an overloaded pool."""
         self._add([self.random.expovariate(1) for _ in range(2000)])
         before = self.times.evidence(6)[-1]
         self.times.decay(1)
@@ -147,7 +147,7 @@
         self.assertEqual(9, detector.total_evidence)
 
     def test_pending_requests_delay_the_end(self) -> None:
-        """Guards against a slowdown that ends while requests at the upstream are unanswered."""
+        """Guards against ending a slowdown while requests at the upstream are unanswered."""
         detector = SlowdownDetector()
         detector.add([2, 4], 5)
         detector.add([-1, -2], 10)
@@ -156,7 +156,7 @@
         self.assertFalse(detector.has_ended)
 
     def test_a_slowdown_of_all_upstreams_is_not_detected(self) -> None:
-        """Guards against upstreams that are avoided in turn while the whole pool is overloaded."""
+        """Guards against avoiding one upstream after another in an overloaded pool."""
         detectors = [SlowdownDetector() for _ in range(5)]
         for place, detector in enumerate(detectors):
             detector.add([2, 4], 10 + place)
@@ -167,7 +167,7 @@
 
 
 class _SentRequest:
-    """Hold a request that a host sent to an upstream, and when the host sees its end."""
+    """Hold a request that a host sent to an upstream, and when the host observes its end."""
 
     def __init__(self, host: Capacities, request: PendingRequest, seen_at: float) -> None:
         self.host = host
@@ -176,7 +176,7 @@
 
 
 class _Hosts:
-    """Play answers of upstreams to hosts that tell each other what they saw."""
+    """Simulate the answers of upstreams to hosts that exchange reports about them."""
 
     def __init__(self, seed: int = 1, upstreams: int = _UPSTREAMS) -> None:
         self.random = Random(seed)
@@ -184,7 +184,7 @@
         self.directory = Directory()
         self.hosts = [Capacities() for _ in range(_HOSTS)]
         self.slow_by_name: dict[str, float] = {}
-        self.hears = True
+        self.exchanges_reports = True
         self.rate: float = _RATE
         self.free_at_by_name: dict[str, list[float]] = {}
         self.answers: list[_SentRequest] = []
@@ -196,11 +196,11 @@
 
     @property
     def upstreams(self) -> list[Upstream]:
-        """All upstreams in the order of their numbers."""
+        """All upstreams, ordered by number."""
         return self.directory.of_service(PORTAL)
 
     def work_s(self, kind: bytes) -> float:
-        """Return the seconds of a request: exponential, of two means."""
+        """Return the time of a request: exponentially distributed, with a mean per kind."""
         mean_s = _MEAN_S if kind == _KIND else _MEAN_S / 4
         return self.random.expovariate(1 / mean_s)
 
@@ -209,24 +209,24 @@
         return _KIND
 
     def run(self, lasting_s: float) -> None:
-        """Let answers come for some seconds."""
+        """Simulate requests and answers for some seconds."""
         until = self.now + lasting_s
         while self.now < until:
             self.now += _TICK_S
             for upstream in self.upstreams:
-                self._ask(upstream)
-            self._answer()
+                self._send_requests(upstream)
+            self._record_answers()
             self._note_pending()
-            self._tell()
+            self._exchange_reports()
             for host in self.hosts:
-                self._note(host.update(self.directory, 'dc-a', self.now))
+                self._count_lines(host.update(self.directory, 'dc-a', self.now))
 
     def speeds(self) -> list[float]:
-        """Return the speeds that the last host reckoned."""
+        """Return the speeds that the last host computed."""
         return [upstream.speed for upstream in self.upstreams]
 
-    def _ask(self, upstream: Upstream) -> None:
-        """Let requests reach an upstream, which works on them in two slots as they came."""
+    def _send_requests(self, upstream: Upstream) -> None:
+        """Send requests to an upstream, which serves them in order in two slots."""
         slow = self.slow_by_name.get(upstream.entry.name, 1)
         free_at = self.free_at_by_name.setdefault(upstream.entry.name, [0, 0])
         for _ in range(int(self.rate * _TICK_S + self.random.random())):
@@ -240,8 +240,8 @@
             request = PendingRequest(upstream, kind, asked_at)
             self.answers.append(_SentRequest(self.random.choice(self.hosts), request, seen_at))
 
-    def _answer(self) -> None:
-        """Let the hosts see the answers that came, and requests that none came to for long."""
+    def _record_answers(self) -> None:
+        """Record the answers that arrived, and requests that remained unanswered for too long."""
         self.answers.sort(key=attrgetter('seen_at'))
         while self.answers and self.answers[0].seen_at <= self.now:
             sent = self.answers.pop(0)
@@ -254,7 +254,7 @@
             )
 
     def _note_pending(self) -> None:
-        """Pass each host its requests in progress."""
+        """Pass to each host its requests in progress."""
         for host in self.hosts:
             pending = [
                 sent.request
@@ -263,27 +263,27 @@
             ]
             host.counts.note_pending(pending, self.now)
 
-    def _tell(self) -> None:
-        """Let the hosts tell whose turn it is, each once a second."""
-        turn = round(self.now / _TICK_S) % round(_BEAT_S / _TICK_S)
+    def _exchange_reports(self) -> None:
+        """Send the report of each host once a second, a tenth of the hosts per tick."""
+        turn = round(self.now / _TICK_S) % round(_HEARTBEAT_S / _TICK_S)
         for place, host in enumerate(self.hosts):
-            if place % round(_BEAT_S / _TICK_S) != turn:
+            if place % round(_HEARTBEAT_S / _TICK_S) != turn:
                 continue
-            told = host.counts.pop_report(self.now)
-            if told is None or not self.hears:
+            report = host.counts.pop_report(self.now)
+            if report is None or not self.exchanges_reports:
                 continue
             for other in self.hosts:
                 if other is not host:
-                    other.add_report(f'a{place}', told, self.directory)
+                    other.add_report(f'a{place}', report, self.directory)
 
-    def _note(self, effects: list[Effect]) -> None:
+    def _count_lines(self, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, WriteLine):
                 self.lines[effect.number] += 1
 
 
 class _LongTail(_Hosts):
-    """One request in twenty takes twenty times as long."""
+    """One request in twenty takes forty times as long as the others."""
 
     def work_s(self, kind: bytes) -> float:
         """Return the seconds of a request."""
@@ -291,22 +291,22 @@
         return _MEAN_S * 20 if long else _MEAN_S / 2
 
 
-class _UnlikeKinds(_Hosts):
-    """Half of the upstreams get mostly requests of a quarter of the work."""
+class _UnequalKinds(_Hosts):
+    """Half of the upstreams get mostly requests that need a quarter of the work."""
 
     def kind_of(self, upstream: Upstream) -> bytes:
         """Return the kind of the next request at an upstream."""
-        mostly, seldom = (_KIND, _OTHER_KIND)
+        mostly, rarely = (_KIND, _OTHER_KIND)
         if upstream.entry.number % 2:
-            mostly, seldom = seldom, mostly
-        return self.random.choices((mostly, seldom), (4, 1))[0]
+            mostly, rarely = rarely, mostly
+        return self.random.choices((mostly, rarely), (4, 1))[0]
 
 
 class LearningTest(TestCase):
-    """What the answers that all hosts saw tell of upstreams."""
+    """The speeds learned from the answers that all hosts observe."""
 
-    def test_a_slowdown_is_followed(self) -> None:
-        """Guards against flows that go on to an upstream which works five times slower."""
+    def test_slowdown_is_detected(self) -> None:
+        """Guards against sending flows to an upstream that has become five times slower."""
         hosts = _Hosts()
         hosts.run(20)
         hosts.slow_by_name[entry(1).name] = 5
@@ -315,19 +315,19 @@
         self.assertEqual({1}, set(hosts.speeds()[1:]))
         self.assertGreater(hosts.lines[LogNumber.SPEED_LEARNED], 0)
 
-    def test_a_slowdown_is_followed_within_two_seconds(self) -> None:
-        """Guards against flows that go to a slow upstream for longer than callers bear."""
-        found = []
+    def test_slowdown_is_detected_within_two_seconds(self) -> None:
+        """Guards against sending flows to a slow upstream for longer than callers tolerate."""
+        is_slow = []
         for seed in range(1, 6):
             hosts = _Hosts(seed)
             hosts.run(20)
             hosts.slow_by_name[entry(1).name] = 5
-            hosts.run(_FOLLOWED_S)
-            found.append(hosts.upstreams[0].speed < 1)
-        self.assertTrue(all(found), found)
+            hosts.run(_DETECTION_S)
+            is_slow.append(hosts.upstreams[0].speed < 1)
+        self.assertTrue(all(is_slow), is_slow)
 
-    def test_a_slowdown_that_ended_is_forgotten(self) -> None:
-        """Guards against an upstream that is well again and is spared for long."""
+    def test_end_of_slowdown_is_detected(self) -> None:
+        """Guards against avoiding an upstream long after it has recovered."""
         hosts = _Hosts()
         hosts.run(20)
         hosts.slow_by_name[entry(1).name] = 5
@@ -341,7 +341,7 @@
         )
 
     def test_steady_differences_are_learned(self) -> None:
-        """Guards against slow hardware that gets as many requests as fast hardware."""
+        """Guards against sending as many requests to slow hardware as to fast hardware."""
         hosts = _Hosts()
         for upstream in hosts.upstreams[::4]:
             hosts.slow_by_name[upstream.entry.name] = 1.2 / 0.55
@@ -352,29 +352,29 @@
         self.assertLess(max(slow), 0.8)
         self.assertGreaterEqual(min(others), 1)
 
-    def test_own_sight_alone_is_too_little(self) -> None:
-        """Guards against hosts that do not add up: none sees enough to be sure."""
+    def test_answers_of_one_host_are_insufficient(self) -> None:
+        """Guards against speeds from the answers of a single host, which are too few."""
         hosts = _Hosts()
-        hosts.hears = False
+        hosts.exchanges_reports = False
         hosts.run(20)
         hosts.slow_by_name[entry(1).name] = 5
         hosts.run(2)
         self.assertEqual(1, hosts.upstreams[0].speed)
 
-    def test_chance_teaches_nothing(self) -> None:
-        """Guards against shares that wander where upstreams are equal."""
-        self._assert_quiet(_Hosts)
+    def test_equal_upstreams_have_equal_speeds(self) -> None:
+        """Guards against differences between equal upstreams that are due to chance."""
+        self._assert_speeds_unchanged(_Hosts)
 
-    def test_a_long_tail_teaches_nothing(self) -> None:
-        """Guards against an upstream that is spared since it had the longest requests."""
-        self._assert_quiet(_LongTail)
+    def test_long_tail_does_not_change_speeds(self) -> None:
+        """Guards against avoiding an upstream that happened to get the longest requests."""
+        self._assert_speeds_unchanged(_LongTail)
 
-    def test_unlike_kinds_of_work_teach_nothing(self) -> None:
-        """Guards against an upstream that looks slow since it is asked for more work."""
-        self._assert_quiet(_UnlikeKinds)
+    def test_unequal_kinds_do_not_change_speeds(self) -> None:
+        """Guards against an upstream that appears slow since its requests need more work."""
+        self._assert_speeds_unchanged(_UnequalKinds)
 
-    def test_an_equal_slowdown_of_all_teaches_nothing(self) -> None:
-        """Guards against speeds that follow the load of the whole service."""
+    def test_slowdown_of_all_does_not_change_speeds(self) -> None:
+        """Guards against speeds that change with the load of the whole service."""
         hosts = _Hosts()
         hosts.run(15)
         for upstream in hosts.upstreams:
@@ -382,16 +382,16 @@
         hosts.run(10)
         self.assertEqual({1}, set(hosts.speeds()))
 
-    def test_cold_answers_teach_nothing(self) -> None:
-        """Guards against an upstream that is slow while it is cold, and spared after that."""
+    def test_answers_of_cold_upstream_are_ignored(self) -> None:
+        """Guards against avoiding a warm upstream for its answer times during its cold start."""
         counts = AnswerCounts()
         upstream = Upstream(entry(1, cold_s=3), 0)
         for _ in range(40):
             counts.note(upstream, _KIND, 1, 1.5)
         self.assertIsNone(counts.pop_report(2))
 
-    def test_refusals_are_no_answers(self) -> None:
-        """Guards against an upstream that turns requests away at once and looks fast."""
+    def test_rejected_requests_are_ignored(self) -> None:
+        """Guards against an upstream that appears fast since it rejects requests immediately."""
         counts = AnswerCounts()
         upstream = Upstream(entry(1), 0)
         for _ in range(40):
@@ -400,8 +400,8 @@
         counts.note(upstream, _KIND, 1, 1.001)
         self.assertEqual([], counts.pop_answers())
 
-    def test_a_pause_teaches_nothing(self) -> None:
-        """Guards against a host that stood still and takes its own pause for slow upstreams."""
+    def test_answers_during_pause_are_ignored(self) -> None:
+        """Guards against a host that considers upstreams slow after it was paused itself."""
         state = _learning_state()
         counts = state.demand.capacities.counts
         upstream = state.directory.by_number[entry(1).short_number]
@@ -410,8 +410,8 @@
             counts.note(upstream, _KIND, 4, 6)
         self.assertEqual([], counts.pop_answers())
 
-    def test_a_queue_is_no_slowness(self) -> None:
-        """Guards against an upstream that got more than its share and then looks slow."""
+    def test_queue_is_not_a_slowdown(self) -> None:
+        """Guards against an upstream that appears slow since it got more than its share."""
         usual = AnswerWindow(LONG_S)
         queued = AnswerWindow(LONG_S)
         for _ in range(200):
@@ -419,19 +419,20 @@
             queued.decay(_TICK_S)
             usual.add(2, 2)
             queued.add(4, 4 * 1.9)
-        # 20 and 40 requests a second of 25 ms at two slots: by M/M/2 1.07 and 1.33 times that.
+        # 20 and 40 requests per second of 25 ms at two slots: in M/M/2, the answer time is 1.07 and
+        # 1.33 times the work.
         ratio = queued.work(0.025, 2) / queued.answers / (usual.work(0.025, 2) / usual.answers)
         self.assertLess(ratio, 1.5)
 
     def test_busy_slots_never_exceed_slots(self) -> None:
-        """Guards against a load of more than everything."""
+        """Guards against a load above 1."""
         for slots in (1, 2, 100):
             self.assertLessEqual(busy_slots(slots * 50, slots), slots)
             self.assertAlmostEqual(
                 0.01 * slots, busy_slots(0.01 * slots, slots), delta=0.001 * slots
             )
 
-    def _assert_quiet(self, kind: type[_Hosts]) -> None:
+    def _assert_speeds_unchanged(self, kind: type[_Hosts]) -> None:
         learned = 0
         for seed in range(6):
             hosts = kind(seed)
@@ -440,11 +441,11 @@
         self.assertLess(learned, 1)
 
 
-class TellingTest(TestCase):
-    """What hosts tell each other of answers."""
+class CountReportTest(TestCase):
+    """The reports of answers that hosts exchange."""
 
     def setUp(self) -> None:
-        """Let a host hear of one upstream."""
+        """Create a host with one known upstream."""
         self.directory = Directory()
         self.directory.remember(entry(1), 0)
         self.upstream = self.directory.of_service(PORTAL)[0]
@@ -452,44 +453,44 @@
         self.host = Capacities()
 
     def test_a_duplicate_is_not_counted_twice(self) -> None:
-        """Guards against a datagram that the network delivers twice."""
-        self._hear(1000)
-        self._hear(1000)
+        """Guards against counting a datagram that the network delivers twice."""
+        self._add_report(1000)
+        self._add_report(1000)
         self.assertEqual(10, self._answers())
 
-    def test_an_older_word_is_left_out(self) -> None:
-        """Guards against a datagram that comes after a later one."""
-        self._hear(2000)
-        self._hear(1000)
+    def test_older_report_is_ignored(self) -> None:
+        """Guards against counting a datagram that arrives after a newer one."""
+        self._add_report(2000)
+        self._add_report(1000)
         self.assertEqual(10, self._answers())
 
-    def test_a_lost_word_only_is_less(self) -> None:
-        """Guards against a host that waits for a message which was lost."""
-        self._hear(1000)
-        self._hear(3000)
+    def test_lost_report_does_not_block_later_ones(self) -> None:
+        """Guards against waiting for a report that was lost."""
+        self._add_report(1000)
+        self._add_report(3000)
         self.assertEqual(20, self._answers())
 
-    def test_a_restarted_host_is_heard(self) -> None:
-        """Guards against a host whose machine started again, and its clock with it."""
-        self._hear(900_000)
-        self._hear(1000)
-        self._hear(1500)
+    def test_reports_of_restarted_host_are_accepted(self) -> None:
+        """Guards against ignoring a host whose machine, and thus its clock, has restarted."""
+        self._add_report(900_000)
+        self._add_report(1000)
+        self._add_report(1500)
         self.assertEqual(30, self._answers())
 
-    def test_a_clock_that_wraps_is_no_older_word(self) -> None:
-        """Guards against a host that is not heard after seven weeks."""
-        self._hear((1 << 32) - 100)
-        self._hear(900)
+    def test_report_after_clock_wraps_is_accepted(self) -> None:
+        """Guards against ignoring a host when its clock wraps after seven weeks."""
+        self._add_report((1 << 32) - 100)
+        self._add_report(900)
         self.assertEqual(20, self._answers())
 
-    def test_the_word_of_a_former_start_is_left_out(self) -> None:
-        """Guards against an upstream that started again and is taken for its slow former self."""
+    def test_report_about_previous_start_is_ignored(self) -> None:
+        """Guards against applying the answers of a slow process to the one that replaced it."""
         count = AnswerCount(self.upstream.entry.short_number, 77, 10, 50)
         self.host.add_report('a2', ReportedCounts(1000, (count,)), self.directory)
         self.assertEqual(0, self._answers())
 
     def test_a_restarted_upstream_starts_anew(self) -> None:
-        """Guards against a new process that is spared for what a former one did."""
+        """Guards against avoiding a new process for the speed of the previous one."""
         hosts = _Hosts()
         hosts.slow_by_name[entry(1).name] = 5
         hosts.run(10)
@@ -510,46 +511,46 @@
         self.assertEqual(1, upstream.speed)
 
     def test_a_message_stays_small(self) -> None:
-        """Guards against heartbeats that grow with the upstreams of a service."""
+        """Guards against heartbeats that grow with the number of upstreams of a service."""
         counts = AnswerCounts()
         for number in range(200):
             upstream = Upstream(entry(number + 1), 0)
             for _ in range(20):
                 counts.note(upstream, _KIND, 1, 1.04)
-        told = counts.pop_report(2)
-        self.assertEqual(MAX_REPORTED_COUNTS, len(told.counts) if told else 0)
+        report = counts.pop_report(2)
+        self.assertEqual(MAX_REPORTED_COUNTS, len(report.counts) if report else 0)
         without = len(encode_heartbeat(_heartbeat(None)))
         name = len(',"answers":')
-        told_bytes = len(encode_heartbeat(_heartbeat(told))) - without - name
-        self.assertLessEqual(told_bytes, 11 * MAX_REPORTED_COUNTS + 6)
+        report_bytes = len(encode_heartbeat(_heartbeat(report))) - without - name
+        self.assertLessEqual(report_bytes, 11 * MAX_REPORTED_COUNTS + 6)
 
-    def test_an_immense_count_fits_its_place(self) -> None:
-        """Guards against a host that told nobody for long and then cannot write its message."""
+    def test_large_count_is_scaled_to_its_field(self) -> None:
+        """Guards against counts that exceed their field after a long time without a report."""
         counts = AnswerCounts()
         upstream = Upstream(entry(1), 0)
         for _ in range(5000):
             counts.note(upstream, _KIND, 1, 1.04)
-        told = decode_heartbeat(encode_heartbeat(_heartbeat(counts.pop_report(2)))).counts
-        self.assertIsNotNone(told)
-        for count in told.counts if told else ():
+        report = decode_heartbeat(encode_heartbeat(_heartbeat(counts.pop_report(2)))).counts
+        self.assertIsNotNone(report)
+        for count in report.counts if report else ():
             self.assertAlmostEqual(1, count.means / count.answers, delta=0.05)
 
-    def test_what_is_told_is_read(self) -> None:
-        """Guards against a message that means something else at its reader."""
+    def test_report_is_decoded(self) -> None:
+        """Guards against counts that change in encoding."""
         count = AnswerCount(4_000_000_000, 255, 17, 12.5)
         sent = _heartbeat(ReportedCounts(4_294_967_295, (count,)))
-        told = decode_heartbeat(encode_heartbeat(sent)).counts
-        self.assertIsNotNone(told)
-        if told:
-            read = told.counts[0]
-            self.assertEqual(4_294_967_295, told.reported_ms)
+        report = decode_heartbeat(encode_heartbeat(sent)).counts
+        self.assertIsNotNone(report)
+        if report:
+            read = report.counts[0]
+            self.assertEqual(4_294_967_295, report.reported_ms)
             self.assertEqual(
                 (4_000_000_000, 255, 17, 12.5),
                 (read.number, read.start, read.answers, read.means),
             )
 
-    def test_a_former_version_tells_nothing(self) -> None:
-        """Guards against heartbeats of a version without counts, and against broken ones."""
+    def test_previous_version_sends_no_counts(self) -> None:
+        """Guards against rejecting heartbeats without counts, and accepting malformed ones."""
         raw = encode_heartbeat(_heartbeat(None))
         self.assertNotIn(b'answers', raw)
         self.assertIsNone(decode_heartbeat(raw).counts)
@@ -561,40 +562,40 @@
         """Guards against counts of pending requests that change in encoding."""
         pending = AnswerCount(4_000_000_000, 255, 3, 12.5)
         sent = _heartbeat(ReportedCounts(1000, (), (pending,)))
-        told = decode_heartbeat(encode_heartbeat(sent)).counts
-        self.assertIsNotNone(told)
-        if told:
-            read = told.pending[0]
+        report = decode_heartbeat(encode_heartbeat(sent)).counts
+        self.assertIsNotNone(report)
+        if report:
+            read = report.pending[0]
             self.assertEqual(
                 (4_000_000_000, 255, 3, 12.5),
                 (read.number, read.start, read.answers, read.means),
             )
 
     def test_an_empty_pending_field_is_omitted(self) -> None:
-        """Guards against larger heartbeats while no request is pending."""
+        """Guards against larger heartbeats when no request is pending."""
         count = AnswerCount(1, 2, 1, 1)
         raw = encode_heartbeat(_heartbeat(ReportedCounts(1000, (count,))))
         self.assertNotIn(b'pending', raw)
 
-    def test_only_long_pending_requests_are_told(self) -> None:
-        """Guards against messages that count requests which have just been sent."""
+    def test_only_long_pending_requests_are_reported(self) -> None:
+        """Guards against reports of requests that have just been sent."""
         counts = _settled_counts(self.upstream)
         new = PendingRequest(self.upstream, _KIND, 9.98)
         old = PendingRequest(self.upstream, _KIND, 9.8)
         counts.note_pending([new, old], 10)
-        told = counts.pop_report(10)
-        self.assertEqual([1], [count.answers for count in told.pending] if told else [])
+        report = counts.pop_report(10)
+        self.assertEqual([1], [count.answers for count in report.pending] if report else [])
 
     def test_fast_and_slow_answers_are_counted_separately(self) -> None:
-        """Guards against a fast and a slow answer that are weighed as two answers of their mean."""
+        """Guards against evaluating a fast and a slow answer as two answers of their mean."""
         counts = _settled_counts(self.upstream)
         counts.note(self.upstream, _KIND, 1, 1.02)
         counts.note(self.upstream, _KIND, 1, 1.12)
-        told = counts.pop_report(10)
-        self.assertEqual(2, len(told.counts) if told else 0)
+        report = counts.pop_report(10)
+        self.assertEqual(2, len(report.counts) if report else 0)
 
     def test_a_later_report_replaces_pending_requests(self) -> None:
-        """Guards against a pending request that is counted again with each heartbeat."""
+        """Guards against counting a pending request again with each heartbeat."""
         hosts = _Hosts()
         hosts.run(10)
         upstream = hosts.upstreams[0]
@@ -613,13 +614,13 @@
         hosts.run(2)
         self.assertNotIn('a99', host._pending_by_host)  # noqa: SLF001
 
-    def test_a_count_beyond_reason_is_cut(self) -> None:
-        """Guards against one host that makes an upstream look endlessly slow."""
-        self._hear(1000, means=1023)
+    def test_excessive_count_is_limited(self) -> None:
+        """Guards against a single host that makes an upstream appear arbitrarily slow."""
+        self._add_report(1000, means=1023)
         long = self.host._learned_by_upstream[self.upstream].long  # noqa: SLF001
         self.assertLessEqual(long.means, 50)
 
-    def _hear(self, reported_ms: int, means: float = 10) -> None:
+    def _add_report(self, reported_ms: int, means: float = 10) -> None:
         number = self.upstream.entry.short_number
         count = AnswerCount(number, start_of(self.upstream.entry), 10, means)
         self.host.add_report('a2', ReportedCounts(reported_ms, (count,)), self.directory)
@@ -630,52 +631,55 @@
 
 
 class SteeringTest(TestCase):
-    """What a host does by it, from packets to heartbeats."""
+    """The path from packets to reports in heartbeats."""
 
-    def test_answers_of_packets_are_told_once(self) -> None:
-        """Guards against counts that reach no neighbour, or reach one twice."""
+    def test_answers_of_packets_are_reported_once(self) -> None:
+        """Guards against counts that are not reported to neighbours, or reported twice."""
         state = _learning_state()
         neighbour = PeerAddress('a2', 'dc-a', ('a2', 9))
         reduce(state, HeartbeatHeard(Heartbeat(neighbour, 1, 1, {})), 0.1)
         self._serve(state, 40)
-        told = [
-            count for beat in self._beats(state, 50) if beat.counts for count in beat.counts.counts
+        report = [
+            count
+            for heartbeat in self._heartbeats(state, 50)
+            if heartbeat.counts
+            for count in heartbeat.counts.counts
         ]
-        self.assertEqual(24, sum(count.answers for count in told))
-        again = [beat for beat in self._beats(state, 60) if beat.counts]
+        self.assertEqual(24, sum(count.answers for count in report))
+        again = [heartbeat for heartbeat in self._heartbeats(state, 60) if heartbeat.counts]
         self.assertEqual([], again)
 
-    def test_pending_requests_are_told(self) -> None:
-        """Guards against neighbours that learn of slow requests only when they have ended."""
+    def test_pending_requests_are_reported(self) -> None:
+        """Guards against reporting slow requests only when they have ended."""
         state = _learning_state()
         neighbour = PeerAddress('a2', 'dc-a', ('a2', 9))
         reduce(state, HeartbeatHeard(Heartbeat(neighbour, 1, 1, {})), 0.1)
-        given = self._serve(state, 40)
-        self._beats(state, 50)
+        connection_id = self._serve(state, 40)
+        self._heartbeats(state, 50)
         deciding = steering(state)
-        deciding.decide(asking(1, given, 5000, acknowledged=46), 51)
+        deciding.decide(asking(1, connection_id, 5000, acknowledged=46), 51)
         pending = [
             count
-            for beat in self._beats(state, 51.3)
-            if beat.counts
-            for count in beat.counts.pending
+            for heartbeat in self._heartbeats(state, 51.3)
+            if heartbeat.counts
+            for count in heartbeat.counts.pending
         ]
         self.assertEqual([1], [count.answers for count in pending])
 
-    def test_what_is_not_controlled_is_neither_counted_nor_set(self) -> None:
-        """Guards against another service than before for those who did not ask for it."""
+    def test_uncontrolled_pools_are_not_measured(self) -> None:
+        """Guards against measuring pools for which operators have set no objective."""
         state = ready_state(entry(1), entry(2))
         reduce(state, Ticked(), 0.1)
         self._serve(state, 40)
         self.assertEqual([], state.demand.capacities.counts.pop_answers())
-        for beat in self._beats(state, 50):
-            self.assertIsNone(beat.counts)
+        for heartbeat in self._heartbeats(state, 50):
+            self.assertIsNone(heartbeat.counts)
         for upstream in state.directory.by_number.values():
             self.assertFalse(upstream.pool.controlled)
             self.assertEqual((1, None), (upstream.speed, upstream.spare))
 
-    def test_a_service_no_longer_controlled_is_forgotten(self) -> None:
-        """Guards against speeds that stay when operators have taken their objective back."""
+    def test_service_no_longer_controlled_is_discarded(self) -> None:
+        """Guards against speeds that remain after operators have removed the objective."""
         state = _learning_state()
         self._serve(state, 40)
         reduce(state, Ticked(), 45)
@@ -687,28 +691,28 @@
         reduce(state, Ticked(), 47)
         self.assertEqual((1, None), (upstream.speed, upstream.spare))
 
-    def test_speeds_are_shown(self) -> None:
-        """Guards against operators who cannot see what was learned."""
+    def test_speeds_are_exported(self) -> None:
+        """Guards against learned speeds that operators cannot see."""
         state = _learning_state()
         shown = metrics_of(state, 1, {}, 0, 0).decode()
         self.assertIn('bronzekeel_learned_speed{kind="upstreams"} 0', shown)
 
     def _serve(self, state: RoutingState, requests: int) -> int:
-        """Let callers ask on one flow, each answered after a twentieth of a second."""
+        """Send requests on one flow, each answered after a twentieth of a second."""
         deciding = steering(state)
         verdict = deciding.decide(opening(1), 1)
         self.assertIn(delivered_to(verdict), {entry(1).name, entry(2).name})
-        given = id_given(verdict)
+        connection_id = id_given(verdict)
         now = 1.01
         for number in range(requests):
             sequence = 101 + number
-            deciding.decide(asking(1, given, sequence, acknowledged=7 + number), now)
+            deciding.decide(asking(1, connection_id, sequence, acknowledged=7 + number), now)
             now += 0.05
-            deciding.decide(acknowledging(1, given, 8 + number), now)
+            deciding.decide(acknowledging(1, connection_id, 8 + number), now)
             now += 0.01
-        return given
+        return connection_id
 
-    def _beats(self, state: RoutingState, now: float) -> list[Heartbeat]:
+    def _heartbeats(self, state: RoutingState, now: float) -> list[Heartbeat]:
         return [
             effect.heartbeat
             for effect in reduce(state, Ticked(), now)
@@ -717,18 +721,18 @@
 
 
 class PlacementTest(TestCase):
-    """Where new flows go by the capacity that is left."""
+    """The distribution of new flows by spare capacity."""
 
-    def test_flows_go_by_the_capacity_left(self) -> None:
-        """Guards against a slow upstream that gets as many flows as the others."""
-        upstreams = _alike(4)
+    def test_flows_follow_spare_capacity(self) -> None:
+        """Guards against placing as many flows at a slow upstream as at the others."""
+        upstreams = _equal_upstreams(4)
         upstreams[0].speed = 0.5
         placed = _placed(upstreams, hosts=20, flows=10)
         self.assertAlmostEqual(0.5, placed[upstreams[0]] / placed[upstreams[1]], delta=0.15)
 
-    def test_hosts_do_not_rush_to_the_one_with_most_left(self) -> None:
-        """Guards against all hosts that send their next flow to the same upstream."""
-        upstreams = _alike(10)
+    def test_hosts_do_not_all_choose_the_same_upstream(self) -> None:
+        """Guards against all hosts sending their next flow to the same upstream."""
+        upstreams = _equal_upstreams(10)
         for upstream in upstreams:
             upstream.spare = 0.6
         upstreams[3].spare = 3
@@ -736,46 +740,46 @@
         self.assertLessEqual(placed[upstreams[3]], 12)
         self.assertGreaterEqual(placed[upstreams[3]], 4)
 
-    def test_a_release_fills_without_a_rush(self) -> None:
-        """Guards against a new upstream that gets all flows until it has as many as the others."""
-        upstreams = _alike(10)
+    def test_released_upstream_fills_gradually(self) -> None:
+        """Guards against sending all flows to a new upstream until it has as many as the others."""
+        upstreams = _equal_upstreams(10)
         for upstream in upstreams:
             upstream.spare = 1.5
         shares = [SharesByCapacity(f'a{place}') for place in range(20)]
         for _ in range(30):
             for share in shares:
                 share.choose(upstreams, 1)
-        fresh = Upstream(entry(11, slots=3), 0)
-        listed = [*upstreams[1:], fresh]
+        new_upstream = Upstream(entry(11, slots=3), 0)
+        listed = [*upstreams[1:], new_upstream]
         placed = Counter(share.choose(listed, 1) for share in shares for _ in range(5))
-        self.assertLessEqual(placed[fresh], 3 * 100 * 3 / (9 * 1.5 + 3) / 2)
-        self.assertGreaterEqual(placed[fresh], 10)
+        self.assertLessEqual(placed[new_upstream], 3 * 100 * 3 / (9 * 1.5 + 3) / 2)
+        self.assertGreaterEqual(placed[new_upstream], 10)
 
     def test_a_cold_upstream_gets_half(self) -> None:
-        """Guards against callers who meet an upstream that has just started."""
-        upstreams = _alike(4)
+        """Guards against sending a full share of the flows to an upstream that has just started."""
+        upstreams = _equal_upstreams(4)
         upstreams[0].warm_at = 10
         placed = _placed(upstreams, hosts=20, flows=10)
         self.assertAlmostEqual(0.5, placed[upstreams[0]] / placed[upstreams[1]], delta=0.15)
 
-    def test_one_that_was_busy_for_long_gets_no_rush(self) -> None:
-        """Guards against turns that add up while an upstream may not be chosen."""
-        upstreams = _alike(4)
+    def test_credit_of_busy_upstream_is_limited(self) -> None:
+        """Guards against credits that accumulate while an upstream is not a candidate."""
+        upstreams = _equal_upstreams(4)
         share = SharesByCapacity('a1')
         for _ in range(100):
             share.choose(upstreams[1:], 1)
         first = [share.choose(upstreams, 1) for _ in range(8)]
         self.assertLessEqual(first.count(upstreams[0]), 4)
 
-    def test_turns_of_upstreams_that_are_gone_are_forgotten(self) -> None:
-        """Guards against memory that grows with each release."""
+    def test_credits_of_removed_upstreams_are_discarded(self) -> None:
+        """Guards against memory use that grows with each release."""
         share = SharesByCapacity('a1')
         for _ in range(100):
-            share.choose(_alike(5), 1)
+            share.choose(_equal_upstreams(5), 1)
         self.assertLess(share.credit_count, 100)
 
-    def test_services_do_not_push_each_other_out(self) -> None:
-        """Guards against turns that always start anew: one upstream got all flows of a service."""
+    def test_services_do_not_displace_each_others_credits(self) -> None:
+        """Guards against credits that are always reset, so that one upstream gets all flows."""
         share = SharesByCapacity('a1')
         services = [
             [Upstream(entry(number, service=f's{place}'), 0) for number in range(1, 21)]
@@ -788,7 +792,7 @@
             self.assertEqual({5}, {placed[upstream] for upstream in upstreams})
 
 
-def _alike(count: int) -> list[Upstream]:
+def _equal_upstreams(count: int) -> list[Upstream]:
     return [Upstream(entry(number), 0) for number in range(1, count + 1)]
 
 
@@ -798,7 +802,7 @@
 
 
 def _settled_counts(upstream: Upstream) -> AnswerCounts:
-    """Return counts with a settled mean of one kind and nothing left to tell."""
+    """Return counts with a usable mean of one kind and nothing left to report."""
     counts = AnswerCounts()
     for _ in range(40):
         counts.note(upstream, _KIND, 1, 1 + _MEAN_S)
@@ -811,7 +815,7 @@
 
 
 def _learning_state() -> RoutingState:
-    """Return a ready state whose text states an objective that calls for learning."""
+    """Return a ready state whose text has an objective, so that demand is controlled."""
     state = ready_state(entry(1), entry(2))
     with_objective = route(PORTAL_KEY, PORTAL)
     with_objective.objective_s = 0.6
--- a/tests/test_pool_members.py
+++ b/tests/test_pool_members.py
@@ -23,7 +23,7 @@
 
 
 class CapacityTest(TestCase):
-    """Cached capacities after changes of upstreams and pools."""
+    """Cached capacities after changes to upstreams and pools."""
 
     def setUp(self) -> None:
         """Start with upstreams in two data centres."""
@@ -34,9 +34,9 @@
             self.directory.take(entry(number, data_centre=_CENTRES[number % 2]), 0)
 
     def test_capacity_matches_full_scan_after_each_change(self) -> None:
-        """Guards against sharing out flows by the capacity of upstreams that have left."""
+        """Guards against distributing flows by the capacity of upstreams that have left."""
         changes = (
-            self._take_entry,
+            self._apply_entry,
             self._withhold_entry,
             self._remove_entry,
             self._evacuate_centres,
@@ -51,7 +51,7 @@
             )
 
     def test_capacity_after_a_learned_speed_is_forgotten(self) -> None:
-        """Guards against a learned speed that remains in use when demand is not controlled."""
+        """Guards against a learned speed that remains in use without demand control."""
         state = _controlled_state()
         reduce(state, Ticked(), 0.1)
         before = state.directory.pool_members.capacity_by_centre(PORTAL)
@@ -68,17 +68,17 @@
         state = _controlled_state()
         peer = PeerAddress('b1', 'dc-b', ('b1', 9))
         for tick in range(1, 20):
-            _hear_heartbeat_and_tick(state, peer, tick / 10)
+            _apply_heartbeat_and_tick(state, peer, tick / 10)
         with patch.object(pool_members, 'PoolCapacity', side_effect=AssertionError):
             for tick in range(20, 60):
-                _hear_heartbeat_and_tick(state, peer, tick / 10)
+                _apply_heartbeat_and_tick(state, peer, tick / 10)
 
-    def _take_entry(self, step: int) -> None:
+    def _apply_entry(self, step: int) -> None:
         number = self.random.randint(1, _UPSTREAMS + 3)
         centre = _CENTRES[number % 2]
         draining = self.random.choice((True, False, False))
-        taken = entry(number, revision=self.revision, data_centre=centre, draining=draining)
-        self.directory.take(taken, step)
+        changed = entry(number, revision=self.revision, data_centre=centre, draining=draining)
+        self.directory.take(changed, step)
 
     def _withhold_entry(self, step: int) -> None:
         self.directory.withhold(self._random_name(), self.revision)
@@ -88,8 +88,8 @@
         self.directory.forget_old(step)
 
     def _evacuate_centres(self, step: int) -> None:
-        closed = frozenset(self.random.sample(_CENTRES, self.random.randint(0, 2)))
-        self.directory.closed_centres.take(Evacuated(self.revision, closed), step)
+        evacuated = frozenset(self.random.sample(_CENTRES, self.random.randint(0, 2)))
+        self.directory.closed_centres.take(Evacuated(self.revision, evacuated), step)
         self.directory.close_pools()
 
     def _restart_upstream(self, step: int) -> None:
@@ -157,11 +157,11 @@
     return state
 
 
-def _hear_heartbeat_and_tick(state: RoutingState, peer: PeerAddress, now: float) -> None:
+def _apply_heartbeat_and_tick(state: RoutingState, peer: PeerAddress, now: float) -> None:
     """Pass a heartbeat of a peer and a tick to the reducer."""
-    asked = {PORTAL: Asked(10, 0)}
+    demand = {PORTAL: Asked(10, 0)}
     loads = {PORTAL: 0.5}
     heartbeat = Heartbeat(peer, 1, 1, {}, (), {PORTAL: 10.0}, load_by_service=loads)
-    heartbeat.asked_by_service = asked
+    heartbeat.asked_by_service = demand
     reduce(state, HeartbeatHeard(heartbeat), now)
     reduce(state, Ticked(), now)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Test that one host's finding that an upstream is silent spares the others theirs."""
+"""Test that hosts share which upstreams are unresponsive."""
 
 from unittest import TestCase
 
@@ -31,36 +31,36 @@
 _DEAD = 10
 _HOSTS = 12
 
-#: Each dead upstream is found once and tried once more; beside it flows are lost that were placed
-#: before the first word of it was heard.
+#: Flows lost per dead upstream: it is detected once and tried once more.  In addition, flows are
+#: lost that are placed before the first report arrives.
 _TRIES = 2
 
-#: Seconds between two new flows of one host, and seconds that are played.
-_FLOW_S = 0.3
-_PLAYED_S = 2
+#: Seconds between two new flows of one host, and seconds that are simulated.
+_FLOW_INTERVAL_S = 0.3
+_DURATION_S = 2
 
 
 class CrashTest(TestCase):
-    """Replay the two seconds between a crash and the lapse of the entries."""
+    """The two seconds between a crash and the expiry of the entries."""
 
     def test_a_crash_of_half_the_upstreams(self) -> None:
-        """Symptom: more callers fail than upstreams crashed, the more the more hosts there are.
+        """Guards against losses after a crash that grow with the number of hosts.
 
-        Sequence: ten of twenty upstreams fall silent; twelve hosts place a flow each 0.3 s.
-        Cause: each host finds each dead upstream by itself, by a caller's flow.
+        Ten of twenty upstreams become unresponsive while twelve hosts each place a flow every
+        0.3 s.  Without reports, each host loses a flow of a caller to detect each dead upstream.
         """
-        alone = _lost_in_a_crash(tell=False)
-        together = _lost_in_a_crash(tell=True)
-        on_their_way = (LEAST_PATIENCE_S + 2 * TICK_S) * _HOSTS / _FLOW_S / 2
-        self.assertGreater(alone, _TRIES * _DEAD + on_their_way)
-        self.assertLessEqual(together, _TRIES * _DEAD + on_their_way)
+        without_reports = _flows_lost_in_crash(share_reports=False)
+        with_reports = _flows_lost_in_crash(share_reports=True)
+        in_flight = (LEAST_PATIENCE_S + 2 * TICK_S) * _HOSTS / _FLOW_INTERVAL_S / 2
+        self.assertGreater(without_reports, _TRIES * _DEAD + in_flight)
+        self.assertLessEqual(with_reports, _TRIES * _DEAD + in_flight)
 
 
-class WordTest(TestCase):
-    """What is told, and what is believed."""
+class UnresponsiveReportTest(TestCase):
+    """Reports of unresponsive upstreams, and when they are applied."""
 
     def setUp(self) -> None:
-        """Know two upstreams; the first has answered, and the second not."""
+        """Start with two upstreams, of which the first has answered and the second has not."""
         self.state = ready_state(entry(1), entry(2))
         self.steering = steering(self.state)
         first, second = (self.state.directory.by_name[entry(number).name] for number in (1, 2))
@@ -70,98 +70,100 @@
         self.steering.decide(opening(2), 0.1)
         reduce(self.state, Ticked(), 0.3)
 
-    def test_a_silent_upstream_is_told(self) -> None:
-        """Also over the wire; and no longer after a while."""
-        told = decode_heartbeat(
+    def test_unresponsive_upstream_is_reported(self) -> None:
+        """The report survives encoding, and is no longer sent after a while."""
+        reported = decode_heartbeat(
             encode_heartbeat(near_heartbeat(self.state, 0.3))
         ).unanswered_by_number
-        self.assertEqual({entry(2).short_number: 1}, told)
+        self.assertEqual({entry(2).short_number: 1}, reported)
         _open(self.state, 3, 'i-00000001', answered=True, now=1)
         self.assertEqual({}, near_heartbeat(self.state, 1.2).unanswered_by_number)
 
-    def test_a_host_that_hears_nobody_says_nothing(self) -> None:
-        """Symptom: one host with a broken link empties its data centre.
+    def test_host_without_answers_reports_nothing(self) -> None:
+        """Guards against a host with a broken link that stops all flows in its data centre.
 
-        Sequence: no upstream's answer passes its link; it tells that all are silent.
-        Cause: what one host does not hear is taken for what nobody hears.
+        No answer reaches the host through its link.  It must not report all upstreams as
+        unresponsive, since the others can still reach them.
         """
         self.assertEqual({}, near_heartbeat(self.state, HEARD_S).unanswered_by_number)
 
-    def test_the_word_is_taken(self) -> None:
-        """A neighbour places its next flow elsewhere, for as long as after its own finding."""
+    def test_report_is_applied(self) -> None:
+        """A neighbour avoids the upstream for as long as after its own detection."""
         other = ready_state(entry(1), entry(2), now=9)
-        _tell(other, {entry(2).short_number: 1}, 10)
+        _apply_report(other, {entry(2).short_number: 1}, 10)
         other.directory.by_name['i-00000001'].asked = 9
-        chosen = steering(other)
-        self.assertEqual('i-00000001', delivered_to(chosen.decide(opening(1), 10.1)))
+        deciding = steering(other)
+        self.assertEqual('i-00000001', delivered_to(deciding.decide(opening(1), 10.1)))
         later = 10 + AVOID_S
         other.directory.by_name['i-00000002'].asked = 0
         other.flows.drop(opening(1).flow)
         other.directory.by_name['i-00000001'].asked = 9
-        self.assertEqual('i-00000002', delivered_to(chosen.decide(opening(2), later)))
+        self.assertEqual('i-00000002', delivered_to(deciding.decide(opening(2), later)))
 
-    def test_own_sight_is_believed_more(self) -> None:
-        """An upstream that has just answered here is not avoided."""
+    def test_own_observation_takes_precedence(self) -> None:
+        """An upstream that has just answered this host is not avoided."""
         other = ready_state(entry(1), now=9)
         _open(other, 1, 'i-00000001', answered=True, now=10)
-        _tell(other, {entry(1).short_number: 1}, 10 + ANSWERED_S / 2)
+        _apply_report(other, {entry(1).short_number: 1}, 10 + ANSWERED_S / 2)
         self.assertEqual(0, other.directory.by_name['i-00000001'].avoided_until)
 
-    def test_nobody_is_better_than_a_silent_one(self) -> None:
-        """Where all are called silent, flows are placed all the same."""
+    def test_unresponsive_upstream_is_the_last_resort(self) -> None:
+        """If all upstreams are reported as unresponsive, flows are still placed."""
         other = ready_state(entry(1), now=9)
-        _tell(other, {entry(1).short_number: 1, 7: 1}, 10)
+        _apply_report(other, {entry(1).short_number: 1, 7: 1}, 10)
         self.assertIsInstance(steering(other).decide(opening(1), 10), Deliver)
 
-    def test_few_are_told(self) -> None:
-        """A heartbeat stays small when hundreds crash."""
+    def test_number_of_reported_upstreams_is_limited(self) -> None:
+        """A heartbeat remains small when hundreds of upstreams crash."""
         state = ready_state(*(entry(number) for number in range(1, 60)))
         for number, upstream in enumerate(state.directory.by_name.values()):
             upstream.unanswered = 1
             upstream.silent_until = 2 + number / 1000
         state.flows.heard_at = 1
-        told = near_heartbeat(state, 1.5).unanswered_by_number
-        self.assertEqual(MOST_SILENT, len(told))
-        self.assertIn(entry(59).short_number, told)
+        reported = near_heartbeat(state, 1.5).unanswered_by_number
+        self.assertEqual(MOST_SILENT, len(reported))
+        self.assertIn(entry(59).short_number, reported)
 
-    def test_a_number_that_is_none_is_unreadable(self) -> None:
-        """A peer of another version is not half understood."""
+    def test_invalid_number_is_rejected(self) -> None:
+        """A message of an unknown version is rejected as a whole."""
         raw = encode_heartbeat(near_heartbeat(self.state, 0.3))
         with self.assertRaises(MessageError):
             decode_heartbeat(raw.replace(b'"unanswered":[', b'"unanswered":["x",'))
 
 
 def _open(state: RoutingState, number: int, upstream: str, *, answered: bool, now: float) -> None:
-    """Open a flow at an upstream, which answers or does not."""
+    """Open a flow at an upstream, which answers if `answered`."""
     others = [other for name, other in state.directory.by_name.items() if name != upstream]
     for other in others:
         other.asked = 99
-    chosen = steering(state)
-    given_id = id_given(chosen.decide(opening(number), now))
+    deciding = steering(state)
+    connection_id = id_given(deciding.decide(opening(number), now))
     if answered:
-        chosen.decide(acknowledging(number, given_id, 9), now)
+        deciding.decide(acknowledging(number, connection_id, 9), now)
 
 
-def _tell(state: RoutingState, unanswered: dict[int, int], now: float) -> None:
+def _apply_report(state: RoutingState, unanswered: dict[int, int], now: float) -> None:
     sender = PeerAddress('a2', HOME, ('a2', 9))
     heartbeat = Heartbeat(sender, 1, 1, {}, unanswered_by_number=unanswered)
     reduce(state, HeartbeatHeard(heartbeat), now)
 
 
-def _lost_in_a_crash(*, tell: bool) -> int:
-    """Return the flows that went to dead upstreams in the seconds after a crash."""
+def _flows_lost_in_crash(*, share_reports: bool) -> int:
+    """Return the number of flows lost to dead upstreams in the seconds after a crash."""
     fleet = fleet_of(_HOSTS, (HOME,))
     for number in range(1, _UPSTREAMS + 1):
         put_upstream(fleet, number)
     fleet.run(3)
     dead = {entry(number).name for number in range(1, _UPSTREAMS, 2)}
-    _play(fleet, set(), 5, tell=tell)
-    return _play(fleet, dead, _PLAYED_S, tell=tell)
+    _place_flows(fleet, set(), 5, share_reports=share_reports)
+    return _place_flows(fleet, dead, _DURATION_S, share_reports=share_reports)
 
 
-def _play(fleet: RoutingFleet, dead: set[str], seconds: float, *, tell: bool) -> int:
+def _place_flows(
+    fleet: RoutingFleet, dead: set[str], seconds: float, *, share_reports: bool
+) -> int:
     lost = 0
-    rounds = int(seconds / _FLOW_S)
+    rounds = int(seconds / _FLOW_INTERVAL_S)
     for turn in range(rounds):
         for place, node in enumerate(fleet.running):
             number = len(dead) * 1000 + turn * _HOSTS + place
@@ -173,14 +175,14 @@
             else:
                 answer = acknowledging(number, verdict.connection_id, 9)
                 fleet.decide(node.me.name, answer)
-            fleet.run(_FLOW_S / _HOSTS)
-            if not tell:
-                _forget_word(fleet)
+            fleet.run(_FLOW_INTERVAL_S / _HOSTS)
+            if not share_reports:
+                _discard_reports(fleet)
     return lost
 
 
-def _forget_word(fleet: RoutingFleet) -> None:
-    """Let every host go by what it found itself."""
+def _discard_reports(fleet: RoutingFleet) -> None:
+    """Make each host use only its own observations."""
     for node in fleet.running:
         for upstream in node.state.directory.by_name.values():
             upstream.avoided_until = upstream.silent_until
