--- a/src/bronzekeel/core/routing/balancing.py
+++ b/src/bronzekeel/core/routing/balancing.py
@@ -1,7 +1,7 @@
-"""Settle where the flows of a data centre go, from what balancers tell each other."""
+"""Update where the flows of a data centre go from the reports of other balancers."""
 
 from bronzekeel.core.routing.admission import capacity_at
-from bronzekeel.core.routing.balance import RECKON_S, load_at, reckoned
+from bronzekeel.core.routing.balance import UPDATE_INTERVAL_S, compute_shares, load_at
 from bronzekeel.core.routing.load_moves import (
     adopt_shares,
     allowances_in_force,
@@ -12,32 +12,36 @@
 from bronzekeel.core.routing.state import RoutingState
 
 
-def reckon_balance(state: RoutingState, now: float) -> None:
-    """Settle once in ``RECKON_S`` where the flows of this data centre are to go.
+def update_balance(state: RoutingState, now: float) -> None:
+    """Update the shares of flows for remote data centres once per ``UPDATE_INTERVAL_S``.
 
-    The few hosts that other data centres tell reckon it; the others take it from them.
+    The few hosts that receive the reports of other data centres compute the shares; the other hosts
+    adopt them.
     """
-    if now < state.balance.reckon_at:
+    if now < state.balance.next_update_at:
         return
-    state.balance.reckon_at = now + RECKON_S
-    state.balance.meter.reckon(state.flows.requests_by_service)
+    state.balance.next_update_at = now + UPDATE_INTERVAL_S
+    state.balance.meter.update(state.flows.requests_by_service)
     rates_by_centre = state.relays.remote_rates(now)
-    state.balance.reckons = bool(rates_by_centre) and state.balance.meter.settled
-    if not state.balance.reckons:
+    state.balance.computes_shares = bool(rates_by_centre) and state.balance.meter.settled
+    if not state.balance.computes_shares:
         adopt_shares(state, state.peers.local_shares(now))
         return
-    home = state.peers.me.data_centre
-    rates_by_centre[home] = rates_of_centre(state, now)
-    tolerated = state.balance.tolerated
-    shares = reckoned(state.directory, home, rates_by_centre, tolerated)
-    loads = {share.service: load_at(state.directory, home, share.service) for share in shares}
-    adopt_shares(state, state.balance.settled(shares, loads))
+    local_centre = state.peers.me.data_centre
+    rates_by_centre[local_centre] = rates_of_centre(state, now)
+    tolerated_ratio = state.balance.tolerated_ratio
+    shares = compute_shares(state.directory, local_centre, rates_by_centre, tolerated_ratio)
+    loads = {
+        share.service: load_at(state.directory, local_centre, share.service) for share in shares
+    }
+    adopt_shares(state, state.balance.filter_strained(shares, loads))
 
 
-def reckon_room(state: RoutingState, now: float) -> None:
-    """Find once in ``RECKON_ROOM_S`` how much room other data centres have.
+def update_free_capacity(state: RoutingState, now: float) -> None:
+    """Update the free capacity of remote data centres once per ``RECKON_ROOM_S``.
 
-    The few hosts that other data centres tell reckon it; the others take it from them.
+    The few hosts that receive the reports of other data centres compute it; the other hosts adopt
+    their results.
     """
     room = state.room
     if now < room.reckon_at:
@@ -45,38 +49,42 @@
     room.reckon_at = now + RECKON_ROOM_S
     load_by_service_by_centre = state.relays.remote_loads(now)
     room.reckons = bool(load_by_service_by_centre)
-    home = state.peers.me.data_centre
+    local_centre = state.peers.me.data_centre
     if room.reckons:
         rates_by_centre = state.relays.remote_rates(now)
-        rates_by_centre[home] = rates_of_centre(state, now)
-        reckoned_here = allowances_of(
+        rates_by_centre[local_centre] = rates_of_centre(state, now)
+        local_allowances = allowances_of(
             state.directory,
-            home,
+            local_centre,
             load_by_service_by_centre,
             rates_by_centre,
         )
-        room.allowances = moved_allowances(state, reckoned_here, now)
+        room.allowances = moved_allowances(state, local_allowances, now)
     else:
         room.allowances = state.peers.local_allowances(now)
     allowances = allowances_in_force(state, now)
     services = {allowance.service for allowance in allowances}
     shares = {service: state.admission.share_of(service, now) for service in services}
-    homeless = {service for service in services if _is_homeless(state, service, now)}
-    put_in_force(state.directory, home, allowances, shares, homeless)
+    remote_only_services = {
+        service for service in services if _has_no_local_upstream(state, service, now)
+    }
+    put_in_force(state.directory, local_centre, allowances, shares, remote_only_services)
     reckon_moving_shares(state, now)
 
 
-def _is_homeless(state: RoutingState, service: str, now: float) -> bool:
-    """Whether the own data centre has no upstream of a service that new flows may go to."""
-    home = state.peers.me.data_centre
-    pool = state.directory.pools_by_service.get(service, {}).get(home)
+def _has_no_local_upstream(state: RoutingState, service: str, now: float) -> bool:
+    """Whether the local data centre has no upstream of a service for new flows."""
+    local_centre = state.peers.me.data_centre
+    pool = state.directory.pools_by_service.get(service, {}).get(local_centre)
     if pool is not None and pool.evacuated:
         return True
-    return not capacity_at(state.directory.pool_members.of_pool(service, home), home, now)
+    return not capacity_at(
+        state.directory.pool_members.of_pool(service, local_centre), local_centre, now
+    )
 
 
 def rates_of_centre(state: RoutingState, now: float) -> dict[str, float]:
-    """Return the requests a second of all callers of this data centre, by service."""
+    """Return the requests per second of all callers of this data centre, by service."""
     total = dict(state.balance.meter.by_service)
     for rate_by_service in state.peers.local_rates(now):
         for service, rate in rate_by_service.items():
--- a/src/bronzekeel/core/routing/messages.py
+++ b/src/bronzekeel/core/routing/messages.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from types import MappingProxyType
 
-from bronzekeel.core.routing.answer_counts import ToldCounts
+from bronzekeel.core.routing.answer_counts import ReportedCounts
 from bronzekeel.core.routing.caller_words import CallersWord
 from bronzekeel.core.routing.model import RoutingText, UpstreamEntry
 
@@ -137,7 +137,7 @@
         evacuated: Evacuated = NOTHING_EVACUATED,
         unanswered_by_number: Mapping[int, int] = _NO_COUNTS,
         callers_by_service: Mapping[str, CallersWord] = _NO_REPORTS,
-        counts: ToldCounts | None = None,
+        counts: ReportedCounts | None = None,
         demand_by_service: Mapping[str, ServiceDemand] | None = None,
         hears: tuple[str, ...] = (),
         unheard: tuple[str, ...] = (),
--- a/src/bronzekeel/core/routing/placement_by_capacity.py
+++ b/src/bronzekeel/core/routing/placement_by_capacity.py
@@ -1,10 +1,10 @@
-"""Choose among upstreams that look alike by the capacity that their open flows leave.
+"""Distribute flows over equally ranked upstreams in proportion to their spare capacity.
 
-Every host goes by nearly the same sums, which are as old as a heartbeat.  What goes wrong if each
-takes the upstream with the most capacity left: all send there what comes until the next
-heartbeat, a new upstream is rushed, and a flow that is kept open stays where that put it.  So each
-host gives every upstream its share of the flows, in turn (smooth weighted round robin), and starts
-the turns at a place of its own.
+All hosts use nearly the same figures, which are up to a heartbeat interval old.  If each host chose
+the upstream with the most spare capacity, all would send their flows there until the next
+heartbeat, overload a new upstream, and persistent flows would stay where they were placed.  Instead
+each host gives every upstream its share of the flows by smooth weighted round robin, with initial
+credits that differ between hosts.
 """
 
 from collections.abc import Sequence
@@ -13,24 +13,24 @@
 from bronzekeel.core.routing.model import Upstream
 
 
-#: Work of a cold upstream as a multiple of a warm one's.  Source: upstreams
-#: that have just started took 1.6 times as long; rounded up, since a cold one
-#: also serves its first flows worst.
+#: Work per request of a cold upstream as a multiple of that of a warm one.  Upstreams that have
+#: just started take 1.6 times as long; the factor is rounded up, since the first flows of a cold
+#: upstream are the slowest.
 COLD_FACTOR = 2.0
 
-#: Turns that an upstream may be ahead or behind at most.  What goes wrong without it: one that was
-#: busy or silent for long gets all flows when it is back.
-_MOST_TURNS = 1.0
+#: Maximum absolute credit in flows.  Without this limit, an upstream that was busy or unresponsive
+#: for a long time would get all flows when it becomes available again.
+_MAX_CREDIT = 1.0
 
-#: Turns of a service that are kept beside twice its upstreams.
-_MANY_TURNS = 64
+#: Number of credits retained per service in addition to twice its number of upstreams.
+_MAX_STALE_CREDITS = 64
 
 _HASH_BITS = 32
-_HASHES = 1 << _HASH_BITS
+_HASH_RANGE = 1 << _HASH_BITS
 
 
-class _Turns:
-    """Hold the turns of one service's upstreams; `most` of them were to choose from at a time."""
+class _Credits:
+    """Hold the credits of the upstreams of one service; `most` is the maximum of candidates."""
 
     __slots__ = ('by_upstream', 'most')
 
@@ -38,10 +38,10 @@
         self.by_upstream: dict[Upstream, float] = {}
         self.most = 0
 
-    def keep(self, candidates: Sequence[Upstream]) -> None:
-        """Forget the turns of all but the candidates if there are far more than upstreams."""
+    def discard_stale(self, candidates: Sequence[Upstream]) -> None:
+        """Discard the credits of all but the candidates if there are far more than those."""
         self.most = max(self.most, len(candidates))
-        if len(self.by_upstream) <= _MANY_TURNS + 2 * self.most:
+        if len(self.by_upstream) <= _MAX_STALE_CREDITS + 2 * self.most:
             return
         self.by_upstream = {
             upstream: self.by_upstream[upstream]
@@ -51,45 +51,50 @@
 
 
 class SharesByCapacity:
-    """Give new flows to upstreams in proportion to the capacity that they have left."""
+    """Distribute new flows over upstreams in proportion to their spare capacity."""
 
-    __slots__ = ('_host', '_turns_by_service')
+    __slots__ = ('_credits_by_service', '_host')
 
     def __init__(self, host: str) -> None:
-        """Start the turns at the place of `host`."""
+        """Start without credits; the initial ones depend on the name `host`."""
         self._host = host
-        self._turns_by_service: dict[str, _Turns] = {}
+        self._credits_by_service: dict[str, _Credits] = {}
 
     @property
-    def kept(self) -> int:
-        """Turns that are kept."""
-        return sum(len(turns.by_upstream) for turns in self._turns_by_service.values())
+    def credit_count(self) -> int:
+        """Number of upstreams with credits, over all services."""
+        return sum(
+            len(service_credits.by_upstream)
+            for service_credits in self._credits_by_service.values()
+        )
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream:
-        """Return the upstream of some of one service that look alike whose turn it is."""
-        turns = self._turns_by_service.setdefault(candidates[0].entry.service, _Turns())
-        turns.keep(candidates)
+        """Return the upstream with the highest credit among candidates of one service."""
+        service_credits = self._credits_by_service.setdefault(
+            candidates[0].entry.service, _Credits()
+        )
+        service_credits.discard_stale(candidates)
         weights = [spare_of(upstream, now) for upstream in candidates]
         total = sum(weights)
         best = candidates[0]
-        best_turn = float('-inf')
+        best_credit = float('-inf')
         for upstream, weight in zip(candidates, weights, strict=True):
-            if upstream not in turns.by_upstream:
-                turns.by_upstream[upstream] = self._first_turn(upstream)
-            turn = turns.by_upstream[upstream] + weight / total
-            turns.by_upstream[upstream] = min(turn, _MOST_TURNS)
-            if turn > best_turn:
+            if upstream not in service_credits.by_upstream:
+                service_credits.by_upstream[upstream] = self._initial_credit(upstream)
+            credit = service_credits.by_upstream[upstream] + weight / total
+            service_credits.by_upstream[upstream] = min(credit, _MAX_CREDIT)
+            if credit > best_credit:
                 best = upstream
-                best_turn = turn
-        turns.by_upstream[best] = max(best_turn - 1, -_MOST_TURNS)
+                best_credit = credit
+        service_credits.by_upstream[best] = max(best_credit - 1, -_MAX_CREDIT)
         return best
 
-    def _first_turn(self, upstream: Upstream) -> float:
+    def _initial_credit(self, upstream: Upstream) -> float:
         name = upstream.entry.name
-        return crc32(f'{self._host}/{name}'.encode()) / _HASHES - 1 / 2
+        return crc32(f'{self._host}/{name}'.encode()) / _HASH_RANGE - 1 / 2
 
 
 def spare_of(upstream: Upstream, now: float) -> float:
-    """Return the capacity that an upstream has left, in slots."""
+    """Return the spare capacity of an upstream in slots."""
     spare = upstream.capacity if upstream.spare is None else upstream.spare
     return spare / COLD_FACTOR if now < upstream.warm_at else spare
--- a/src/bronzekeel/core/routing/sharing.py
+++ b/src/bronzekeel/core/routing/sharing.py
@@ -15,7 +15,7 @@
 from bronzekeel.core.routing.events import HeartbeatHeard, ViewFailed, ViewFetched
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.heartbeats import local_heartbeat, remote_heartbeat, reply_to
-from bronzekeel.core.routing.learning import take_counts
+from bronzekeel.core.routing.learning import apply_counts
 from bronzekeel.core.routing.load_moves import hasten_room, is_hurried
 from bronzekeel.core.routing.messages import (
     Heartbeat,
@@ -65,7 +65,7 @@
         state.peers.send_heartbeats_soon()
     near = state.peers.due_neighbours(now)
     if near:
-        counts = state.demand.capacities.counts.tell(now)
+        counts = state.demand.capacities.counts.pop_report(now)
         effects.append(SendHeartbeat(local_heartbeat(state, now, counts), near))
     far = state.peers.due_seeds(now, ready=state.ready)
     far.extend(
@@ -101,7 +101,7 @@
     joined = state.peers.note_heartbeat(heartbeat, now)
     effects.extend(_take_evacuated(state, heartbeat, now))
     apply_unresponsive(state, heartbeat.unanswered_by_number, now)
-    take_counts(state, heartbeat)
+    apply_counts(state, heartbeat)
     hasten_room(state, heartbeat)
     if joined:
         effects.append(WriteLine(LogNumber.MEMBER_JOINED, peer=sender.name))
--- a/src/bronzekeel/core/routing/steering.py
+++ b/src/bronzekeel/core/routing/steering.py
@@ -189,7 +189,7 @@
             if verdict is not None:
                 return verdict
             upstream = sibling or upstream
-        surging = self._state.balance.sends_away(service)
+        surging = self._state.balance.sends_remote(service)
         departure = Departure.SURGE if surging else Departure.NO_UPSTREAM
         return self._place(packet, upstream, route, text, now, departure)
 
--- a/src/bronzekeel/entry/count_fields.py
+++ b/src/bronzekeel/entry/count_fields.py
@@ -5,7 +5,7 @@
 from struct import Struct
 from typing import Any
 
-from bronzekeel.core.routing.answer_counts import AnswerCount, ToldCounts
+from bronzekeel.core.routing.answer_counts import AnswerCount, ReportedCounts
 
 
 _HEAD = Struct('!I')
@@ -17,15 +17,15 @@
 _PARTS_PER_MEAN = 64
 
 
-def encode_counts(report: ToldCounts) -> dict[str, str]:
+def encode_counts(report: ReportedCounts) -> dict[str, str]:
     """Return the message fields for counts; `pending` is omitted if no requests are pending."""
-    fields = {'answers': _encode_records(_HEAD.pack(report.told_ms), report.counts)}
+    fields = {'answers': _encode_records(_HEAD.pack(report.reported_ms), report.counts)}
     if report.pending:
         fields['pending'] = _encode_records(b'', report.pending)
     return fields
 
 
-def decode_counts(fields: Mapping[str, Any]) -> ToldCounts | None:
+def decode_counts(fields: Mapping[str, Any]) -> ReportedCounts | None:
     """Return the counts in the fields of a message, or None if the message has none.
 
     Raises ValueError if the fields are malformed.
@@ -35,9 +35,9 @@
     raw = b64decode(str(fields['answers']), validate=True)
     if len(raw) < _HEAD.size:
         raise ValueError(f'counts of answers are too short: {len(raw)} bytes')
-    told_ms = _HEAD.unpack_from(raw)[0]
+    reported_ms = _HEAD.unpack_from(raw)[0]
     pending = b64decode(str(fields.get('pending', '')), validate=True)
-    return ToldCounts(told_ms, _decode_records(raw[_HEAD.size :]), _decode_records(pending))
+    return ReportedCounts(reported_ms, _decode_records(raw[_HEAD.size :]), _decode_records(pending))
 
 
 def _encode_records(head: bytes, counts: tuple[AnswerCount, ...]) -> str:
