--- a/src/bronzekeel/bench/admission_policies.py
+++ b/src/bronzekeel/bench/admission_policies.py
@@ -24,14 +24,14 @@
 class AdmitAll(Admission):
     """Let every request go on at once."""
 
-    def reckon(self, now: float) -> None:
+    def update_limits(self, now: float) -> None:
         """Leave all pools without a limit."""
 
 
 class FixedLimit(Admission):
     """Let a fixed number be in progress."""
 
-    def reckon(self, now: float) -> None:
+    def update_limits(self, now: float) -> None:
         """Set the same limit for all pools of the data centre."""
         for pool in self._directory.pools_of(self._data_centre):
             pool.limit = _FIXED
@@ -53,12 +53,12 @@
         self._least_s_by_pool: dict[Pool, float] = {}
         self._busy_by_pool: dict[Pool, float] = {}
         self._rate_by_pool: dict[Pool, float] = {}
-        self._reckoned_at: float = 0
+        self._updated_at: float = 0
 
-    def reckon(self, now: float) -> None:
+    def update_limits(self, now: float) -> None:
         """Adjust the limits of the pools of the data centre."""
-        elapsed_s = max(now - self._reckoned_at, 0.01)
-        self._reckoned_at = now
+        elapsed_s = max(now - self._updated_at, 0.01)
+        self._updated_at = now
         for pool in self._directory.pools_of(self._data_centre):
             answered = pool.answered - self._answered_by_pool.get(pool, 0)
             self._answered_by_pool[pool] = pool.answered
--- a/src/bronzekeel/bench/waiting_policies.py
+++ b/src/bronzekeel/bench/waiting_policies.py
@@ -4,7 +4,7 @@
 from heapq import heappop, heappush
 from zlib import crc32
 
-from bronzekeel.core.routing.caller_shares import USUAL_CALLER_BITS, CallerShares, caller_of
+from bronzekeel.core.routing.caller_shares import DEFAULT_CALLER_BITS, CallerShares, caller_of
 from bronzekeel.core.routing.pools import Pool
 from bronzekeel.core.routing.waiting import (
     NewestFirst,
@@ -99,7 +99,7 @@
 
     def _key(self, waiting: tuple[int, WaitingRequest], now: float) -> tuple[int, bool, int]:
         rank, request = waiting
-        given = self._shares.given_to(_caller(request), now)
+        given = self._shares.admitted_for(_caller(request), now)
         return request.priority, given > self._shares.level, rank
 
 
@@ -128,7 +128,7 @@
 
 
 def _caller(request: WaitingRequest) -> int:
-    return caller_of(request.packets[0].flow, USUAL_CALLER_BITS)
+    return caller_of(request.packets[0].flow, DEFAULT_CALLER_BITS)
 
 
 def _hashed(request: WaitingRequest) -> int:
--- a/src/bronzekeel/core/routing/admission.py
+++ b/src/bronzekeel/core/routing/admission.py
@@ -31,7 +31,7 @@
 
 #: Requests a second of a service, at all balancers of the data centre, below which rates
 #: do not tell whose callers ask for how much.
-_LEAST_RATE = 5.0
+_MIN_KNOWN_RATE = 5.0
 
 #: Weight of the newest tick in the rate of answers.  Source: ticks come ten times a second,
 #: and a burst must show within half a second.
@@ -39,10 +39,10 @@
 
 #: Interval in seconds at which the limits of pools are reckoned that have nothing in progress.
 #: Source: with tens of thousands of upstreams a look at all of them takes milliseconds.
-_IDLE_POOLS_S = 1.0
+_IDLE_POOL_INTERVAL_S = 1.0
 
 #: Seconds between two ticks at least, for the rate of answers.
-_LEAST_ELAPSED_S = 0.01
+_MIN_ELAPSED_S = 0.01
 
 
 class Admission(ABC):
@@ -62,7 +62,7 @@
         self._meter = meter
 
     @abstractmethod
-    def reckon(self, now: float) -> None:
+    def update_limits(self, now: float) -> None:
         """Set the limits by what is known `now`; called at each tick."""
 
     def share_of(self, service: str, now: float) -> float:
@@ -76,7 +76,7 @@
         elsewhere = sum(
             rate_by_service.get(service, 0) for rate_by_service in self._peers.rates_near(now)
         )
-        if not self._meter.settled or own + elsewhere < _LEAST_RATE:
+        if not self._meter.settled or own + elsewhere < _MIN_KNOWN_RATE:
             return equal
         return max(own / (own + elsewhere), equal / 2)
 
@@ -103,16 +103,16 @@
         super().__init__(data_centre, directory, peers, meter)
         self._answered_by_pool: dict[Pool, int] = {}
         self._rate_by_pool: dict[Pool, float] = {}
-        self._reckoned_at: float = 0
-        self._next_whole_at: float = 0
+        self._updated_at: float = 0
+        self._next_full_update_at: float = 0
 
-    def reckon(self, now: float) -> None:
+    def update_limits(self, now: float) -> None:
         """Set the limits of the pools of the own data centre, of idle ones seldom."""
-        elapsed_s = max(now - self._reckoned_at, _LEAST_ELAPSED_S)
-        self._reckoned_at = now
-        everything = now >= self._next_whole_at
+        elapsed_s = max(now - self._updated_at, _MIN_ELAPSED_S)
+        self._updated_at = now
+        everything = now >= self._next_full_update_at
         if everything:
-            self._next_whole_at = now + _IDLE_POOLS_S
+            self._next_full_update_at = now + _IDLE_POOL_INTERVAL_S
         for pool in self._directory.pools_of(self._data_centre):
             if not everything and not pool.busy:
                 continue
--- a/src/bronzekeel/core/routing/balancing.py
+++ b/src/bronzekeel/core/routing/balancing.py
@@ -5,10 +5,10 @@
 from bronzekeel.core.routing.load_moves import (
     adopt_shares,
     allowances_in_force,
-    moved_allowances,
-    reckon_moving_shares,
+    recompute_allowances,
+    update_moving_shares,
 )
-from bronzekeel.core.routing.overflow import RECKON_ROOM_S, allowances_of, put_in_force
+from bronzekeel.core.routing.overflow import ALLOWANCE_INTERVAL_S, allowances_of, apply_allowances
 from bronzekeel.core.routing.state import RoutingState
 
 
@@ -35,14 +35,14 @@
 
 
 def reckon_room(state: RoutingState, now: float) -> None:
-    """Find once in ``RECKON_ROOM_S`` how much room other data centres have.
+    """Find once in ``ALLOWANCE_INTERVAL_S`` how much room other data centres have.
 
     The few hosts that other data centres tell reckon it; the others take it from them.
     """
     room = state.room
     if now < room.reckon_at:
         return
-    room.reckon_at = now + RECKON_ROOM_S
+    room.reckon_at = now + ALLOWANCE_INTERVAL_S
     load_by_service_by_centre = state.relays.loads_elsewhere(now)
     room.reckons = bool(load_by_service_by_centre)
     home = state.peers.me.data_centre
@@ -55,15 +55,15 @@
             load_by_service_by_centre,
             rates_by_centre,
         )
-        room.allowances = moved_allowances(state, reckoned_here, now)
+        room.allowances = recompute_allowances(state, reckoned_here, now)
     else:
         room.allowances = state.peers.allowances_near(now)
     allowances = allowances_in_force(state, now)
     services = {allowance.service for allowance in allowances}
     shares = {service: state.admission.share_of(service, now) for service in services}
     homeless = {service for service in services if _is_homeless(state, service, now)}
-    put_in_force(state.directory, home, allowances, shares, homeless)
-    reckon_moving_shares(state, now)
+    apply_allowances(state.directory, home, allowances, shares, homeless)
+    update_moving_shares(state, now)
 
 
 def _is_homeless(state: RoutingState, service: str, now: float) -> bool:
--- a/src/bronzekeel/core/routing/caller_watch.py
+++ b/src/bronzekeel/core/routing/caller_watch.py
@@ -1,24 +1,24 @@
-"""Keep the shares of callers up to date, and tell operators who is held to its share."""
+"""Keep the shares of callers up to date, and tell operators who is throttled to its share."""
 
 from bronzekeel.core.log_numbers import LogNumber
-from bronzekeel.core.routing.caller_shares import USUAL_CALLER_BITS, CallerShares, fading
-from bronzekeel.core.routing.caller_words import MOST_SERVICES, CallersWord
+from bronzekeel.core.routing.caller_reports import MAX_REPORTED_SERVICES, CallersReport
+from bronzekeel.core.routing.caller_shares import DEFAULT_CALLER_BITS, CallerShares, decay_factor
 from bronzekeel.core.routing.effects import Effect, WriteLine
 from bronzekeel.core.routing.peers import PeerTable
 from bronzekeel.core.routing.pools import Pool
 
 
 #: Callers of a service whose beginnings and ends are logged at most, at a time.
-_MOST_HELD = 4
+_MAX_THROTTLED = 4
 
-#: Seconds for which a caller must have kept to its share to be held no longer.
+#: Seconds for which a caller must have kept to its share to be throttled no longer.
 _RELEASE_S = 2.0
 
 _OCTETS = 4
 
 
-class _Held:
-    """Hold since when a caller is held to its share, and until when at least."""
+class _Throttled:
+    """Hold since when a caller is throttled to its share, and until when at least."""
 
     __slots__ = ('since', 'until')
 
@@ -30,14 +30,14 @@
 class CallerWatch:
     """Give pools whose demand is controlled the shares of their callers."""
 
-    __slots__ = ('_held_by_pool', 'bits')
+    __slots__ = ('_throttled_by_pool', 'bits')
 
-    def __init__(self, bits: int = USUAL_CALLER_BITS) -> None:
+    def __init__(self, bits: int = DEFAULT_CALLER_BITS) -> None:
         """Take the leading `bits` of an address for a caller."""
         self.bits = bits
-        self._held_by_pool: dict[Pool, dict[int, _Held]] = {}
+        self._throttled_by_pool: dict[Pool, dict[int, _Throttled]] = {}
 
-    def look(
+    def update(
         self,
         pools: list[Pool],
         peers: PeerTable,
@@ -45,7 +45,7 @@
         *,
         controlled: bool,
     ) -> list[Effect]:
-        """Reckon the shares; return the lines on callers that are held to theirs, or no longer.
+        """Reckon the shares; return the lines on callers that are throttled to theirs, or no longer.
 
         There are shares only while demand is `controlled`.
         """
@@ -56,79 +56,81 @@
                 continue
             if pool.callers is None:
                 pool.callers = CallerShares(self.bits)
-            pool.callers.reckon(_told_near(pool.service, peers, now), now)
-            if pool.callers.counting or pool in self._held_by_pool:
-                effects.extend(self._note_held(pool, pool.callers, now))
+            pool.callers.update_level(_reports_from_peers(pool.service, peers, now), now)
+            if pool.callers.counting or pool in self._throttled_by_pool:
+                effects.extend(self._log_throttled(pool, pool.callers, now))
         return effects
 
-    def words(self, pools: list[Pool], now: float) -> dict[str, CallersWord]:
+    def reports(self, pools: list[Pool], now: float) -> dict[str, CallersReport]:
         """Return what neighbours are to know of services that are short."""
-        word_by_service: dict[str, CallersWord] = {}
+        report_by_service: dict[str, CallersReport] = {}
         for pool in pools:
-            word = pool.callers.word(now) if pool.callers else None
-            if word is not None and len(word_by_service) < MOST_SERVICES:
-                word_by_service[pool.service] = word
-        return word_by_service
+            report = pool.callers.report(now) if pool.callers else None
+            if report is not None and len(report_by_service) < MAX_REPORTED_SERVICES:
+                report_by_service[pool.service] = report
+        return report_by_service
 
-    def _note_held(self, pool: Pool, shares: CallerShares, now: float) -> list[Effect]:
+    def _log_throttled(self, pool: Pool, shares: CallerShares, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        held_by_caller = self._held_by_pool.setdefault(pool, {})
-        for caller in shares.callers_above(now)[:_MOST_HELD]:
-            held = held_by_caller.get(caller)
-            if held is not None:
-                held.until = now + _RELEASE_S
+        throttled_by_caller = self._throttled_by_pool.setdefault(pool, {})
+        for caller in shares.throttled_callers(now)[:_MAX_THROTTLED]:
+            throttled = throttled_by_caller.get(caller)
+            if throttled is not None:
+                throttled.until = now + _RELEASE_S
                 continue
-            if len(held_by_caller) >= _MOST_HELD:
+            if len(throttled_by_caller) >= _MAX_THROTTLED:
                 continue
-            held_by_caller[caller] = _Held(now)
+            throttled_by_caller[caller] = _Throttled(now)
             effects.append(
                 WriteLine(
                     LogNumber.CALLER_HELD,
                     service=pool.service,
-                    caller=caller_text(caller, self.bits),
-                    given=round(shares.given_to(caller, now), 1),
+                    caller=format_caller(caller, self.bits),
+                    given=round(shares.admitted_for(caller, now), 1),
                     share=round(shares.level, 1),
                 ),
             )
-        effects.extend(self._release(pool, held_by_caller, now))
+        effects.extend(self._release(pool, throttled_by_caller, now))
         return effects
 
-    def _release(self, pool: Pool, held_by_caller: dict[int, _Held], now: float) -> list[Effect]:
+    def _release(
+        self, pool: Pool, throttled_by_caller: dict[int, _Throttled], now: float
+    ) -> list[Effect]:
         effects: list[Effect] = []
-        for caller, held in list(held_by_caller.items()):
-            if now < held.until:
+        for caller, throttled in list(throttled_by_caller.items()):
+            if now < throttled.until:
                 continue
-            held_by_caller.pop(caller)
+            throttled_by_caller.pop(caller)
             effects.append(
                 WriteLine(
                     LogNumber.CALLER_RELEASED,
                     service=pool.service,
-                    caller=caller_text(caller, self.bits),
-                    held_s=round(now - held.since, 1),
+                    caller=format_caller(caller, self.bits),
+                    held_s=round(now - throttled.since, 1),
                 ),
             )
-        if not held_by_caller:
-            self._held_by_pool.pop(pool)
+        if not throttled_by_caller:
+            self._throttled_by_pool.pop(pool)
         return effects
 
 
-def caller_text(caller: int, bits: int) -> str:
+def format_caller(caller: int, bits: int) -> str:
     """Return a caller for people: the address and how many leading bits count."""
     octets = '.'.join(str(octet) for octet in caller.to_bytes(_OCTETS, 'big'))
     return f'{octets}/{bits}'
 
 
-def _told_near(
+def _reports_from_peers(
     service: str,
     peers: PeerTable,
     now: float,
-) -> list[tuple[float, CallersWord]]:
+) -> list[tuple[float, CallersReport]]:
     """Return the newest words of living neighbours on a service, and what is left of each."""
-    told = []
+    reports = []
     for peer in peers.living(now):
         if peer.heartbeat is None or peer.heard_at is None:
             continue
-        word = peer.heartbeat.callers_by_service.get(service)
-        if word is not None:
-            told.append((fading(now - peer.heard_at, peers.interval_s), word))
-    return told
+        report = peer.heartbeat.callers_by_service.get(service)
+        if report is not None:
+            reports.append((decay_factor(now - peer.heard_at, peers.interval_s), report))
+    return reports
--- a/src/bronzekeel/core/routing/capacities.py
+++ b/src/bronzekeel/core/routing/capacities.py
@@ -20,8 +20,8 @@
     AnswerCount,
     AnswerCounts,
     ToldCounts,
-    start_of,
     invert_soft_clip,
+    start_of,
 )
 from bronzekeel.core.routing.answer_times import AnswerTimes
 from bronzekeel.core.routing.answer_windows import AnswerWindow
@@ -431,8 +431,8 @@
 
     def _reckon_pool(self, pool: Pool, near: list[Upstream], elapsed_s: float) -> list[Effect]:
         learned_here = [self._learned_of(upstream) for upstream in near]
-        for fading in learned_here:
-            fading.fade(elapsed_s)
+        for decay_factor in learned_here:
+            decay_factor.fade(elapsed_s)
         work = self._work_by_pool.get(pool)
         if work is None or not work.has_answers:
             return []
--- a/src/bronzekeel/core/routing/room_news.py
+++ b/src/bronzekeel/core/routing/change_trigger.py
@@ -6,12 +6,12 @@
 
 #: Seconds between two changes that are told early, at least.  Source: a large data centre's
 #: ordinary heartbeats go every 0.8 to 1.2 s; early ones add no more than twice as many.
-NEWS_S = 0.5
+MIN_INTERVAL_S = 0.5
 
 KeyT = TypeVar('KeyT', bound=Hashable)
 
 
-class RoomNews(Generic[KeyT]):
+class ChangeTrigger(Generic[KeyT]):
     """Compare levels with those that were told early last; they changed at `changed_at`.
 
     A change is told if it is at least `least`, and `share` of the larger level: small ones wait
@@ -33,7 +33,7 @@
         if now < self._next_at or not self._has_changed(level_by_key):
             return
         self._level_by_key = dict(level_by_key)
-        self._next_at = now + NEWS_S
+        self._next_at = now + MIN_INTERVAL_S
         self.changed_at = now
 
     def _has_changed(self, level_by_key: Mapping[KeyT, float]) -> bool:
--- a/src/bronzekeel/core/routing/demand_control.py
+++ b/src/bronzekeel/core/routing/demand_control.py
@@ -14,7 +14,7 @@
 #: setting leaves that to the text.  Source: a packet that is lost is repeated after 0.2 s; a
 #: request that waits for as long as that, is lost once and takes a tenth of a second must be
 #: in time.
-LEAST_OBJECTIVE_S = 0.5
+MIN_OBJECTIVE_S = 0.5
 
 
 class DemandControlMode(StrEnum):
@@ -37,5 +37,5 @@
     def covers(self, text: RoutingText | None) -> bool:
         """Whether demand is controlled while `text` is in force."""
         if self._mode is DemandControlMode.BY_OBJECTIVE:
-            return text is not None and text.least_objective_s >= LEAST_OBJECTIVE_S
+            return text is not None and text.least_objective_s >= MIN_OBJECTIVE_S
         return self._mode is DemandControlMode.ALWAYS
--- a/src/bronzekeel/core/routing/asked_meter.py
+++ b/src/bronzekeel/core/routing/demand_meter.py
@@ -15,11 +15,11 @@
 #: must be known within a second at all hosts; forty requests in half a second are sixteen percent
 #: off by chance, and shares change at half as much again.
 WINDOW_S = 0.5
-_LOOKS = 5
+_SAMPLES_PER_WINDOW = 5
 
 #: Seconds by which a look may come early.  Source: half of the interval at which looks are due, so
 #: that timers that fire a little unevenly skip none.
-_EARLY_S = 0.05
+_TIMER_SLACK_S = 0.05
 
 
 class _Counts:
@@ -32,18 +32,18 @@
         self.by_service: dict[str, tuple[int, int]] = {}
 
 
-class AskedMeter:
+class DemandMeter:
     """Hold what was asked of this balancer in the newest half second, None before it is known."""
 
-    __slots__ = ('_counts', '_look_at', 'by_service')
+    __slots__ = ('_counts', '_next_sample_at', 'by_service')
 
     def __init__(self) -> None:
         """Start with nothing counted."""
         self.by_service: dict[str, Asked] | None = None
-        self._counts: deque[_Counts] = deque(maxlen=_LOOKS + 1)
-        self._look_at: float = 0
+        self._counts: deque[_Counts] = deque(maxlen=_SAMPLES_PER_WINDOW + 1)
+        self._next_sample_at: float = 0
 
-    def look(
+    def sample(
         self,
         services: Iterable[str],
         requests_by_service: Mapping[str, int],
@@ -51,33 +51,33 @@
         now: float,
     ) -> bool:
         """Take the counts of some services, some times in the window; return whether it did."""
-        if now < self._look_at - _EARLY_S:
+        if now < self._next_sample_at - _TIMER_SLACK_S:
             return False
-        self._look_at = now + WINDOW_S / _LOOKS
+        self._next_sample_at = now + WINDOW_S / _SAMPLES_PER_WINDOW
         if self._counts and now > self._counts[-1].at + WINDOW_S:
             self._counts.clear()
             self.by_service = None
         counts = _Counts(now)
         for counted in services:
             requests = requests_by_service.get(counted, 0)
-            counts.by_service[counted] = (requests, _refused(directory, counted))
+            counts.by_service[counted] = (requests, _refused_requests(directory, counted))
         self._counts.append(counts)
-        if len(self._counts) <= _LOOKS:
+        if len(self._counts) <= _SAMPLES_PER_WINDOW:
             return True
         former = self._counts[0]
         self.by_service = {
-            service: _asked(
+            service: _demand_between(
                 former.by_service.get(service, count),
                 count,
                 now - former.at,
-                _waiting(directory, service),
+                _waiting_requests(directory, service),
             )
             for service, count in counts.by_service.items()
         }
         return True
 
 
-def total_of(asked: Iterable[Mapping[str, Asked]]) -> dict[str, Asked]:
+def total_demand(asked: Iterable[Mapping[str, Asked]]) -> dict[str, Asked]:
     """Return what is asked of several balancers together."""
     total: dict[str, Asked] = {}
     for asked_by_service in asked:
@@ -87,7 +87,7 @@
     return total
 
 
-def _asked(
+def _demand_between(
     former: tuple[int, int],
     newest: tuple[int, int],
     elapsed_s: float,
@@ -98,9 +98,9 @@
     return Asked((placed + refused) / elapsed_s, refused + waiting)
 
 
-def _refused(directory: Directory, service: str) -> int:
+def _refused_requests(directory: Directory, service: str) -> int:
     return sum(pool.refused for pool in directory.pools_by_service.get(service, {}).values())
 
 
-def _waiting(directory: Directory, service: str) -> int:
+def _waiting_requests(directory: Directory, service: str) -> int:
     return sum(pool.waiting for pool in directory.pools_by_service.get(service, {}).values())
--- a/src/bronzekeel/core/routing/flows.py
+++ b/src/bronzekeel/core/routing/flows.py
@@ -288,7 +288,7 @@
             flow.upstream.busy_flows += 1
             flow.upstream.asked += 1
             if flow.upstream.pool.callers is not None:
-                flow.upstream.pool.callers.note(flow.key, now, given=True)
+                flow.upstream.pool.callers.note(flow.key, now, admitted=True)
             self.lengths.note_request(flow.key)
             service = flow.upstream.entry.service
             self.requests_by_service[service] = self.requests_by_service.get(service, 0) + 1
--- a/src/bronzekeel/core/routing/heartbeats.py
+++ b/src/bronzekeel/core/routing/heartbeats.py
@@ -6,11 +6,11 @@
 from bronzekeel.core.routing.answer_counts import ToldCounts
 from bronzekeel.core.routing.balance import load_at
 from bronzekeel.core.routing.balancing import rates_of_centre
-from bronzekeel.core.routing.load_moves import told_shares
-from bronzekeel.core.routing.load_words import (
-    asked_here,
-    asked_of_centre,
-    centres_heard_here,
+from bronzekeel.core.routing.load_moves import shares_to_report
+from bronzekeel.core.routing.load_reports import (
+    centre_demand,
+    centres_reporting_to_host,
+    host_demand,
 )
 from bronzekeel.core.routing.messages import Evacuated, Heartbeat, PeerAddress
 from bronzekeel.core.routing.silence import silent_upstreams
@@ -63,7 +63,7 @@
             for service in rate_by_service
         },
         evacuated=_told_evacuated(state),
-        asked_by_service=asked_of_centre(state, now),
+        asked_by_service=centre_demand(state, now),
         unheard=tuple(sorted(state.demand.moving.unheard.names)),
         direct=state.is_direct(now),
         lost=state.is_lost,
@@ -89,16 +89,16 @@
         _largest(busy_by_number, MOST_LOADS),
         state.peers.some_others(state.peers.me.data_centre, now),
         _largest(state.balance.meter.by_service, MOST_RATES),
-        told_shares(state),
+        shares_to_report(state),
         allowances=state.room.allowances if state.room.reckons else None,
         unanswered_by_number=silent_upstreams(state, now),
-        callers_by_service=state.demand.callers.words(
+        callers_by_service=state.demand.callers.reports(
             state.directory.pools_of(state.peers.me.data_centre),
             now,
         ),
         counts=counts,
-        asked_by_service=asked_here(state),
-        hears=centres_heard_here(state, now),
+        asked_by_service=host_demand(state),
+        hears=centres_reporting_to_host(state, now),
         evacuated=_told_evacuated(state),
         direct=state.is_direct(now),
         lost=state.is_lost,
--- a/src/bronzekeel/core/routing/load_moves.py
+++ b/src/bronzekeel/core/routing/load_moves.py
@@ -2,42 +2,42 @@
 
 from bronzekeel.core.routing.balance import load_at
 from bronzekeel.core.routing.effects import Effect
-from bronzekeel.core.routing.load_words import (
-    asked_of_centre,
-    centres_heard,
+from bronzekeel.core.routing.load_reports import (
+    centre_demand,
+    centres_reporting,
     controlled_services,
-    is_centre_lacking,
+    has_unserved_demand,
 )
 from bronzekeel.core.routing.messages import Allowance, Asked, FlowShare, Heartbeat
-from bronzekeel.core.routing.moving_load import ROOM_WORD_S, CentreWord, LevelKey
+from bronzekeel.core.routing.moving_load import REPORT_VALID_S, CentreReport, LevelKey
 from bronzekeel.core.routing.peers import Peer
 from bronzekeel.core.routing.relays import STRAINED_RELAY_S
 from bronzekeel.core.routing.state import RoutingState
 
 
-_NOTHING_ASKED = Asked(0, 0)
+_NO_DEMAND = Asked(0, 0)
 
 #: Marks a share among levels, which counts as so many flows: a tenth of all is told early.
 _SHARE = 'share'
-_FLOWS = 10
+_SHARE_SCALE = 10
 
 
-def look_at_load(state: RoutingState, now: float) -> list[Effect]:
+def update_load(state: RoutingState, now: float) -> list[Effect]:
     """Count what is asked, and notice what others should hear at once."""
     moving = state.demand.moving
     services = controlled_services(state)
     if not services:
         return []
     requests_by_service = state.flows.requests_by_service
-    if moving.asked.look(services, requests_by_service, state.directory, now):
-        moving.load_by_service = _loads_at_home(state, services)
-        moving.far_news.note(moving.full_services(), now)
-        moving.unheard.note(centres_heard(state, now), now)
-    moving.near_news.note(_near_levels(state, services), now)
+    if moving.asked.sample(services, requests_by_service, state.directory, now):
+        moving.load_by_service = _local_loads(state, services)
+        moving.remote_changes.note(moving.full_services(), now)
+        moving.unheard.note(centres_reporting(state, now), now)
+    moving.local_changes.note(_levels_for_peers(state, services), now)
     return moving.departures.look(now)
 
 
-def hasten_room(state: RoutingState, heartbeat: Heartbeat) -> None:
+def expedite_allowances(state: RoutingState, heartbeat: Heartbeat) -> None:
     """Reckon room at the next tick if a heartbeat may have told of another."""
     told = heartbeat.allowances is not None
     far = heartbeat.sender.data_centre != state.peers.me.data_centre
@@ -45,14 +45,14 @@
         state.room.reckon_at = 0
 
 
-def is_hurried(state: RoutingState, now: float) -> bool:
+def needs_frequent_reports(state: RoutingState, now: float) -> bool:
     """Whether other data centres are to be told more often than in calm."""
     if state.directory.is_strained(state.peers.me.data_centre, now):
         return True
     if not state.demand.moving.asked.by_service:
         return False
-    hurried_until = state.demand.moving.far_news.changed_at + STRAINED_RELAY_S
-    return now < hurried_until or is_centre_lacking(state, now)
+    hurried_until = state.demand.moving.remote_changes.changed_at + STRAINED_RELAY_S
+    return now < hurried_until or has_unserved_demand(state, now)
 
 
 def adopt_shares(state: RoutingState, shares: tuple[FlowShare, ...]) -> None:
@@ -64,8 +64,8 @@
         state.balance.adopt(shares)
 
 
-def reckon_moving_shares(state: RoutingState, now: float) -> None:
-    """Settle which flows leave that home could not serve in time, by the newest word.
+def update_moving_shares(state: RoutingState, now: float) -> None:
+    """Settle which flows leave that home could not serve in time, by the newest report.
 
     A host that hears all data centres that its neighbours hear reckons the shares itself; the
     others take them from one that does.
@@ -74,14 +74,18 @@
     services = controlled_services(state)
     if not services or not state.balance.bearable:
         return
-    words = state.relays.words_elsewhere(now, ROOM_WORD_S)
-    complete = bool(words) and set(words) >= set(centres_heard(state, now))
-    moving.reckoned_shares = _shares_of(state, services, words, now) if complete else ()
-    shares = moving.reckoned_shares if complete else _shares_near(state, now)
+    heartbeat_by_centre = state.relays.words_elsewhere(now, REPORT_VALID_S)
+    complete = bool(heartbeat_by_centre) and set(heartbeat_by_centre) >= set(
+        centres_reporting(state, now)
+    )
+    moving.computed_shares = (
+        _shares_of(state, services, heartbeat_by_centre, now) if complete else ()
+    )
+    shares = moving.computed_shares if complete else _shares_from_peers(state, now)
     state.balance.adopt(shares)
 
 
-def told_shares(state: RoutingState) -> tuple[FlowShare, ...] | None:
+def shares_to_report(state: RoutingState) -> tuple[FlowShare, ...] | None:
     """Return the shares that were reckoned here, None if this host hears too little for it.
 
     What goes wrong with shares that neighbours told: hosts repeat each other's for ever.
@@ -90,14 +94,14 @@
         return None
     if not state.balance.bearable or not state.controls_demand:
         return state.balance.shares
-    return state.demand.moving.reckoned_shares
+    return state.demand.moving.computed_shares
 
 
-def _shares_near(state: RoutingState, now: float) -> tuple[FlowShare, ...]:
-    """Return the shares of the neighbour that hears most, unless its word is old."""
+def _shares_from_peers(state: RoutingState, now: float) -> tuple[FlowShare, ...]:
+    """Return the shares of the neighbour that hears most, unless its report is old."""
     told: tuple[FlowShare, ...] = ()
     most: tuple[int, float] = (0, 0)
-    for peer in _told_lately(state, now):
+    for peer in _recent_peers(state, now):
         if peer.heartbeat is None or peer.heartbeat.shares is None:
             continue
         heard = (len(peer.heartbeat.hears), peer.newest_at)
@@ -107,24 +111,24 @@
     return told
 
 
-def _told_lately(state: RoutingState, now: float) -> list[Peer]:
-    """Return the neighbours whose word of room is still believed, the newest last."""
-    lately = [peer for peer in state.peers.living(now) if now < peer.newest_at + ROOM_WORD_S]
+def _recent_peers(state: RoutingState, now: float) -> list[Peer]:
+    """Return the neighbours whose report of room is still believed, the newest last."""
+    lately = [peer for peer in state.peers.living(now) if now < peer.newest_at + REPORT_VALID_S]
     return sorted(lately, key=lambda peer: peer.newest_at)
 
 
 def _shares_of(
     state: RoutingState,
     services: list[str],
-    words: dict[str, Heartbeat],
+    heartbeat_by_centre: dict[str, Heartbeat],
     now: float,
 ) -> tuple[FlowShare, ...]:
     home = state.peers.me.data_centre
-    asked = asked_of_centre(state, now) or {}
+    asked = centre_demand(state, now) or {}
     shares: list[FlowShare] = []
     for service in services:
-        rate_by_centre = _rates_of(service, home, words)
-        rate_by_centre[home] = asked.get(service, _NOTHING_ASKED).rate
+        rate_by_centre = _rates_of(service, home, heartbeat_by_centre)
+        rate_by_centre[home] = asked.get(service, _NO_DEMAND).rate
         capacity_by_centre = state.directory.pool_members.capacity_by_centre(service)
         load = load_at(state.directory, home, service)
         by_centre = state.demand.moving.shares.shares_of(
@@ -134,17 +138,19 @@
     return tuple(shares)
 
 
-def _rates_of(service: str, home: str, words: dict[str, Heartbeat]) -> dict[str, float]:
+def _rates_of(
+    service: str, home: str, heartbeat_by_centre: dict[str, Heartbeat]
+) -> dict[str, float]:
     """Return what is asked in the data centres that hear this one."""
     rate_by_centre: dict[str, float] = {}
-    for centre, heartbeat in words.items():
+    for centre, heartbeat in heartbeat_by_centre.items():
         asked = heartbeat.asked_by_service or {}
         if home not in heartbeat.unheard and service in asked:
             rate_by_centre[centre] = asked[service].rate
     return rate_by_centre
 
 
-def moved_allowances(
+def recompute_allowances(
     state: RoutingState,
     allowances: tuple[Allowance, ...],
     now: float,
@@ -156,7 +162,7 @@
     services = controlled_services(state)
     if not services:
         return allowances
-    words = state.relays.words_elsewhere(now, ROOM_WORD_S)
+    heartbeat_by_centre = state.relays.words_elsewhere(now, REPORT_VALID_S)
     relays = state.relays
     former = {one for one in relays.loads_elsewhere(now) if not relays.tells_asked(one)}
     kept = [
@@ -165,19 +171,19 @@
         if allowance.service not in services or allowance.data_centre in former
     ]
     for service in services:
-        kept.extend(_allowances_of(state, service, words, now))
+        kept.extend(_allowances_of(state, service, heartbeat_by_centre, now))
     return tuple(kept)
 
 
 def allowances_in_force(state: RoutingState, now: float) -> tuple[Allowance, ...]:
-    """Return what is reckoned here, and what only neighbours lately had word for.
+    """Return what is reckoned here, and what only neighbours lately had report for.
 
     Where demand is not controlled it is only the one or the other.
     """
     if not state.controls_demand:
         return state.room.allowances
     by_target: dict[tuple[str, str], Allowance] = {}
-    for peer in _told_lately(state, now):
+    for peer in _recent_peers(state, now):
         for told in (peer.heartbeat and peer.heartbeat.allowances) or ():
             by_target[(told.service, told.data_centre)] = told
     for own in state.room.allowances if state.room.reckons else ():
@@ -192,29 +198,29 @@
     now: float,
 ) -> list[Allowance]:
     home = state.peers.me.data_centre
-    word_by_centre = {
-        centre: _word_of(heartbeat, service, home)
+    report_by_centre = {
+        centre: _report_of(heartbeat, service, home)
         for centre, heartbeat in heartbeat_by_centre.items()
         if heartbeat.asked_by_service and service in heartbeat.asked_by_service
     }
-    own = (asked_of_centre(state, now) or {}).get(service, _NOTHING_ASKED)
+    own = (centre_demand(state, now) or {}).get(service, _NO_DEMAND)
     capacity_by_centre = state.directory.pool_members.capacity_by_centre(service)
     room = state.demand.moving.room
-    return room.allowances_of(service, home, own.rate, word_by_centre, capacity_by_centre, now)
+    return room.allowances_of(service, home, own.rate, report_by_centre, capacity_by_centre, now)
 
 
-def _word_of(heartbeat: Heartbeat, service: str, home: str) -> CentreWord:
-    asked = (heartbeat.asked_by_service or {}).get(service, _NOTHING_ASKED)
+def _report_of(heartbeat: Heartbeat, service: str, home: str) -> CentreReport:
+    asked = (heartbeat.asked_by_service or {}).get(service, _NO_DEMAND)
     load = heartbeat.load_by_service.get(service, 0)
-    return CentreWord(load, asked.rate, asked.lacking, hears=home not in heartbeat.unheard)
+    return CentreReport(load, asked.rate, asked.lacking, hears=home not in heartbeat.unheard)
 
 
-def _loads_at_home(state: RoutingState, services: list[str]) -> dict[str, float]:
+def _local_loads(state: RoutingState, services: list[str]) -> dict[str, float]:
     home = state.peers.me.data_centre
     return {service: load_at(state.directory, home, service) for service in services}
 
 
-def _near_levels(
+def _levels_for_peers(
     state: RoutingState,
     services: list[str],
 ) -> dict[LevelKey, float]:
@@ -226,6 +232,6 @@
     if state.room.reckons:
         for allowance in state.room.allowances:
             levels[(allowance.service, allowance.data_centre)] = allowance.requests
-    for share in state.demand.moving.reckoned_shares:
-        levels[(share.service, share.data_centre, _SHARE)] = share.share * _FLOWS
+    for share in state.demand.moving.computed_shares:
+        levels[(share.service, share.data_centre, _SHARE)] = share.share * _SHARE_SCALE
     return levels
--- a/src/bronzekeel/core/routing/messages.py
+++ b/src/bronzekeel/core/routing/messages.py
@@ -3,14 +3,14 @@
 from collections.abc import Mapping
 from types import MappingProxyType
 
-from bronzekeel.core.routing.caller_words import CallersWord
 from bronzekeel.core.routing.answer_counts import ToldCounts
+from bronzekeel.core.routing.caller_reports import CallersReport
 from bronzekeel.core.routing.model import RoutingText, UpstreamEntry
 
 
 _NO_RATES: Mapping[str, float] = MappingProxyType({})
 _NOBODY: Mapping[int, int] = MappingProxyType({})
-_NO_WORDS: Mapping[str, CallersWord] = MappingProxyType({})
+_NO_WORDS: Mapping[str, CallersReport] = MappingProxyType({})
 
 
 class FlowShare:
@@ -137,7 +137,7 @@
         allowances: tuple[Allowance, ...] | None = None,
         evacuated: Evacuated = NOTHING_EVACUATED,
         unanswered_by_number: Mapping[int, int] = _NOBODY,
-        callers_by_service: Mapping[str, CallersWord] = _NO_WORDS,
+        callers_by_service: Mapping[str, CallersReport] = _NO_WORDS,
         counts: ToldCounts | None = None,
         asked_by_service: Mapping[str, Asked] | None = None,
         hears: tuple[str, ...] = (),
--- a/src/bronzekeel/core/routing/overflow.py
+++ b/src/bronzekeel/core/routing/overflow.py
@@ -19,10 +19,10 @@
 #: Requests in progress a slot up to which a data centre has room for others' callers: a little
 #: less than those from which its own callers wait.  Source: a flow that crosses must find a slot
 #: that is about to be free, and own callers go first.
-LOAD_WITH_ROOM = 1.75
+ACCEPTING_LOAD = 1.75
 
 #: Requests in progress a slot from which a data centre may look for room elsewhere itself.
-LOAD_WITHOUT_ROOM = 1.0
+FULL_LOAD = 1.0
 
 #: How many times its own slots a data centre must lack to claim others'.  What goes wrong with
 #: less: data centres that differ a little send each other flows in every overload, and what
@@ -31,13 +31,13 @@
 
 #: Requests that a balancer without upstreams at home may have in progress at each other data
 #: centre, whatever room is told.  Source: as at home, where a share is one at least.
-LEAST_ELSEWHERE = 1.0
+MIN_REMOTE_REQUESTS = 1.0
 
 #: Interval in seconds at which room elsewhere is reckoned.  Source: that of heartbeats.
-RECKON_ROOM_S = 0.25
+ALLOWANCE_INTERVAL_S = 0.25
 
 
-class RoomElsewhere:
+class RemoteCapacity:
     """Hold what other data centres have room for, as reckoned or told last.
 
     This balancer `reckons` it when other data centres tell it their loads.
@@ -71,7 +71,7 @@
         rate_by_centre = _of_service(service, rates_by_centre)
         capacity_by_centre = directory.pool_members.capacity_by_centre(service)
         claims = claims_of(home, capacity_by_centre, rate_by_centre)
-        for centre, room in rooms_of(capacity_by_centre, load_by_centre).items():
+        for centre, room in free_capacity_by_centre(capacity_by_centre, load_by_centre).items():
             requests = max(room, claims.get(centre, 0) * REQUESTS_A_SLOT)
             allowances.append(Allowance(service, centre, requests))
     return tuple(allowances)
@@ -84,7 +84,7 @@
     return {centre: figures.get(service, 0) for centre, figures in figures_by_centre.items()}
 
 
-def rooms_of(
+def free_capacity_by_centre(
     capacity_by_centre: Mapping[str, float],
     load_by_centre: Mapping[str, float],
 ) -> dict[str, float]:
@@ -92,9 +92,9 @@
 
     All that have no room themselves get equal parts.
     """
-    sharers = 1 + sum(load >= LOAD_WITHOUT_ROOM for load in load_by_centre.values())
+    sharers = 1 + sum(load >= FULL_LOAD for load in load_by_centre.values())
     return {
-        centre: max(0, LOAD_WITH_ROOM - load) * capacity_by_centre.get(centre, 0) / sharers
+        centre: max(0, ACCEPTING_LOAD - load) * capacity_by_centre.get(centre, 0) / sharers
         for centre, load in load_by_centre.items()
     }
 
@@ -135,7 +135,7 @@
     }
 
 
-def put_in_force(
+def apply_allowances(
     directory: Directory,
     home: str,
     allowances: Iterable[Allowance],
@@ -157,4 +157,4 @@
             continue
         elsewhere.allowance = allowance.requests * share_by_service[allowance.service]
         if allowance.service in homeless:
-            elsewhere.limit = max(elsewhere.allowance, LEAST_ELSEWHERE)
+            elsewhere.limit = max(elsewhere.allowance, MIN_REMOTE_REQUESTS)
--- a/src/bronzekeel/core/routing/overload.py
+++ b/src/bronzekeel/core/routing/overload.py
@@ -13,7 +13,7 @@
         """Start with no overload."""
         self._refused_by_pool: dict[Pool, int] = {}
 
-    def look(self, pools: list[Pool], now: float) -> list[Effect]:
+    def check(self, pools: list[Pool], now: float) -> list[Effect]:
         """Return the lines on overloads that began or ended since the last look."""
         effects: list[Effect] = []
         for pool in pools:
--- a/src/bronzekeel/core/routing/sharing.py
+++ b/src/bronzekeel/core/routing/peer_exchange.py
@@ -16,10 +16,10 @@
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.heartbeats import answer_to, far_heartbeat, near_heartbeat
 from bronzekeel.core.routing.learning import take_counts
-from bronzekeel.core.routing.load_moves import hasten_room, is_hurried
+from bronzekeel.core.routing.load_moves import expedite_allowances, needs_frequent_reports
 from bronzekeel.core.routing.messages import Heartbeat, Known, MissingEntry, PeerAddress, View
-from bronzekeel.core.routing.readiness import become_ready
 from bronzekeel.core.routing.model import UpstreamEntry
+from bronzekeel.core.routing.readiness import become_ready
 from bronzekeel.core.routing.revisions import incarnation_of
 from bronzekeel.core.routing.silence import take_silent
 from bronzekeel.core.routing.state import RoutingState
@@ -33,28 +33,28 @@
 
 #: Seconds after which a view that was asked for is asked for again.
 #: Source: ten times what a text of 2,000 routes takes on a link of 5 Mbit/s.
-FETCH_S = 0.5
+FETCH_RETRY_S = 0.5
 
 #: Seconds after which a balancer that could not get from its peers what they
 #: know asks the store.  Source: a third of the shortest bound on a change (3 s).
-BEHIND_S = 1.0
+MAX_BEHIND_S = 1.0
 
 #: Seconds from a start for which the store has time to answer before another data centre is
 #: asked.  What goes wrong without it: each of hundreds of hosts that start takes a view of all
 #: upstreams across data centres that the store is about to list.  Source: fifty times the usual
 #: answer of the users' store.
-STORE_FIRST_S = 0.2
+STORE_GRACE_S = 0.2
 
 #: Seconds for which another data centre must have known more before it is asked.
 #: Source: the own watch tells of a change within 0.25 s of another's, also if the
 #: store is sixty times slower than its usual 4 ms; twice that.
-PATIENCE_S = 0.5
+REMOTE_GRACE_S = 0.5
 
 
-def beat(state: RoutingState, now: float) -> list[Effect]:
+def send_due_heartbeats(state: RoutingState, now: float) -> list[Effect]:
     """Send the heartbeats that are due."""
     effects: list[Effect] = []
-    news_at = max(state.flows.silent_at, state.demand.moving.near_news.changed_at)
+    news_at = max(state.flows.silent_at, state.demand.moving.local_changes.changed_at)
     if news_at > state.peers.told_at:
         state.peers.beat_soon()
     near = state.peers.due_neighbours(now)
@@ -66,7 +66,7 @@
         state.relays.due(
             now,
             direct=state.is_direct(now),
-            strained=is_hurried(state, now),
+            strained=needs_frequent_reports(state, now),
         )
     )
     if far:
@@ -78,7 +78,7 @@
 def announce_change(state: RoutingState, now: float) -> list[Effect]:
     """Tell peers at once that there is something new."""
     state.peers.beat_now()
-    return beat(state, now)
+    return send_due_heartbeats(state, now)
 
 
 def on_heartbeat(state: RoutingState, event: HeartbeatHeard, now: float) -> list[Effect]:
@@ -93,10 +93,10 @@
     effects: list[Effect] = []
     sender = heartbeat.sender
     joined = state.peers.note_heartbeat(heartbeat, now)
-    effects.extend(_take_evacuated(state, heartbeat, now))
+    effects.extend(_apply_evacuations(state, heartbeat, now))
     take_silent(state, heartbeat.unanswered_by_number, now)
     take_counts(state, heartbeat)
-    hasten_room(state, heartbeat)
+    expedite_allowances(state, heartbeat)
     if joined:
         effects.append(WriteLine(LogNumber.MEMBER_JOINED, peer=sender.name))
     if joined or (state.text_order and not heartbeat.text_order):
@@ -110,7 +110,7 @@
     return effects
 
 
-def take_view(state: RoutingState, event: ViewFetched, now: float) -> list[Effect]:
+def apply_view(state: RoutingState, event: ViewFetched, now: float) -> list[Effect]:
     """Take what a peer knows.
 
     What another data centre told is told on at once: here everybody waits for it.
@@ -125,9 +125,9 @@
     for entry in view.entries:
         effects.extend(take_entry(state, entry, now))
     for missing in view.missing:
-        effects.extend(_take_missing(state, missing, now))
+        effects.extend(_apply_missing(state, missing, now))
     if restored and view.upstreams_followed:
-        effects.extend(_remove_untold(state, view, now))
+        effects.extend(_remove_unreported(state, view, now))
     state.directory.account_for(view.newest_revision)
     state.knows_missing = state.knows_missing or view.all_missing
     followers = state.follower_by_collection
@@ -136,11 +136,11 @@
     if view.upstreams_followed:
         followers[Collection.UPSTREAMS].adopt(view.upstreams_followed)
     effects.extend(become_ready(state, now))
-    effects.extend(_note_news(state, known, now))
+    effects.extend(_note_changes(state, known, now))
     return effects
 
 
-def _remove_untold(state: RoutingState, view: View, now: float) -> list[Effect]:
+def _remove_unreported(state: RoutingState, view: View, now: float) -> list[Effect]:
     """Note the upstreams that a restored store has lost: a view of it is whole."""
     told = {entry.name for entry in view.entries}
     effects: list[Effect] = []
@@ -150,14 +150,14 @@
     return effects
 
 
-def note_refusal(state: RoutingState, event: ViewFailed, now: float) -> list[Effect]:
+def on_view_failed(state: RoutingState, event: ViewFailed, now: float) -> list[Effect]:
     """Note that a peer gave no view; the next heartbeat asks again."""
     state.fetch_until = now
     address = ':'.join(map(str, event.address))
     return [WriteLine(LogNumber.PEER_UNREACHED, peer=address, problem=event.problem)]
 
 
-def is_long_behind(state: RoutingState, now: float) -> bool:
+def is_behind_too_long(state: RoutingState, now: float) -> bool:
     """Whether this balancer has known for long that a peer knows more.
 
     What goes wrong without it: the peers of a large data centre are too busy to
@@ -169,11 +169,11 @@
     if not state.peers.knows_more(state.text_order, state.directory.newest_revision, now):
         state.behind_since = None
         return False
-    return now >= state.behind_since + BEHIND_S
+    return now >= state.behind_since + MAX_BEHIND_S
 
 
-def ask_elsewhere(state: RoutingState, now: float) -> list[Effect]:
-    """Ask a host of another data centre that has known more for ``PATIENCE_S``.
+def fetch_remote(state: RoutingState, now: float) -> list[Effect]:
+    """Ask a host of another data centre that has known more for ``REMOTE_GRACE_S``.
 
     What goes wrong without it: the store falls silent towards all watchers of a
     data centre and closes nothing.  Until their watches end they tell everybody that
@@ -190,7 +190,7 @@
         return []
     if state.told_elsewhere_at is None:
         state.told_elsewhere_at = now
-    if now < max(state.told_elsewhere_at + PATIENCE_S, state.fetch_until):
+    if now < max(state.told_elsewhere_at + REMOTE_GRACE_S, state.fetch_until):
         return []
     return [_fetch_from(state, ahead, now)]
 
@@ -249,7 +249,7 @@
     ]
 
 
-def _take_evacuated(state: RoutingState, heartbeat: Heartbeat, now: float) -> list[Effect]:
+def _apply_evacuations(state: RoutingState, heartbeat: Heartbeat, now: float) -> list[Effect]:
     """Take what a peer says of evacuations.
 
     The own watch has to tell the same soon, else it is doubted.  What another data centre
@@ -268,13 +268,13 @@
 
 def _fetch_from(state: RoutingState, peer: PeerAddress, now: float) -> Effect:
     """Ask a peer for what it knows beyond what is known here."""
-    state.fetch_until = now + FETCH_S
+    state.fetch_until = now + FETCH_RETRY_S
     newest = state.directory.newest_revision
     removals = newest if state.knows_missing else 0
     return FetchView(peer.address, Known(state.text_order, newest, removals))
 
 
-def _note_news(state: RoutingState, known: tuple[int, int], now: float) -> list[Effect]:
+def _note_changes(state: RoutingState, known: tuple[int, int], now: float) -> list[Effect]:
     """Note what a view told beyond the `known` revisions of text and upstreams.
 
     Own watches have to tell the same soon, else they are doubted.  What another
@@ -304,7 +304,7 @@
         return False
     near = heartbeat.sender.data_centre == state.peers.me.data_centre
     if not state.ready:
-        return near or _is_unanswered(state, now)
+        return near or _is_store_unresponsive(state, now)
     if not near:
         return False
     if not state.knows_missing:
@@ -312,15 +312,15 @@
     return heartbeat.knows_more(state.text_order, state.directory.newest_revision)
 
 
-def _is_unanswered(state: RoutingState, now: float) -> bool:
+def _is_store_unresponsive(state: RoutingState, now: float) -> bool:
     """Whether the store had the time to answer a host that starts, and did not."""
     answered_at = state.started_at
     for follower in state.follower_by_collection.values():
         answered_at = max(answered_at, follower.answered_at)
-    return state.is_lost or now >= answered_at + STORE_FIRST_S
+    return state.is_lost or now >= answered_at + STORE_GRACE_S
 
 
-def _take_missing(state: RoutingState, missing: MissingEntry, now: float) -> list[Effect]:
+def _apply_missing(state: RoutingState, missing: MissingEntry, now: float) -> list[Effect]:
     """Take a removal; the teller knows how long the entry may still come back."""
     name = missing.entry.name
     state.directory.remember(missing.entry, now)
--- a/src/bronzekeel/core/routing/readiness.py
+++ b/src/bronzekeel/core/routing/readiness.py
@@ -15,7 +15,7 @@
     for follower in state.follower_by_collection.values():
         if not follower.listed:
             return []
-    state.admission.reckon(now)
+    state.admission.update_limits(now)
     state.ready = True
     return [
         WriteLine(
--- a/src/bronzekeel/core/routing/reducer.py
+++ b/src/bronzekeel/core/routing/reducer.py
@@ -30,14 +30,14 @@
     ViewFetched,
 )
 from bronzekeel.core.routing.learning import learn_capacities
-from bronzekeel.core.routing.load_moves import look_at_load
-from bronzekeel.core.routing.sharing import (
+from bronzekeel.core.routing.load_moves import update_load
+from bronzekeel.core.routing.peer_exchange import (
     announce_change,
-    ask_elsewhere,
-    beat,
-    note_refusal,
+    apply_view,
+    fetch_remote,
     on_heartbeat,
-    take_view,
+    on_view_failed,
+    send_due_heartbeats,
 )
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.store_answers import (
@@ -51,6 +51,7 @@
     settle_doubts,
 )
 
+
 #: Interval in seconds at which the daemon feeds ``Ticked``.
 #: Source: a tenth of a second late is little beside every wait decided here.
 TICK_S = 0.1
@@ -74,7 +75,7 @@
 def _on_started(state: RoutingState, event: Started, now: float) -> list[Effect]:
     state.started_at = now
     state.eligibility.begin(now)
-    effects = beat(state, now)
+    effects = send_due_heartbeats(state, now)
     for follower in state.follower_by_collection.values():
         effects.append(follower.begin_listing())
     return effects
@@ -129,8 +130,8 @@
     state.shared_loads.note(state.directory, state.peers.busy_elsewhere(now))
     effects.extend(_reckon_load(state, now))
     effects.extend(follow_on(state, now))
-    effects.extend(ask_elsewhere(state, now))
-    effects.extend(beat(state, now))
+    effects.extend(fetch_remote(state, now))
+    effects.extend(send_due_heartbeats(state, now))
     if state.stopping.is_done(now):
         effects.append(WriteLine(LogNumber.STOPPED, refusals=state.stopping.refusals))
         effects.append(End())
@@ -142,12 +143,12 @@
     effects = learn_capacities(state, now)
     reckon_balance(state, now)
     reckon_room(state, now)
-    effects.extend(look_at_load(state, now))
-    state.admission.reckon(now)
+    effects.extend(update_load(state, now))
+    state.admission.update_limits(now)
     pools = state.directory.pools_of(state.peers.me.data_centre)
-    effects.extend(state.overloads.look(pools, now))
+    effects.extend(state.overloads.check(pools, now))
     callers = state.demand.callers
-    effects.extend(callers.look(pools, state.peers, now, controlled=state.controls_demand))
+    effects.extend(callers.update(pools, state.peers, now, controlled=state.controls_demand))
     return effects
 
 
@@ -164,7 +165,7 @@
         Paused: _on_pause,
         SettingsChanged: _on_settings,
         HeartbeatHeard: on_heartbeat,
-        ViewFetched: take_view,
-        ViewFailed: note_refusal,
+        ViewFetched: apply_view,
+        ViewFailed: on_view_failed,
     },
 )
--- a/src/bronzekeel/core/routing/relays.py
+++ b/src/bronzekeel/core/routing/relays.py
@@ -17,7 +17,7 @@
 RELAYS = 2
 
 #: Interval in seconds at which they tell.  Source: with the wait before another data
-#: centre is asked (``PATIENCE_S``) and one fetch, a third of the shortest bound on a change
+#: centre is asked (``REMOTE_GRACE_S``) and one fetch, a third of the shortest bound on a change
 #: (3 s) remains; 24 datagrams of 150 bytes a second among three data centres.
 RELAY_S = 1.0
 
--- a/src/bronzekeel/core/routing/shared_load.py
+++ b/src/bronzekeel/core/routing/shared_load.py
@@ -32,12 +32,12 @@
 
     def __init__(self) -> None:
         """Start with nothing told."""
-        self._told: set[int] = set()
+        self._reported: set[int] = set()
 
     def note(self, directory: Directory, busy_by_number: Mapping[int, int]) -> None:
         """Take the requests in progress by the short numbers of their upstreams."""
-        touched = self._told.union(busy_by_number)
-        self._told = set(busy_by_number)
+        touched = self._reported.union(busy_by_number)
+        self._reported = set(busy_by_number)
         touched_by_pool: dict[Pool, list[Upstream]] = {}
         for number in touched:
             upstream = directory.by_number.get(number)
--- a/src/bronzekeel/core/routing/state.py
+++ b/src/bronzekeel/core/routing/state.py
@@ -4,7 +4,7 @@
 
 from bronzekeel.core.routing.admission import Admission, RequestsPerSlot
 from bronzekeel.core.routing.balance import Balance
-from bronzekeel.core.routing.caller_queue import SharedAmongCallers
+from bronzekeel.core.routing.caller_queue import CallerFairOrder
 from bronzekeel.core.routing.cold_starts import ColdStarts
 from bronzekeel.core.routing.demand import Demand
 from bronzekeel.core.routing.demand_control import DemandControl
@@ -14,8 +14,8 @@
 from bronzekeel.core.routing.follower import Collection, Follower
 from bronzekeel.core.routing.messages import Evacuated
 from bronzekeel.core.routing.model import RoutingText
+from bronzekeel.core.routing.overflow import RemoteCapacity
 from bronzekeel.core.routing.overload import OverloadWatch
-from bronzekeel.core.routing.overflow import RoomElsewhere
 from bronzekeel.core.routing.peers import PeerTable
 from bronzekeel.core.routing.relays import Relays
 from bronzekeel.core.routing.revisions import incarnation_of
@@ -72,7 +72,7 @@
         peers: PeerTable,
         stop_within_s: float,
         admission_of: type[Admission] = RequestsPerSlot,
-        order_of: type[WaitingOrder] = SharedAmongCallers,
+        order_of: type[WaitingOrder] = CallerFairOrder,
         region_by_centre: Mapping[str, str] = NO_REGIONS,
         cold_starts: ColdStarts | None = None,
         demand_control: DemandControl | None = None,
@@ -96,7 +96,7 @@
         self.flows = FlowTable(self.demand.capacities.counts)
         self.shared_loads = SharedLoads()
         self.balance = Balance(peers.me.name)
-        self.room = RoomElsewhere()
+        self.room = RemoteCapacity()
         self.waiting = WaitingRequests(order_of())
         self.overloads = OverloadWatch()
         self.admission = admission_of(
--- a/src/bronzekeel/core/routing/steering.py
+++ b/src/bronzekeel/core/routing/steering.py
@@ -4,9 +4,9 @@
 from zlib import crc32
 
 from bronzekeel.core.routing.connection_ids import opened, sealed
-from bronzekeel.core.routing.flows import Flow
 from bronzekeel.core.routing.decisions import Decision, DecisionLog
 from bronzekeel.core.routing.departures import Departure
+from bronzekeel.core.routing.flows import Flow
 from bronzekeel.core.routing.model import (
     FlowPacket,
     Route,
@@ -81,18 +81,18 @@
         """
         self._state.flows.expire_openings(now)
         waiting = self._state.waiting
-        request = waiting.take_ended(now)
+        request = waiting.pop_expired(now)
         while request is not None:
-            if request.goes_on(now):
+            if request.must_be_sent(now):
                 yield from self._go_on_in_turn(request, now)
             else:
                 for refused in request.packets:
                     yield refused, self._refuse(refused, request, now)
-            request = waiting.take_ended(now)
-        request = waiting.take_ready(now)
+            request = waiting.pop_expired(now)
+        request = waiting.pop_ready(now)
         while request is not None:
             yield from self._go_on(request, now)
-            request = waiting.take_ready(now)
+            request = waiting.pop_ready(now)
 
     def _go_on_in_turn(
         self,
@@ -100,10 +100,10 @@
         now: float,
     ) -> Iterator[tuple[FlowPacket, Verdict]]:
         """Send a request on before there is room, and those that are more urgent before it."""
-        urgent = self._state.waiting.take_more_urgent(request, now)
+        urgent = self._state.waiting.pop_more_urgent(request, now)
         while urgent is not None:
             yield from self._go_on(urgent, now)
-            urgent = self._state.waiting.take_more_urgent(request, now)
+            urgent = self._state.waiting.pop_more_urgent(request, now)
         yield from self._go_on(request, now)
 
     def _go_on(
@@ -134,7 +134,7 @@
         """Refuse a flow for want of room in a pool."""
         pool.refused += 1
         if pool.callers is not None:
-            pool.callers.note(packet.flow, now, given=False)
+            pool.callers.note(packet.flow, now, admitted=False)
         self._decisions.note(Decision('refused', packet, reason, pool=pool), now)
         return Reset(reason)
 
--- a/src/bronzekeel/core/routing/store_answers.py
+++ b/src/bronzekeel/core/routing/store_answers.py
@@ -15,6 +15,7 @@
 from bronzekeel.core.routing.follower import GATHER_S, LISTEN_S, Collection, Follower
 from bronzekeel.core.routing.messages import NOTHING_EVACUATED, Evacuated
 from bronzekeel.core.routing.model import RoutingText, UpstreamEntry
+from bronzekeel.core.routing.peer_exchange import announce_change
 from bronzekeel.core.routing.readiness import become_ready
 from bronzekeel.core.routing.revisions import (
     incarnation_of,
@@ -22,7 +23,6 @@
     revision_of,
     shown,
 )
-from bronzekeel.core.routing.sharing import announce_change
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.store_calls import go_on
 from bronzekeel.core.routing.taking import (
--- a/src/bronzekeel/core/routing/store_calls.py
+++ b/src/bronzekeel/core/routing/store_calls.py
@@ -3,8 +3,8 @@
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import Effect, WriteLine
 from bronzekeel.core.routing.follower import Follower
+from bronzekeel.core.routing.peer_exchange import is_behind_too_long
 from bronzekeel.core.routing.revisions import shown
-from bronzekeel.core.routing.sharing import is_long_behind
 from bronzekeel.core.routing.state import RoutingState
 
 
@@ -12,7 +12,7 @@
     """Make the calls to the store that are due."""
     effects: list[Effect] = []
     watches = state.is_watcher(now)
-    behind = is_long_behind(state, now)
+    behind = is_behind_too_long(state, now)
     if behind:
         state.behind_since = now
     for follower in state.follower_by_collection.values():
--- a/src/bronzekeel/core/routing/waiting.py
+++ b/src/bronzekeel/core/routing/waiting.py
@@ -12,12 +12,12 @@
 
 from bronzekeel.core.routing.model import FlowPacket, Route
 from bronzekeel.core.routing.pools import Pool
-from bronzekeel.core.routing.waiting_bounds import WAIT_ON_S, wait_s
+from bronzekeel.core.routing.waiting_bounds import RECHECK_INTERVAL_S, wait_s
 
 
 #: Bytes of packets that wait at most; beyond them requests go on without waiting.  Source: an
 #: eighth of the memory that a balancer may take at the size of docs/CAPACITY.md.
-MOST_WAITING_BYTES = 4_000_000
+MAX_WAITING_BYTES = 4_000_000
 
 
 class WaitingRequest:
@@ -50,7 +50,7 @@
         """Whether its flow is not open yet, and may be refused."""
         return self.packets[0].opens
 
-    def goes_on(self, now: float) -> bool:
+    def must_be_sent(self, now: float) -> bool:
         """Whether it is sent on after its wait: it cannot be refused and is wanted still."""
         return not self.opens and now < self.given_up_at
 
@@ -129,7 +129,7 @@
         self._order = order
         self._by_flow: dict[bytes, WaitingRequest] = {}
         self._queue_by_pool: dict[Pool, WaitingQueue] = {}
-        self._by_end: list[tuple[float, int, WaitingRequest]] = []
+        self._by_expiry: list[tuple[float, int, WaitingRequest]] = []
         self._number = 0
         self._bytes = 0
 
@@ -140,14 +140,14 @@
     @property
     def is_full(self) -> bool:
         """Whether no further request may wait."""
-        return self._bytes >= MOST_WAITING_BYTES
+        return self._bytes >= MAX_WAITING_BYTES
 
     @property
-    def next_end(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """When the next of them has waited long enough, None if none waits."""
-        while self._by_end and self._by_end[0][2].ended:
-            heappop(self._by_end)
-        return self._by_end[0][0] if self._by_end else None
+        while self._by_expiry and self._by_expiry[0][2].ended:
+            heappop(self._by_expiry)
+        return self._by_expiry[0][0] if self._by_expiry else None
 
     def of_flow(self, flow: bytes) -> WaitingRequest | None:
         """Return the request of a flow that waits, None if none does."""
@@ -157,7 +157,7 @@
         """Let the request that `packet` begins wait for room in `pool`."""
         pool.enter(now)
         if pool.callers is not None:
-            pool.callers.note_short(now)
+            pool.callers.note_shortage(now)
         until = now + wait_s(packet, pool, route, now)
         request = WaitingRequest(packet, pool, route.priority, until, now + route.timeout_s)
         pool.waiting_open += not request.opens
@@ -165,7 +165,7 @@
         self._bytes += request.size
         if pool not in self._queue_by_pool:
             self._queue_by_pool[pool] = self._order.queue_of(pool)
-        self._note_end(request)
+        self._push_expiry(request)
         self._queue_by_pool[pool].add(request, self._number)
 
     def join(self, request: WaitingRequest, packet: FlowPacket) -> None:
@@ -183,20 +183,20 @@
         self._bytes -= request.size
         self._by_flow.pop(request.packets[0].flow)
 
-    def take_ended(self, now: float) -> WaitingRequest | None:
+    def pop_expired(self, now: float) -> WaitingRequest | None:
         """Take out the next request that has waited long enough, None if none has."""
-        end = self.next_end
+        end = self.next_expiry
         while end is not None and now >= end:
-            request = heappop(self._by_end)[2]
-            if not self._waits_on(request, now):
+            request = heappop(self._by_expiry)[2]
+            if not self._keeps_waiting(request, now):
                 self.end(request, now)
                 return request
-            request.until = min(now + WAIT_ON_S, request.given_up_at)
-            self._note_end(request)
-            end = self.next_end
+            request.until = min(now + RECHECK_INTERVAL_S, request.given_up_at)
+            self._push_expiry(request)
+            end = self.next_expiry
         return None
 
-    def take_more_urgent(self, request: WaitingRequest, now: float) -> WaitingRequest | None:
+    def pop_more_urgent(self, request: WaitingRequest, now: float) -> WaitingRequest | None:
         """Take out the first that is more urgent than one that goes on before there is room."""
         queue = self._queue_by_pool.get(request.pool)
         first = queue.first(now) if queue else None
@@ -205,7 +205,7 @@
         self.end(first, now)
         return first
 
-    def take_ready(self, now: float) -> WaitingRequest | None:
+    def pop_ready(self, now: float) -> WaitingRequest | None:
         """Take out the first request that has room by now, None if none has."""
         for pool, queue in list(self._queue_by_pool.items()):
             if not pool.waiting:
@@ -221,13 +221,13 @@
             return request
         return None
 
-    def _note_end(self, request: WaitingRequest) -> None:
+    def _push_expiry(self, request: WaitingRequest) -> None:
         self._number += 1
-        heappush(self._by_end, (request.until, self._number, request))
+        heappush(self._by_expiry, (request.until, self._number, request))
 
-    def _waits_on(self, request: WaitingRequest, now: float) -> bool:
+    def _keeps_waiting(self, request: WaitingRequest, now: float) -> bool:
         """Whether a request that is to go on waits longer: its caller is far above its share."""
         callers = request.pool.callers
-        if callers is None or not request.goes_on(now):
+        if callers is None or not request.must_be_sent(now):
             return False
         return callers.refuses(callers.caller_of(request.packets[0].flow), now)
--- a/src/bronzekeel/entry/decision_log.py
+++ b/src/bronzekeel/entry/decision_log.py
@@ -68,6 +68,6 @@
         return {}
     caller = shares.caller_of(flow)
     return {
-        'given': round(shares.given_to(caller, now), 1),
+        'given': round(shares.admitted_for(caller, now), 1),
         'share': round(shares.level, 1),
     }
--- a/src/bronzekeel/entry/lines.py
+++ b/src/bronzekeel/entry/lines.py
@@ -21,7 +21,7 @@
 LINES_PER_KIND = 20
 
 #: Bytes that wait for a reader at most.
-MOST_WAITING_BYTES = 65536
+MAX_WAITING_BYTES = 65536
 
 _SECOND = 1.0
 
@@ -53,7 +53,7 @@
             self._refill_at = now + _SECOND
             self._room_by_number.clear()
         room = self._room_by_number.get(number, LINES_PER_KIND)
-        if room <= 0 or self._waiting_bytes > MOST_WAITING_BYTES:
+        if room <= 0 or self._waiting_bytes > MAX_WAITING_BYTES:
             self._leave_out(number)
             return
         self._room_by_number[number] = room - 1
--- a/src/bronzekeel/entry/metrics.py
+++ b/src/bronzekeel/entry/metrics.py
@@ -24,7 +24,7 @@
         'callers_above_share',
         'gauge',
         'Callers whose openings are refused at once.',
-        lambda pool: pool.callers.above if pool.callers else 0,
+        lambda pool: pool.callers.above_share if pool.callers else 0,
     ),
     (
         'requests_limit',
--- a/src/bronzekeel/entry/packets.py
+++ b/src/bronzekeel/entry/packets.py
@@ -123,7 +123,7 @@
             return
         for packet, verdict in self._steering.resume(self._clock()):
             self._apply(packet, verdict)
-        end = self._state.waiting.next_end
+        end = self._state.waiting.next_expiry
         if end is not None and end != self._resumed_at:
             self._resumed_at = end
             self._loop.call_at(end, self.resume)
--- a/src/bronzekeel/entry/peers.py
+++ b/src/bronzekeel/entry/peers.py
@@ -14,7 +14,7 @@
 from bronzekeel.core.routing.effects import FetchView, SendHeartbeat
 from bronzekeel.core.routing.events import Event, HeartbeatHeard, ViewFailed, ViewFetched
 from bronzekeel.core.routing.messages import Known, View
-from bronzekeel.core.routing.sharing import FETCH_S
+from bronzekeel.core.routing.peer_exchange import FETCH_RETRY_S
 from bronzekeel.entry.http_client import Call, HttpConnection, Reply
 from bronzekeel.entry.http_server import (
     BAD_REQUEST,
@@ -115,7 +115,7 @@
         self._fetch.ask(
             Call(
                 _target_of(effect.known),
-                monotonic() + FETCH_S,
+                monotonic() + FETCH_RETRY_S,
                 lambda reply: self._take_view(address, reply),
                 lambda problem: self._emit(ViewFailed(address, problem)),
             ),
--- a/src/bronzekeel/entry/settings.py
+++ b/src/bronzekeel/entry/settings.py
@@ -8,7 +8,7 @@
 from json import JSONDecodeError
 from json import loads as decode_json
 
-from bronzekeel.core.routing.caller_shares import USUAL_CALLER_BITS
+from bronzekeel.core.routing.caller_shares import DEFAULT_CALLER_BITS
 from bronzekeel.core.routing.demand_control import DemandControlMode
 
 
@@ -85,7 +85,7 @@
         self.demand_control = DemandControlMode(
             _one_of(fields, 'demand_control', tuple(DemandControlMode)),
         )
-        self.caller_bits = _whole(fields, 'caller_bits', USUAL_CALLER_BITS, least=1)
+        self.caller_bits = _whole(fields, 'caller_bits', DEFAULT_CALLER_BITS, least=1)
         if fields.get('steering') != STEERING:
             raise SettingsError(f'$.steering: {fields.get("steering")!r} is not {STEERING!r}')
 
--- a/src/bronzekeel/replay/routing_fleet.py
+++ b/src/bronzekeel/replay/routing_fleet.py
@@ -9,6 +9,9 @@
 from functools import partial
 
 from bronzekeel.core.routing.admission import Admission, RequestsPerSlot
+from bronzekeel.core.routing.caller_queue import CallerFairOrder
+from bronzekeel.core.routing.decisions import NoDecisionLog
+from bronzekeel.core.routing.demand_control import DemandControl, DemandControlMode
 from bronzekeel.core.routing.effects import (
     DropWaiting,
     Effect,
@@ -30,15 +33,12 @@
     ViewFetched,
 )
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.caller_queue import SharedAmongCallers
-from bronzekeel.core.routing.decisions import NoDecisionLog
-from bronzekeel.core.routing.demand_control import DemandControl, DemandControlMode
 from bronzekeel.core.routing.messages import Heartbeat, PeerAddress
 from bronzekeel.core.routing.model import FlowPacket
+from bronzekeel.core.routing.peer_exchange import FETCH_RETRY_S, view_since
 from bronzekeel.core.routing.peers import PeerTable
 from bronzekeel.core.routing.placement import LeastBusy, Placement
 from bronzekeel.core.routing.reducer import TICK_S, reduce
-from bronzekeel.core.routing.sharing import FETCH_S, view_since
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.steering import ConnectionIdSteering
 from bronzekeel.core.routing.verdicts import Verdict, Wait
@@ -61,7 +61,7 @@
 
     placement_of: type[Placement] = LeastBusy
     admission_of: type[Admission] = RequestsPerSlot
-    order_of: type[WaitingOrder] = SharedAmongCallers
+    order_of: type[WaitingOrder] = CallerFairOrder
     demand_control: DemandControlMode = DemandControlMode.BY_OBJECTIVE
 
 
@@ -217,7 +217,7 @@
             return
         for packet, verdict in node.steering.resume(self.now):
             node.then_by_packet.pop(packet)(verdict)
-        end = node.state.waiting.next_end
+        end = node.state.waiting.next_expiry
         if end is not None and end != node.resumes_at:
             node.resumes_at = end
             self.at(end - self.now, lambda: self._resume(node, boot))
@@ -328,7 +328,7 @@
         reached = peer is not None and peer.up and self._reaches(node, peer)
         if peer is None or not reached or not self.views_pass:
             failed = ViewFailed(effect.address, 'no answer')
-            self.at(FETCH_S, lambda: self._take(node, boot, failed))
+            self.at(FETCH_RETRY_S, lambda: self._take(node, boot, failed))
             return
         view = view_since(peer.state, effect.known, self.now)
         fetched = ViewFetched(effect.address, view)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,7 @@
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.messages import Allowance
 from bronzekeel.core.routing.model import FlowPacket, UpstreamEntry
-from bronzekeel.core.routing.overflow import claims_of, put_in_force, rooms_of
+from bronzekeel.core.routing.overflow import apply_allowances, claims_of, free_capacity_by_centre
 from bronzekeel.core.routing.overload import OverloadWatch
 from bronzekeel.core.routing.pools import (
     CALM_S,
@@ -22,10 +22,10 @@
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.steering import LATE_REFUSAL_S, ConnectionIdSteering
 from bronzekeel.core.routing.verdicts import Verdict
-from bronzekeel.core.routing.waiting import MOST_WAITING_BYTES, NewestFirst, WaitingRequests
+from bronzekeel.core.routing.waiting import MAX_WAITING_BYTES, NewestFirst, WaitingRequests
 from bronzekeel.core.routing.waiting_bounds import (
-    MOST_BACKLOG_WAIT_S,
-    MOST_OPENING_WAIT_S,
+    MAX_BACKLOG_WAIT_S,
+    MAX_OPENING_WAIT_S,
     OVERLOAD_S,
 )
 from tests.routing_cases import (
@@ -85,7 +85,7 @@
         """
         state = limited_state(entry(1))
         pool_of(state).limit = 1
-        state.admission.reckon(2)
+        state.admission.update_limits(2)
         self.assertEqual(3 * REQUESTS_A_SLOT, pool_of(state).limit)
 
     def test_flows_that_were_given_up_take_no_room(self) -> None:
@@ -176,7 +176,7 @@
             pool.note_way(0.1)
         for tick in range(1, 40):
             pool.answered += 10
-            state.admission.reckon(tick / 10)
+            state.admission.update_limits(tick / 10)
         self.assertAlmostEqual(3 * REQUESTS_A_SLOT + 10, pool.limit, 1)
 
     def test_silent_upstreams_do_not_fill_the_limit(self) -> None:
@@ -193,7 +193,7 @@
         silent.avoided_until = 10
         other.busy_flows = 1
         pool.busy = 8
-        state.admission.reckon(1)
+        state.admission.update_limits(1)
         self.assertEqual(3 * REQUESTS_A_SLOT + 7, pool.limit)
 
     def test_a_slow_upstream_does_not_fill_the_limit(self) -> None:
@@ -208,14 +208,14 @@
         slow.busy_flows = 12
         other.busy_flows = 2
         pool_of(state).busy = 14
-        state.admission.reckon(1)
+        state.admission.update_limits(1)
         beyond = 12 - 2 * STUCK_FACTOR - STUCK_SLACK
         self.assertEqual(6 * REQUESTS_A_SLOT + beyond, pool_of(state).limit)
 
     def _use(self, state: RoutingState) -> None:
         """Let one request be in progress, and reckon."""
         steering(state).decide(opening(1), 0)
-        state.admission.reckon(0)
+        state.admission.update_limits(0)
 
 
 class WaitingTest(TestCase):
@@ -251,8 +251,8 @@
         Cause: refusing within milliseconds what could be served within half a second.
         """
         self.chosen.decide(opening(2), 0)
-        self.assertEqual([], resumed(self.chosen, MOST_BACKLOG_WAIT_S - 0.01))
-        self.assertEqual(['Reset overloaded'], self._ends(MOST_BACKLOG_WAIT_S))
+        self.assertEqual([], resumed(self.chosen, MAX_BACKLOG_WAIT_S - 0.01))
+        self.assertEqual(['Reset overloaded'], self._ends(MAX_BACKLOG_WAIT_S))
         self.assertEqual(1, self.pool.refused)
 
     def test_in_an_overload_flows_are_refused_at_once(self) -> None:
@@ -269,18 +269,18 @@
             number += 1
             now += CALM_S / 2
         self.chosen.decide(opening(number), now)
-        outcomes = self._ends(now + MOST_OPENING_WAIT_S)
+        outcomes = self._ends(now + MAX_OPENING_WAIT_S)
         self.assertIn('Reset overloaded', outcomes)
         self.assertIsNone(self.state.waiting.of_flow(flow(number)))
 
     def test_an_overload_ends_when_nothing_waits(self) -> None:
         """A queue that begins anew is a backlog again."""
         self.chosen.decide(opening(2), 0)
-        self._ends(MOST_BACKLOG_WAIT_S)
-        later = MOST_BACKLOG_WAIT_S + OVERLOAD_S
+        self._ends(MAX_BACKLOG_WAIT_S)
+        later = MAX_BACKLOG_WAIT_S + OVERLOAD_S
         self.assertEqual(0, self.pool.queued_s(later))
         self.chosen.decide(opening(3), later)
-        self.assertEqual([], resumed(self.chosen, later + MOST_BACKLOG_WAIT_S - 0.01))
+        self.assertEqual([], resumed(self.chosen, later + MAX_BACKLOG_WAIT_S - 0.01))
 
     def test_a_balancer_that_stood_still_refuses_nothing(self) -> None:
         """Symptom: a caller's open flow is reset.
@@ -290,7 +290,7 @@
         Cause: refusing when the host wakes what it held.
         """
         self.chosen.decide(opening(2), 0)
-        late = MOST_BACKLOG_WAIT_S + LATE_REFUSAL_S
+        late = MAX_BACKLOG_WAIT_S + LATE_REFUSAL_S
         self.assertEqual(['Discard given_up'], self._ends(late))
 
     def test_a_request_on_an_open_flow_waits_whole(self) -> None:
@@ -389,7 +389,7 @@
         """
         waiting = WaitingRequests(NewestFirst())
         large = opening(2)
-        large.raw = bytes(MOST_WAITING_BYTES)
+        large.raw = bytes(MAX_WAITING_BYTES)
         waiting.add(large, self.pool, route(PORTAL_KEY, PORTAL), 0)
         self.assertTrue(waiting.is_full)
         self.state.waiting = waiting
@@ -413,7 +413,7 @@
 
     def test_who_has_room_shares_it_among_those_that_have_none(self) -> None:
         """Two of three are busy: each may use half of what the third has left."""
-        rooms = rooms_of({'a': 6, 'b': 6, 'c': 6}, {'b': 0.75, 'c': 1.9})
+        rooms = free_capacity_by_centre({'a': 6, 'b': 6, 'c': 6}, {'b': 0.75, 'c': 1.9})
         self.assertEqual({'b': 3, 'c': 0}, rooms)
 
     def test_a_data_centre_without_upstreams_claims_its_part(self) -> None:
@@ -438,7 +438,9 @@
     def test_flows_that_have_nowhere_else_to_go_are_limited_too(self) -> None:
         """A data centre without upstreams does not flood the others."""
         state = limited_state(entry(1, data_centre='dc-b'))
-        put_in_force(state.directory, HOME, [Allowance(PORTAL, 'dc-b', 2)], {PORTAL: 0.5}, {PORTAL})
+        apply_allowances(
+            state.directory, HOME, [Allowance(PORTAL, 'dc-b', 2)], {PORTAL: 0.5}, {PORTAL}
+        )
         chosen = steering(state)
         self.assertEqual(entry(1).name, delivered_to(chosen.decide(opening(1), 0)))
         self.assertEqual('Wait', delivered_to(chosen.decide(opening(2), 0)))
@@ -452,7 +454,9 @@
         `limit` 0.0.
         """
         state = limited_state(entry(1, data_centre='dc-b'))
-        put_in_force(state.directory, HOME, [Allowance(PORTAL, 'dc-b', 0)], {PORTAL: 0.5}, {PORTAL})
+        apply_allowances(
+            state.directory, HOME, [Allowance(PORTAL, 'dc-b', 0)], {PORTAL: 0.5}, {PORTAL}
+        )
         chosen = steering(state)
         self.assertEqual(entry(1).name, delivered_to(chosen.decide(opening(1), 0)))
         self.assertEqual('Wait', delivered_to(chosen.decide(opening(2), 0)))
@@ -465,15 +469,15 @@
         """
         state = limited_state(entry(1), entry(2, data_centre='dc-b'))
         elsewhere = state.directory.pools_by_service[PORTAL]['dc-b']
-        put_in_force(state.directory, HOME, [Allowance(PORTAL, 'dc-b', 2)], {PORTAL: 1}, ())
+        apply_allowances(state.directory, HOME, [Allowance(PORTAL, 'dc-b', 2)], {PORTAL: 1}, ())
         self.assertTrue(elsewhere.has_allowance)
-        put_in_force(state.directory, HOME, [], {}, ())
+        apply_allowances(state.directory, HOME, [], {}, ())
         self.assertFalse(elsewhere.has_allowance)
 
     def test_word_of_upstreams_that_are_unknown_is_passed_over(self) -> None:
         """A peer that knows a service before this balancer does no harm."""
         state = limited_state(entry(1))
-        put_in_force(state.directory, HOME, [Allowance(INTAKE, 'dc-b', 2)], {INTAKE: 1}, ())
+        apply_allowances(state.directory, HOME, [Allowance(INTAKE, 'dc-b', 2)], {INTAKE: 1}, ())
         self.assertEqual(3 * REQUESTS_A_SLOT, pool_of(state).limit)
 
 
@@ -488,13 +492,13 @@
         now: float = 0
         pool.enter(now)
         while now < OVERLOAD_S * 3:
-            told.extend(watch.look([pool], now))
+            told.extend(watch.check([pool], now))
             pool.refused += 1
             now += CALM_S
         pool.leave(now)
-        told.extend(watch.look([pool], now))
-        told.extend(watch.look([pool], now + CALM_S))
-        told.extend(watch.look([pool], now + CALM_S * 2))
+        told.extend(watch.check([pool], now))
+        told.extend(watch.check([pool], now + CALM_S))
+        told.extend(watch.check([pool], now + CALM_S * 2))
         numbers = [line.number for line in told]
         self.assertEqual([LogNumber.OVERLOADED, LogNumber.OVERLOAD_ENDED], numbers)
         self.assertEqual(PORTAL, told[0].fields['service'])
@@ -505,6 +509,6 @@
         pool = Pool(PORTAL, HOME)
         watch = OverloadWatch()
         pool.enter(0)
-        self.assertEqual([], watch.look([pool], OVERLOAD_S / 2))
+        self.assertEqual([], watch.check([pool], OVERLOAD_S / 2))
         pool.leave(OVERLOAD_S / 2)
-        self.assertEqual([], watch.look([pool], OVERLOAD_S * 2))
+        self.assertEqual([], watch.check([pool], OVERLOAD_S * 2))
--- a/tests/test_caller_shares.py
+++ b/tests/test_caller_shares.py
@@ -6,26 +6,26 @@
 from unittest.mock import Mock
 
 from bronzekeel.core.log_numbers import LogNumber
-from bronzekeel.core.routing.caller_queue import CallerQueue, SharedAmongCallers
+from bronzekeel.core.routing.caller_queue import CallerFairOrder, CallerQueue
+from bronzekeel.core.routing.caller_reports import (
+    MAX_REPORTED_CALLERS,
+    CallersReport,
+    HeavyCaller,
+    pack_callers_report,
+    unpack_callers_report,
+)
 from bronzekeel.core.routing.caller_shares import (
     NO_LEVEL,
     CallerShares,
     caller_of,
-    fading,
+    decay_factor,
     max_min_level,
 )
 from bronzekeel.core.routing.caller_sketch import (
-    FADE_S,
-    MOST_COUNTED,
+    DECAY_S,
+    MAX_COUNTED,
     CallerSketch,
-    distinct_of,
-)
-from bronzekeel.core.routing.caller_words import (
-    MOST_TOLD,
-    CallersWord,
-    HeavyCaller,
-    pack_word,
-    unpack_word,
+    estimate_distinct,
 )
 from bronzekeel.core.routing.decisions import Decision
 from bronzekeel.core.routing.effects import WriteLine
@@ -43,7 +43,7 @@
     RankedQueue,
     WaitingRequest,
 )
-from bronzekeel.core.routing.waiting_bounds import OPEN_WAIT_PART, wait_s
+from bronzekeel.core.routing.waiting_bounds import OPEN_WAIT_FRACTION, wait_s
 from bronzekeel.entry.decision_log import LineDecisionLog
 from bronzekeel.entry.metrics import metrics_of
 from bronzekeel.entry.peer_messages import MessageError, decode_heartbeat, encode_heartbeat
@@ -105,18 +105,18 @@
     def test_a_host_that_stood_still_for_long(self) -> None:
         """Guards against a weight that is no float, which ended a host after half an hour."""
         sketch = CallerSketch(0)
-        sketch.note(1, 0, given=True)
-        sketch.note(2, FADE_S * 5000, given=True)
-        self.assertAlmostEqual(1, sketch.given_to(2, FADE_S * 5000))
+        sketch.note(1, 0, admitted=True)
+        sketch.note(2, DECAY_S * 5000, admitted=True)
+        self.assertAlmostEqual(1, sketch.admitted_for(2, DECAY_S * 5000))
 
     def test_counts_fade(self) -> None:
         """Guards against callers that pay for what they asked for long ago."""
         sketch = CallerSketch(0)
-        sketch.note(1, 0, given=True)
-        self.assertEqual(1, sketch.given_to(1, 0))
-        self.assertAlmostEqual(0.368, sketch.given_to(1, FADE_S), places=3)
-        sketch.note(2, FADE_S * 200, given=True)
-        self.assertAlmostEqual(1, sketch.given(FADE_S * 200))
+        sketch.note(1, 0, admitted=True)
+        self.assertEqual(1, sketch.admitted_for(1, 0))
+        self.assertAlmostEqual(0.368, sketch.admitted_for(1, DECAY_S), places=3)
+        sketch.note(2, DECAY_S * 200, admitted=True)
+        self.assertAlmostEqual(1, sketch.admitted(DECAY_S * 200))
 
     def test_an_attack_of_many_addresses(self) -> None:
         """Guards against memory that grows with addresses, and a crowd that hides among them."""
@@ -124,29 +124,29 @@
         attack = 100_000
         for number in range(attack):
             now = number / attack
-            sketch.note(number + 1000, now, given=False)
+            sketch.note(number + 1000, now, admitted=False)
             if number % 100 == 0:
-                sketch.note(1, now, given=True)
-        self.assertEqual(MOST_COUNTED, len(sketch))
-        self.assertLessEqual(len(sketch._least), 2 * MOST_COUNTED)
-        self.assertGreater(sketch.given_to(1, 1), 500)
+                sketch.note(1, now, admitted=True)
+        self.assertEqual(MAX_COUNTED, len(sketch))
+        self.assertLessEqual(len(sketch._smallest), 2 * MAX_COUNTED)
+        self.assertGreater(sketch.admitted_for(1, 1), 500)
 
     def test_who_takes_an_entry_over_does_not_pay_for_it(self) -> None:
         """Guards against a caller of one request that is charged with those of another."""
         sketch = CallerSketch(0)
-        for number in range(MOST_COUNTED):
+        for number in range(MAX_COUNTED):
             for _ in range(5):
-                sketch.note(number, 0, given=True)
-        sketch.note(1000, 0, given=True)
-        self.assertEqual(1, sketch.given_to(1000, 0))
+                sketch.note(number, 0, admitted=True)
+        sketch.note(1000, 0, admitted=True)
+        self.assertEqual(1, sketch.admitted_for(1000, 0))
         self.assertEqual((1, 1), sketch.counts(0)[1000])
 
     def test_callers_are_counted_by_bits(self) -> None:
         """Guards against a share that is reckoned for far more or fewer callers than there are."""
         sketch = CallerSketch(0)
         for number in range(_CALLERS):
-            sketch.note(number, 0, given=True)
-        self.assertAlmostEqual(_CALLERS, distinct_of(sketch.seen), delta=_CALLERS / 3)
+            sketch.note(number, 0, admitted=True)
+        self.assertAlmostEqual(_CALLERS, estimate_distinct(sketch.seen), delta=_CALLERS / 3)
 
 
 class WordsTest(TestCase):
@@ -155,21 +155,21 @@
     def setUp(self) -> None:
         """Know what a neighbour says of a crowd."""
         heavy = HeavyCaller(_ODD_ADDRESS, 30, 20.5)
-        self.word = CallersWord(True, 60, 40, 0xF0F0, (heavy,))  # noqa: FBT003
+        self.report = CallersReport(True, 60, 40, 0xF0F0, (heavy,))  # noqa: FBT003
 
     def test_a_word_is_read_as_it_was_written(self) -> None:
         """Guards against shares that are reckoned from other figures than were told."""
-        told = unpack_word(pack_word(self.word))
+        told = unpack_callers_report(pack_callers_report(self.report))
         self.assertEqual((True, 60, 40, 0xF0F0), (told.short, told.asked, told.given, told.seen))
         heavy = told.heaviest[0]
         self.assertEqual((_ODD_ADDRESS, 30, 20.5), (heavy.caller, heavy.asked, heavy.given))
 
     def test_a_word_of_another_length_is_unreadable(self) -> None:
         """Guards against a peer of another version that is half understood."""
-        raw = pack_word(self.word)
-        for broken in (b'', raw[:-1], raw + bytes(8 * MOST_TOLD)):
+        raw = pack_callers_report(self.report)
+        for broken in (b'', raw[:-1], raw + bytes(8 * MAX_REPORTED_CALLERS)):
             with self.assertRaises(ValueError):
-                unpack_word(broken)
+                unpack_callers_report(broken)
 
     def test_nothing_is_told_while_nothing_is_short(self) -> None:
         """Guards against heartbeats that cost more on a quiet day."""
@@ -183,13 +183,16 @@
         state = _covered_state()
         quiet = len(encode_heartbeat(near_heartbeat(state, 0)))
         shares = _shares_of(state)
-        shares.note_short(0)
+        shares.note_shortage(0)
         for number in range(1000):
-            shares.note(flow(number), 0, given=True)
+            shares.note(flow(number), 0, admitted=True)
         raw = encode_heartbeat(near_heartbeat(state, 0))
         self.assertLess(len(raw) - quiet, 90)
-        word = decode_heartbeat(raw).callers_by_service[PORTAL]
-        self.assertEqual((True, 1000, MOST_TOLD), (word.short, word.given, len(word.heaviest)))
+        report = decode_heartbeat(raw).callers_by_service[PORTAL]
+        self.assertEqual(
+            (True, 1000, MAX_REPORTED_CALLERS),
+            (report.short, report.given, len(report.heaviest)),
+        )
         with self.assertRaises(MessageError):
             decode_heartbeat(raw.replace(b'"callers":[["portal","', b'"callers":[["portal","!'))
 
@@ -197,42 +200,42 @@
         """Guards against a duplicate of a heartbeat that makes a caller look twice as heavy."""
         state = _covered_state()
         for _ in range(2):
-            _hear(state, self.word, 1)
+            _receive(state, self.report, 1)
         reduce(state, Ticked(), 1)
-        self.assertEqual(20.5, _shares_of(state).given_to(_ODD_ADDRESS, 1))
+        self.assertEqual(20.5, _shares_of(state).admitted_for(_ODD_ADDRESS, 1))
 
     def test_the_word_of_a_silent_host_fades(self) -> None:
         """Guards against shares that a host which died goes on to take part in."""
         state = _covered_state()
-        _hear(state, self.word, 1)
+        _receive(state, self.report, 1)
         reduce(state, Ticked(), 1)
         self.assertTrue(_shares_of(state).counting)
         reduce(state, Ticked(), 3)
-        self.assertEqual(0, _shares_of(state).given_to(_ODD_ADDRESS, 3))
+        self.assertEqual(0, _shares_of(state).admitted_for(_ODD_ADDRESS, 3))
         self.assertFalse(_shares_of(state).counting)
         self.assertEqual(NO_LEVEL, _shares_of(state).level)
 
     def test_a_restarted_host_takes_its_word_back(self) -> None:
         """Guards against counts of a process that is gone."""
         state = _covered_state()
-        _hear(state, self.word, 1)
-        _hear(state, None, 1.1)
+        _receive(state, self.report, 1)
+        _receive(state, None, 1.1)
         reduce(state, Ticked(), 1.1)
-        self.assertEqual(0, _shares_of(state).given_to(_ODD_ADDRESS, 1.1))
+        self.assertEqual(0, _shares_of(state).admitted_for(_ODD_ADDRESS, 1.1))
 
     def test_hosts_do_not_keep_each_other_counting(self) -> None:
         """Guards against a shortage that lives on in words after the last request waited."""
         state = _covered_state()
-        over = CallersWord(False, 60, 40, 0xF0F0)  # noqa: FBT003
-        _hear(state, over, 1)
+        over = CallersReport(False, 60, 40, 0xF0F0)  # noqa: FBT003
+        _receive(state, over, 1)
         reduce(state, Ticked(), 1)
         self.assertFalse(_shares_of(state).counting)
 
     def test_fading(self) -> None:
-        """A word is whole until the next is due, and is nothing after it faded."""
-        self.assertEqual(1, fading(0.5, 1))
-        self.assertEqual(0.5, fading(1 + FADE_S / 2, 1))
-        self.assertEqual(0, fading(9, 1))
+        """A report is whole until the next is due, and is nothing after it faded."""
+        self.assertEqual(1, decay_factor(0.5, 1))
+        self.assertEqual(0.5, decay_factor(1 + DECAY_S / 2, 1))
+        self.assertEqual(0, decay_factor(9, 1))
 
 
 class OrderTest(TestCase):
@@ -241,9 +244,9 @@
     def setUp(self) -> None:
         """Let a crowd have been given ten times what its share is, and another caller nothing."""
         self.shares = CallerShares()
-        self.shares.note_short(0)
+        self.shares.note_shortage(0)
         for _ in range(20):
-            self.shares.note(_flow_of(_ODD_ADDRESS), 0, given=True)
+            self.shares.note(_flow_of(_ODD_ADDRESS), 0, admitted=True)
         self.shares.level = 2
         self.pool = Pool(PORTAL, HOME)
         self.pool.callers = self.shares
@@ -267,7 +270,7 @@
         self._add(1, 1)
         self._add(_ODD_ADDRESS, 2)
         self.assertEqual(1, self._first_caller(0))
-        self.assertEqual(_ODD_ADDRESS, self._first_caller(5 * FADE_S))
+        self.assertEqual(_ODD_ADDRESS, self._first_caller(5 * DECAY_S))
 
     def test_priorities_are_never_inverted(self) -> None:
         """Guards against a less urgent request that goes first since its caller had little."""
@@ -288,7 +291,7 @@
             self.assertIsNone(queue.first(0))
 
     def test_many_addresses_are_ordered_in_little_time(self) -> None:
-        """Guards against a choice that looks at all callers for each request."""
+        """Guards against a choice that lookups at all callers for each request."""
         shares = _CountedShares()
         shares.level = 2
         queue = CallerQueue(shares)
@@ -298,7 +301,7 @@
             first = queue.first(0)
             assert first is not None
             first.ended = True
-        self.assertLess(shares.looks, 30_000)
+        self.assertLess(shares.lookups, 30_000)
 
     def _request(self, caller: int, priority: int) -> WaitingRequest:
         packet = opening(1)
@@ -317,16 +320,16 @@
 class _CountedShares(CallerShares):
     """Shares that count how often what a caller was given is looked up."""
 
-    __slots__ = ('looks',)
+    __slots__ = ('lookups',)
 
     def __init__(self) -> None:
         super().__init__()
-        self.looks = 0
+        self.lookups = 0
 
-    def given_to(self, caller: int, now: float) -> float:
+    def admitted_for(self, caller: int, now: float) -> float:
         """Look up and count."""
-        self.looks += 1
-        return super().given_to(caller, now)
+        self.lookups += 1
+        return super().admitted_for(caller, now)
 
 
 class RefusalTest(TestCase):
@@ -340,9 +343,9 @@
         self.pool = next(iter(self.state.directory.pools_of(HOME)))
         self.pool.limit = 1
         self.shares = _shares_of(self.state)
-        self.shares.note_short(0)
+        self.shares.note_shortage(0)
         for _ in range(20):
-            self.shares.note(flow(2), 0, given=True)
+            self.shares.note(flow(2), 0, admitted=True)
         self.shares.level = 2
 
     def test_a_caller_far_above_its_share_is_refused_at_once(self) -> None:
@@ -375,7 +378,7 @@
     def test_a_request_on_an_open_flow_is_sent_on(self) -> None:
         """Guards against open flows that starve behind newer requests until they are given up."""
         self._ask_on_open_flow()
-        until = OBJECTIVE_S * OPEN_WAIT_PART
+        until = OBJECTIVE_S * OPEN_WAIT_FRACTION
         self.assertEqual([], _resumed(self.chosen, until - 0.01))
         sent = _resumed(self.chosen, until)
         self.assertEqual([entry(1).name], sent)
@@ -384,7 +387,7 @@
     def test_a_more_urgent_request_is_not_passed(self) -> None:
         """Guards against a bound on waiting that lets the less urgent go first."""
         self._ask_on_open_flow()
-        until = OBJECTIVE_S * OPEN_WAIT_PART
+        until = OBJECTIVE_S * OPEN_WAIT_FRACTION
         urgent = _of_priority(_patient_route(), -1)
         self.state.waiting.add(opening(3), self.pool, urgent, until - 0.01)
         packets = [packet for packet, _ in self.chosen.resume(until)]
@@ -402,10 +405,10 @@
         for tick in range(150):
             now = tick / 10
             if now < 5:
-                self.shares.note_short(now)
+                self.shares.note_shortage(now)
                 for number in range(3):
-                    self.shares.note(flow(tick * 3 + number + 5), now, given=not number)
-                    self.shares.note(flow(2), now, given=True)
+                    self.shares.note(flow(tick * 3 + number + 5), now, admitted=not number)
+                    self.shares.note(flow(2), now, admitted=True)
             effects = reduce(self.state, Ticked(), now)
             numbers.extend(effect.number for effect in effects if isinstance(effect, WriteLine))
         self.assertEqual(1, numbers.count(LogNumber.CALLER_HELD))
@@ -429,7 +432,7 @@
         reduce(state, Ticked(), 0)
         pool = next(iter(state.directory.pools_of(HOME)))
         self.assertIsNone(pool.callers)
-        self.assertIsInstance(SharedAmongCallers().queue_of(pool), RankedQueue)
+        self.assertIsInstance(CallerFairOrder().queue_of(pool), RankedQueue)
 
     def test_every_answer_is_the_same(self) -> None:
         """Guards against another order, other waits or refusals where nothing is controlled."""
@@ -464,9 +467,9 @@
         """Guards against callers who are refused and nobody can say why."""
         state = _covered_state()
         shares = _shares_of(state)
-        shares.note_short(0)
+        shares.note_shortage(0)
         for _ in range(20):
-            shares.note(flow(2), 0, given=True)
+            shares.note(flow(2), 0, admitted=True)
         shares.level = 2
         pool = next(iter(state.directory.pools_of(HOME)))
         written: list[dict[str, object]] = []
@@ -501,7 +504,7 @@
     def test_no_request_waits_while_there_is_room(self) -> None:
         """Guards against shares that leave slots idle."""
         crowd = played(20, OBJECTIVE_S)
-        self.assertGreater(crowd.looks, 100)
+        self.assertGreater(crowd.lookups, 100)
         self.assertEqual(0, crowd.waited_beside_room)
 
     def test_open_flows_do_not_starve(self) -> None:
@@ -564,14 +567,14 @@
     return shares
 
 
-def _hear(state: RoutingState, word: CallersWord | None, now: float) -> None:
-    """Let a neighbour tell a word, or that it has none."""
+def _receive(state: RoutingState, report: CallersReport | None, now: float) -> None:
+    """Let a neighbour tell a report, or that it has none."""
     heartbeat = Heartbeat(
         PeerAddress('a2', HOME, ('a2', 9)),
         0,
         0,
         {},
-        callers_by_service={} if word is None else {PORTAL: word},
+        callers_by_service={} if report is None else {PORTAL: report},
     )
     reduce(state, HeartbeatHeard(heartbeat), now)
 
--- a/tests/test_cold_starts.py
+++ b/tests/test_cold_starts.py
@@ -10,9 +10,9 @@
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.messages import Heartbeat, Known, PeerAddress
 from bronzekeel.core.routing.model import RoutingText, Upstream
+from bronzekeel.core.routing.peer_exchange import view_since
 from bronzekeel.core.routing.peers import PeerTable
 from bronzekeel.core.routing.reducer import reduce
-from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.entry.peer_messages import decode_view, encode_view
 from tests.routing_cases import (
--- a/tests/test_demand_control.py
+++ b/tests/test_demand_control.py
@@ -4,13 +4,13 @@
 
 from bronzekeel.core.routing.connection_ids import seal_of
 from bronzekeel.core.routing.demand_control import (
-    LEAST_OBJECTIVE_S,
+    MIN_OBJECTIVE_S,
     DemandControl,
     DemandControlMode,
 )
+from bronzekeel.core.routing.messages import View
 from bronzekeel.core.routing.model import Route, RoutingText, ServiceShare
 from bronzekeel.entry.peer_messages import decode_view, encode_view
-from bronzekeel.core.routing.messages import View
 
 
 _KEY = bytes((198, 18, 0, 1, 1, 187))
@@ -31,14 +31,14 @@
 
     def test_patient_callers(self) -> None:
         """A text all of whose callers can wait is covered."""
-        text = _text(_route(_KEY, LEAST_OBJECTIVE_S, 'portal'), _route(_OTHER_KEY, 2, 'archive'))
+        text = _text(_route(_KEY, MIN_OBJECTIVE_S, 'portal'), _route(_OTHER_KEY, 2, 'archive'))
         self.assertTrue(DemandControl().covers(text))
 
     def test_the_least_patient_route_decides(self) -> None:
         """Guards against requests of an impatient route that wait behind those of a patient one."""
         text = _text(
-            _route(_KEY, LEAST_OBJECTIVE_S, 'archive'),
-            _route(_OTHER_KEY, LEAST_OBJECTIVE_S / 2, 'portal'),
+            _route(_KEY, MIN_OBJECTIVE_S, 'archive'),
+            _route(_OTHER_KEY, MIN_OBJECTIVE_S / 2, 'portal'),
         )
         self.assertFalse(DemandControl().covers(text))
 
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -23,7 +23,7 @@
 from bronzekeel.entry.daemon import EntryBalancer
 from bronzekeel.entry.http_client import Call, HttpConnection
 from bronzekeel.entry.http_server import OK, Answer, HttpServer, bound_stream
-from bronzekeel.entry.lines import LINES_PER_KIND, MOST_WAITING_BYTES, LineLog
+from bronzekeel.entry.lines import LINES_PER_KIND, MAX_WAITING_BYTES, LineLog
 from bronzekeel.entry.loop import Loop
 from bronzekeel.entry.settings import EntrySettings, SettingsError, read_entry_settings
 from bronzekeel.platform.calls import EVACUATIONS_KIND
@@ -121,7 +121,7 @@
 
         def is_written() -> bool:  # noqa: WPS430 (gathers what was read)
             with suppress(BlockingIOError):
-                written.extend(read_bytes(self.reading, MOST_WAITING_BYTES))
+                written.extend(read_bytes(self.reading, MAX_WAITING_BYTES))
             whole = written[: written.rfind(b'\n') + 1]
             events = {decode_json(line)['event'] for line in whole.splitlines()}
             return expected <= events
@@ -189,7 +189,7 @@
         state = balancer.state
         super().__init__('dc-a', state.directory, state.peers, state.balance.meter)
 
-    def reckon(self, now: float) -> None:
+    def update_limits(self, now: float) -> None:
         for pool in self._directory.pools_of('dc-a'):
             pool.limit = 0
 
@@ -552,7 +552,7 @@
         lines.write(LogNumber.FLOW_REFUSED, {}, 2.5)
         lines.flush()
         written = [
-            decode_json(line) for line in read_bytes(reading, MOST_WAITING_BYTES).splitlines()
+            decode_json(line) for line in read_bytes(reading, MAX_WAITING_BYTES).splitlines()
         ]
         self.assertEqual(LINES_PER_KIND + 2, len(written))
         self.assertEqual(100 - LINES_PER_KIND, written[-1]['left_out'])
@@ -569,7 +569,7 @@
             for _ in range(LINES_PER_KIND):
                 lines.write(LogNumber.FLOW_PLACED, {'flow': 'x' * 100}, second * 2)
             lines.flush()
-        self.assertLessEqual(lines.waiting_bytes, 2 * MOST_WAITING_BYTES)
+        self.assertLessEqual(lines.waiting_bytes, 2 * MAX_WAITING_BYTES)
 
 
 class EntrySettingsTest(TestCase):
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -21,8 +21,8 @@
 )
 from bronzekeel.core.routing.follower import LISTEN_S, Collection, Follower
 from bronzekeel.core.routing.messages import Known, View
+from bronzekeel.core.routing.peer_exchange import view_since
 from bronzekeel.core.routing.reducer import reduce
-from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.stopping import REFUSALS, Stopping
 from bronzekeel.core.store_waits import FIRST_WAIT_S, MOST_WAIT_S, MOST_WAIT_UNREAD_S
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -17,7 +17,7 @@
 from bronzekeel.core.routing.messages import Known
 from bronzekeel.core.routing.model import UpstreamEntry
 from bronzekeel.core.routing.reducer import reduce
-from bronzekeel.core.routing.sharing import view_since
+from bronzekeel.core.routing.peer_exchange import view_since
 from bronzekeel.entry.peer_messages import MessageError, decode_view, encode_view
 from bronzekeel.platform.answers import object_content, upstream_spec
 from bronzekeel.platform.objects import PlatformStore
--- a/tests/test_moving_load.py
+++ b/tests/test_moving_load.py
@@ -10,9 +10,9 @@
 from bronzekeel.core.routing.departures import Departure
 from bronzekeel.core.routing.events import Evacuation
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.load_words import asked_of_centre
+from bronzekeel.core.routing.load_reports import centre_demand
 from bronzekeel.core.routing.moving_load import (
-    ROOM_WORD_S,
+    REPORT_VALID_S,
 )
 from bronzekeel.core.routing.relays import RELAY_S, RELAYS
 from bronzekeel.replay.flow_load import CENTRES, SINGLE, FlowLoad
@@ -262,12 +262,12 @@
         names = [node.me.name for node in _nodes(load, 'dc-b')]
         for name in names:
             load.fleet.kill(name)
-        load.fleet.run(ROOM_WORD_S)
+        load.fleet.run(REPORT_VALID_S)
         for name in names:
             load.fleet.restart(name)
         load.fleet.run(0.5)
         for node in _nodes(load, 'dc-b'):
-            self.assertFalse(asked_of_centre(node.state, load.fleet.now))
+            self.assertFalse(centre_demand(node.state, load.fleet.now))
         load.fleet.run(4)
         self.assertGreater(min(_room(load, 'dc-a', 'dc-b')), 0)
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -43,7 +43,7 @@
     PeerAddress,
     View,
 )
-from bronzekeel.core.routing.sharing import view_since
+from bronzekeel.core.routing.peer_exchange import view_since
 
 
 _DERANDOMIZED = settings(derandomize=True, database=None, deadline=None, max_examples=300)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
-from signal import SIGKILL, SIGSTOP, SIGCONT, SIGTERM
+from signal import SIGCONT, SIGKILL, SIGSTOP, SIGTERM
 from sys import executable
 from tempfile import TemporaryDirectory
 from unittest import TestCase
--- a/tests/test_restarted_upstreams.py
+++ b/tests/test_restarted_upstreams.py
@@ -10,8 +10,8 @@
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.messages import Known, View
 from bronzekeel.core.routing.model import UpstreamEntry
+from bronzekeel.core.routing.peer_exchange import view_since
 from bronzekeel.core.routing.reducer import reduce
-from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.entry.peer_messages import decode_view, encode_view
 from bronzekeel.replay.routing_fleet import RoutingFleet
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -20,9 +20,9 @@
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.messages import Evacuated, Heartbeat, Known, PeerAddress
 from bronzekeel.core.routing.model import RoutingText, UpstreamEntry
+from bronzekeel.core.routing.peer_exchange import view_since
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.revisions import revision_of
-from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.store_waits import FIRST_WAIT_S
 from bronzekeel.replay.routing_fleet import RoutingFleet
--- a/tests/test_room_elsewhere.py
+++ b/tests/test_room_elsewhere.py
@@ -4,8 +4,9 @@
 from unittest import TestCase
 
 from bronzekeel.core.log_numbers import LogNumber
-from bronzekeel.core.routing.asked_meter import WINDOW_S, AskedMeter
+from bronzekeel.core.routing.change_trigger import MIN_INTERVAL_S, ChangeTrigger
 from bronzekeel.core.routing.demand_control import DemandControl, DemandControlMode
+from bronzekeel.core.routing.demand_meter import WINDOW_S, DemandMeter
 from bronzekeel.core.routing.departures import ENDED_S, Departure, Departures
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.effects import Effect, WriteLine
@@ -13,13 +14,12 @@
 from bronzekeel.core.routing.heartbeats import far_heartbeat, near_heartbeat
 from bronzekeel.core.routing.messages import Asked, Heartbeat, PeerAddress
 from bronzekeel.core.routing.moving_load import (
-    CROWD_SEEN_S,
-    RISE_S,
-    CentreWord,
-    CrowdShares,
-    SharedRoom,
+    RAMP_UP_S,
+    SURGE_CONFIRM_S,
+    CentreReport,
+    RemoteAllowances,
+    SurgeShares,
 )
-from bronzekeel.core.routing.room_news import NEWS_S, RoomNews
 from bronzekeel.entry.peer_messages import MessageError, decode_heartbeat, encode_heartbeat
 from tests.routing_cases import (
     PORTAL,
@@ -39,20 +39,20 @@
 
     def setUp(self) -> None:
         """Start with nothing known."""
-        self.room = SharedRoom()
+        self.room = RemoteAllowances()
 
     def test_room_grows_in_a_second_and_ends_at_once(self) -> None:
         """Guards against all data centres that fill a freed one at the same moment."""
-        idle = CentreWord(0.75, 50, 0, hears=True)
+        idle = CentreReport(0.75, 50, 0, hears=True)
         self.assertEqual(0, self._allowance(0, idle))
-        self.assertAlmostEqual(4.5, self._allowance(RISE_S / 2, idle))
-        self.assertAlmostEqual(9, self._allowance(RISE_S, idle))
-        self.assertEqual(0, self._allowance(RISE_S, CentreWord(2, 50, 0, hears=True)))
+        self.assertAlmostEqual(4.5, self._allowance(RAMP_UP_S / 2, idle))
+        self.assertAlmostEqual(9, self._allowance(RAMP_UP_S, idle))
+        self.assertEqual(0, self._allowance(RAMP_UP_S, CentreReport(2, 50, 0, hears=True)))
 
     def test_a_way_that_is_lost_has_no_room(self) -> None:
         """Guards against flows to a data centre that does not hear this one."""
-        self._allowance(0, CentreWord(0.75, 50, 0, hears=True))
-        self.assertEqual(0, self._allowance(RISE_S, CentreWord(0.75, 50, 0, hears=False)))
+        self._allowance(0, CentreReport(0.75, 50, 0, hears=True))
+        self.assertEqual(0, self._allowance(RAMP_UP_S, CentreReport(0.75, 50, 0, hears=False)))
 
     def test_who_lacked_room_shares_until_it_has_some(self) -> None:
         """Guards against parts that double and halve with each word."""
@@ -60,10 +60,12 @@
         parts = []
         for place, load in enumerate(loads):
             words = {
-                'b': CentreWord(load, 50, 0, hears=True),
-                'c': CentreWord(0.75, 50, 0, hears=True),
+                'b': CentreReport(load, 50, 0, hears=True),
+                'c': CentreReport(0.75, 50, 0, hears=True),
             }
-            told = self.room.allowances_of(PORTAL, 'a', 50, words, _NINE_EACH, place * 2 * RISE_S)
+            told = self.room.allowances_of(
+                PORTAL, 'a', 50, words, _NINE_EACH, place * 2 * RAMP_UP_S
+            )
             parts.append(told[1].requests)
         self.assertEqual(0, parts[0])
         self.assertAlmostEqual(4.5, parts[1])
@@ -71,16 +73,16 @@
 
     def test_a_claim_is_kept_until_half_is_left(self) -> None:
         """Guards against a claim that comes and goes with the chance of a second."""
-        full = {'b': CentreWord(2, 100, 5, hears=True), 'c': CentreWord(2, 100, 5, hears=True)}
+        full = {'b': CentreReport(2, 100, 5, hears=True), 'c': CentreReport(2, 100, 5, hears=True)}
         held = []
         for place, rate in enumerate((200, 450, 350, 150)):
             allowances = self.room.allowances_of(
-                PORTAL, 'a', rate, full, _NINE_EACH, place * 2 * RISE_S
+                PORTAL, 'a', rate, full, _NINE_EACH, place * 2 * RAMP_UP_S
             )
             held.append(sum(allowance.requests for allowance in allowances) > 0)
         self.assertEqual([False, True, True, False], held)
 
-    def _allowance(self, now: float, word: CentreWord) -> float:
+    def _allowance(self, now: float, word: CentreReport) -> float:
         told = self.room.allowances_of(PORTAL, 'a', 50, {'b': word}, _NINE_EACH, now)
         return told[0].requests
 
@@ -98,41 +100,41 @@
 
     def test_a_burst_everywhere_is_no_crowd(self) -> None:
         """Guards against data centres that hear late of each other's burst and send it around."""
-        shares = CrowdShares()
+        shares = SurgeShares()
         heard_late = {'a': 500.0, 'b': 50.0, 'c': 50.0}
         self.assertEqual({}, shares.shares_of(PORTAL, 'a', _NINE_EACH, heard_late, 1, 0))
         heard = {'a': 500.0, 'b': 450.0, 'c': 480.0}
-        self.assertEqual({}, shares.shares_of(PORTAL, 'a', _NINE_EACH, heard, 1, CROWD_SEEN_S))
+        self.assertEqual({}, shares.shares_of(PORTAL, 'a', _NINE_EACH, heard, 1, SURGE_CONFIRM_S))
 
     def test_a_data_centre_with_room_keeps_its_crowd(self) -> None:
         """Guards against flows that cross while home can serve all of them."""
         rates = {'a': 500.0, 'b': 50.0, 'c': 50.0}
-        shares = CrowdShares()
-        for now in (0, CROWD_SEEN_S):
+        shares = SurgeShares()
+        for now in (0, SURGE_CONFIRM_S):
             self.assertEqual({}, shares.shares_of(PORTAL, 'a', _NINE_EACH, rates, 0.5, now))
 
     def _sent(self, *rates: float) -> list[bool]:
         """Return whether flows leave at rates that are told one after another."""
-        shares = CrowdShares()
+        shares = SurgeShares()
         sent = []
         for place, rate in enumerate(rates):
             told = {'a': rate, 'b': 50.0, 'c': 50.0}
-            now = place * CROWD_SEEN_S
+            now = place * SURGE_CONFIRM_S
             sent.append(bool(shares.shares_of(PORTAL, 'a', _NINE_EACH, told, 1, now)))
         return sent
 
 
-_LOOK_S = 0.1
+_SAMPLE_S = 0.1
 _RATE = 1000
 
 
-def _rates_of(looks: list[float]) -> list[float]:
+def _rates_of(samples: list[float]) -> list[float]:
     """Return what is told after each look while ``_RATE`` requests a second come."""
-    meter = AskedMeter()
+    meter = DemandMeter()
     directory = ready_state(entry(1)).directory
     rates = []
-    for now in looks:
-        meter.look([PORTAL], {PORTAL: round(now * _RATE)}, directory, now)
+    for now in samples:
+        meter.sample([PORTAL], {PORTAL: round(now * _RATE)}, directory, now)
         if meter.by_service:
             rates.append(meter.by_service[PORTAL].rate)
     return rates
@@ -145,15 +147,15 @@
         """Guards against a data centre that refuses all its callers and seems to have none."""
         state = ready_state(entry(1))
         pool = state.directory.pools_by_service[PORTAL]['dc-a']
-        meter = AskedMeter()
-        self._look(meter, state.directory, 0, 5)
+        meter = DemandMeter()
+        self._sample(meter, state.directory, 0, 5)
         self.assertIsNone(meter.by_service)
         pool.refused = 7
-        self._look(meter, state.directory, 5 * _LOOK_S, 1)
+        self._sample(meter, state.directory, 5 * _SAMPLE_S, 1)
         told = meter.by_service or {}
         self.assertAlmostEqual(7 / WINDOW_S, told[PORTAL].rate)
         self.assertEqual(7, told[PORTAL].lacking)
-        self._look(meter, state.directory, 6 * _LOOK_S, 9)
+        self._sample(meter, state.directory, 6 * _SAMPLE_S, 9)
         told = meter.by_service or {}
         self.assertEqual((0, 0), (told[PORTAL].rate, told[PORTAL].lacking))
 
@@ -161,7 +163,9 @@
         """Guards against ticks a little apart from a tenth of a second: twice the rate was told."""
         for jitter_s in (0, 0.003, -0.003, 0.04):
             with self.subTest(jitter_s=jitter_s):
-                rates = _rates_of([place * _LOOK_S + place % 2 * jitter_s for place in range(100)])
+                rates = _rates_of(
+                    [place * _SAMPLE_S + place % 2 * jitter_s for place in range(100)]
+                )
                 self.assertLess(max(rates), 1.1 * _RATE)
                 self.assertGreater(min(rates), 0.9 * _RATE)
 
@@ -170,9 +174,11 @@
         rates = _rates_of([0, 0.1, 0.2, 0.3, 0.4, 0.5, 600, 600.1, 600.2, 600.3, 600.4, 600.5])
         self.assertLess(max(rates), 1.1 * _RATE)
 
-    def _look(self, meter: AskedMeter, directory: Directory, from_s: float, looks: int) -> None:
-        for place in range(looks):
-            meter.look([PORTAL], {PORTAL: 0}, directory, from_s + place * _LOOK_S)
+    def _sample(
+        self, meter: DemandMeter, directory: Directory, from_s: float, samples: int
+    ) -> None:
+        for place in range(samples):
+            meter.sample([PORTAL], {PORTAL: 0}, directory, from_s + place * _SAMPLE_S)
 
 
 class NewsTest(TestCase):
@@ -180,16 +186,16 @@
 
     def test_early_heartbeats_are_bounded(self) -> None:
         """Guards against a round of heartbeats for each request that waits."""
-        news: RoomNews[str] = RoomNews(1, 0.25)
+        news: ChangeTrigger[str] = ChangeTrigger(1, 0.25)
         told = set()
         for place in range(40):
             news.note({'a': place % 2 * 8}, place * 0.1)
             told.add(news.changed_at)
-        self.assertLessEqual(len(told), 4 / NEWS_S + 1)
+        self.assertLessEqual(len(told), 4 / MIN_INTERVAL_S + 1)
 
     def test_small_changes_wait(self) -> None:
         """Guards against early heartbeats in calm."""
-        news: RoomNews[str] = RoomNews(1, 0.25)
+        news: ChangeTrigger[str] = ChangeTrigger(1, 0.25)
         news.note({'a': 20}, 1)
         news.note({'a': 24}, 2)
         self.assertEqual(1, news.changed_at)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -6,11 +6,11 @@
 from bronzekeel.core.routing.events import ViewFetched
 from bronzekeel.core.routing.follower import NEWS_S, Collection, Follower
 from bronzekeel.core.routing.messages import Heartbeat, Known, PeerAddress
+from bronzekeel.core.routing.peer_exchange import MAX_BEHIND_S, view_since
 from bronzekeel.core.routing.peers import FORGET_S, MOST_PEERS, NAMED_S, SEED_S, PeerTable
+from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.relays import RELAY_S, RELAYS
 from bronzekeel.core.routing.watch_duty import LONE_WATCHERS, WATCHERS
-from bronzekeel.core.routing.reducer import reduce
-from bronzekeel.core.routing.sharing import BEHIND_S, view_since
 from bronzekeel.core.store_waits import ANSWER_S, PROVING_WATCH_S, WATCH_S
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from tests.routing_cases import (
@@ -84,7 +84,7 @@
         fleet.views_pass = False
         before = sum(node.calls for node in fleet.running)
         newest = put_text(fleet)
-        fleet.run(BEHIND_S + 1)
+        fleet.run(MAX_BEHIND_S + 1)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
         fleet.run(_SETTLED_S)
         calls = sum(node.calls for node in fleet.running) - before
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -5,7 +5,8 @@
 from bronzekeel.core.routing.effects import WatchChanges
 from bronzekeel.core.routing.events import ChangesRead, Paused, Started, StoredObject, Ticked
 from bronzekeel.core.routing.follower import GATHER_S, LISTEN_S, Collection
-from bronzekeel.core.routing.sharing import STORE_FIRST_S
+from bronzekeel.core.routing.peer_exchange import STORE_GRACE_S
+from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.watch_duty import (
     ALL_WATCHERS,
     FEWEST_WATCHERS,
@@ -13,7 +14,6 @@
     NEWEST_READERS,
     WATCHERS,
 )
-from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.store_waits import PROVING_WATCH_S
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from tests.routing_cases import (
@@ -145,7 +145,7 @@
         fleet.lose_store(started, 'silent')
         for name in started:
             fleet.restart(name)
-        fleet.run(STORE_FIRST_S + 0.5)
+        fleet.run(STORE_GRACE_S + 0.5)
         self.assertTrue(all(fleet.node_by_name[name].state.ready for name in started))
 
 
--- a/tests/test_view_model.py
+++ b/tests/test_view_model.py
@@ -16,8 +16,8 @@
 from bronzekeel.core.routing.events import PageRead, ViewFetched
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.messages import Known, View
+from bronzekeel.core.routing.peer_exchange import view_since
 from bronzekeel.core.routing.reducer import reduce
-from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.replay.routing_store import StoreModel
 from tests.routing_cases import entry, fresh_state, text
