--- a/src/bronzekeel/core/routing/admission.py
+++ b/src/bronzekeel/core/routing/admission.py
@@ -1,8 +1,7 @@
-"""Say how many requests may be in progress at upstreams before further ones wait.
+"""Limit how many requests may be in progress at upstreams before further ones wait.
 
-Requests in progress, and not requests a second, are what is limited: by Little's law the
-limit then follows by itself when upstreams turn slow or cold, and when callers ask for
-more work.
+The limit applies to requests in progress, not to requests a second: by Little's law it adapts by
+itself when upstreams become slow or are in a cold start, and when requests need more work.
 """
 
 from abc import ABC, abstractmethod
@@ -17,36 +16,36 @@
 from bronzekeel.core.routing.pools import NO_LIMIT, REQUESTS_A_SLOT, Pool
 
 
-#: Share of the room that neighbours leave unused which a balancer may take beside its own.
-#: What goes wrong without it: callers spread unevenly over balancers, or a neighbour is dark,
-#: and requests wait while slots are free.  Source: with all of it, all balancers begin as many
-#: requests at once when a burst begins; half leaves room for the others that do the same.
+#: Part of the capacity that neighbours leave unused which a balancer may use on top of its share.
+#: Without this, requests wait beside free slots when callers are spread unevenly over balancers or
+#: a neighbour is down. It is less than one because all balancers admit that many requests at once
+#: when a burst begins; half leaves capacity for the others.
 BORROWED_SHARE = 0.5
 
-#: How many times the mean of the others, and how many more, requests must be in progress at
-#: an upstream to be stuck there.  Source: chance makes fewer of three slots that are taken
-#: and as many requests that wait.
+#: An upstream is stuck when its requests in progress exceed this factor times the mean of the
+#: others, plus the slack. Random variation alone does not reach that: three slots in use and as
+#: many requests that wait.
 STUCK_FACTOR = 2
 STUCK_SLACK = 3
 
-#: Requests a second of a service, at all balancers of the data centre, below which rates
-#: do not tell whose callers ask for how much.
+#: Requests a second of a service, at all balancers of the data centre, below which rates do not
+#: show how demand is distributed over balancers.
 _MIN_KNOWN_RATE = 5.0
 
-#: Weight of the newest tick in the rate of answers.  Source: ticks come ten times a second,
-#: and a burst must show within half a second.
+#: Weight of the newest tick in the rate of answers. Ticks come ten times a second, and a burst
+#: must show within half a second.
 _NEWEST_WEIGHT = 0.3
 
-#: Interval in seconds at which the limits of pools are reckoned that have nothing in progress.
-#: Source: with tens of thousands of upstreams a look at all of them takes milliseconds.
+#: Interval in seconds at which the limits of pools with nothing in progress are computed: with
+#: tens of thousands of upstreams a pass over all of them takes milliseconds.
 _IDLE_POOL_INTERVAL_S = 1.0
 
-#: Seconds between two ticks at least, for the rate of answers.
+#: Least seconds between two ticks that the rate of answers assumes.
 _MIN_ELAPSED_S = 0.01
 
 
 class Admission(ABC):
-    """Set the limits of pools; every policy answers one load pattern."""
+    """Set the limits of pools; each policy handles one load pattern."""
 
     def __init__(
         self,
@@ -55,7 +54,7 @@
         peers: PeerTable,
         meter: RateMeter,
     ) -> None:
-        """Limit the pools of `data_centre`; `meter` and `peers` tell whose callers ask for what."""
+        """Limit the pools of `data_centre` by the demand that `meter` and `peers` report."""
         self._data_centre = data_centre
         self._directory = directory
         self._peers = peers
@@ -63,31 +62,31 @@
 
     @abstractmethod
     def update_limits(self, now: float) -> None:
-        """Set the limits by what is known `now`; called at each tick."""
+        """Set the limits from the state `now`; called at each tick."""
 
     def share_of(self, service: str, now: float) -> float:
-        """Return this balancer's share of the requests of all in its data centre.
+        """Return this balancer's share of the requests of all balancers in its data centre.
 
-        At least half of an equal share: one that has just started is asked for more
-        than it has seen.
+        It is at least half of an equal share, because the demand on a balancer that has just
+        started is higher than what it has measured.
         """
         equal = 1 / (len(self._peers.living(now)) + 1)
         own = self._meter.by_service.get(service, 0)
-        elsewhere = sum(
+        at_peers = sum(
             rate_by_service.get(service, 0) for rate_by_service in self._peers.rates_near(now)
         )
-        if not self._meter.settled or own + elsewhere < _MIN_KNOWN_RATE:
+        if not self._meter.settled or own + at_peers < _MIN_KNOWN_RATE:
             return equal
-        return max(own / (own + elsewhere), equal / 2)
+        return max(own / (own + at_peers), equal / 2)
 
 
 class RequestsPerSlot(Admission):
     """Limit requests in progress by the slots of the data centre's upstreams.
 
-    Load pattern: callers ask for more than the upstreams can do, for seconds or for hours.
-    Balancers do not see each other's requests at once, so each takes its share of the
-    slots: what its callers ask for, of what is asked at all balancers of the data centre.
-    Beside it, it may use `borrowed_share` of the room that neighbours leave unused.
+    Load pattern: callers demand more than the upstreams can serve, for seconds or for hours.
+    Balancers do not see each other's requests at once, so each takes its share of the slots: the
+    demand of its callers as a part of the demand at all balancers of the data centre. On top of it,
+    a balancer may use `borrowed_share` of the capacity that neighbours leave unused.
     """
 
     borrowed_share: ClassVar[float] = BORROWED_SHARE
@@ -99,7 +98,7 @@
         peers: PeerTable,
         meter: RateMeter,
     ) -> None:
-        """Limit the pools of `data_centre`; `meter` and `peers` tell the shares."""
+        """Limit the pools of `data_centre`; `meter` and `peers` supply the shares."""
         super().__init__(data_centre, directory, peers, meter)
         self._answered_by_pool: dict[Pool, int] = {}
         self._rate_by_pool: dict[Pool, float] = {}
@@ -107,14 +106,14 @@
         self._next_full_update_at: float = 0
 
     def update_limits(self, now: float) -> None:
-        """Set the limits of the pools of the own data centre, of idle ones seldom."""
+        """Set the limits of the local pools; idle pools are updated less often."""
         elapsed_s = max(now - self._updated_at, _MIN_ELAPSED_S)
         self._updated_at = now
-        everything = now >= self._next_full_update_at
-        if everything:
+        update_all = now >= self._next_full_update_at
+        if update_all:
             self._next_full_update_at = now + _IDLE_POOL_INTERVAL_S
         for pool in self._directory.pools_of(self._data_centre):
-            if not everything and not pool.busy:
+            if not update_all and not pool.busy:
                 continue
             self._note_answers(pool, elapsed_s)
             pool.limit = self._limit_of(pool, now)
@@ -126,27 +125,27 @@
         self._rate_by_pool[pool] = rate + (answered / elapsed_s - rate) * _NEWEST_WEIGHT
 
     def _limit_of(self, pool: Pool, now: float) -> float:
-        """Return the requests that may be in progress of this balancer's callers.
+        """Return how many requests of this balancer's callers may be in progress.
 
-        Requests on their way between caller and upstream hold no slot; by Little's law
-        they are the answers a second times the seconds on the way.
+        Requests in transit between caller and upstream hold no slot. By Little's law their number
+        is the answers a second times the seconds in transit.
         """
-        near = self._directory.pool_members.of_pool(pool.service, self._data_centre)
-        room = capacity_at(near, self._data_centre, now) * REQUESTS_A_SLOT
-        if not room:
+        members = self._directory.pool_members.of_pool(pool.service, self._data_centre)
+        capacity = capacity_at(members, self._data_centre, now) * REQUESTS_A_SLOT
+        if not capacity:
             return NO_LIMIT
         share = self.share_of(pool.service, now)
-        elsewhere = sum(upstream.busy_elsewhere for upstream in near)
-        unused = max(0, room * (1 - share) - elsewhere)
-        own = max(1, room * share + unused * self.borrowed_share)
-        on_their_way = self._rate_by_pool[pool] * pool.way_s
-        return own + on_their_way + _stuck(near, now)
+        busy_elsewhere = sum(upstream.busy_elsewhere for upstream in members)
+        unused = max(0, capacity * (1 - share) - busy_elsewhere)
+        own = max(1, capacity * share + unused * self.borrowed_share)
+        in_transit = self._rate_by_pool[pool] * pool.way_s
+        return own + in_transit + _stuck(members, now)
 
 
 def capacity_at(upstreams: Iterable[Upstream], data_centre: str, now: float) -> float:
     """Return the capacity of a data centre that new flows may use, in slots.
 
-    Cold upstreams count for what they can do, silent ones not at all.
+    Upstreams in a cold start count with their reduced capacity, unresponsive ones not at all.
     """
     capacity: float = 0
     for upstream in upstreams:
@@ -158,11 +157,11 @@
 
 
 def _stuck(upstreams: Sequence[Upstream], now: float) -> float:
-    """Return the requests in progress that take no slot of an upstream that works.
+    """Return the requests in progress that hold no slot of a working upstream.
 
-    What goes wrong without it: a third of the upstreams fall silent, or one turns slow.
-    Requests in progress there fill the limit, and callers wait while the slots of
-    the others are free.
+    Without this, when a third of the upstreams become unresponsive or one becomes slow, the
+    requests in progress there fill the limit, and callers wait while slots of the other upstreams
+    are free.
     """
     working = [upstream for upstream in upstreams if _counts(upstream, now)]
     busy = sum(upstream.busy_flows for upstream in working)
@@ -176,5 +175,5 @@
 
 
 def _counts(upstream: Upstream, now: float) -> bool:
-    """Whether the slots of an upstream are there for new flows."""
+    """Whether the slots of an upstream are available for new flows."""
     return upstream.listed and upstream.entry.takes_flows and now >= upstream.avoided_until
--- a/src/bronzekeel/core/routing/caller_queue.py
+++ b/src/bronzekeel/core/routing/caller_queue.py
@@ -1,4 +1,4 @@
-"""Order the requests that wait by their callers' shares."""
+"""Order waiting requests by the fair shares of their callers."""
 
 from collections.abc import Iterator
 from heapq import heappop, heappush
@@ -18,7 +18,7 @@
 
 
 class _RequestHeap:
-    """Hold requests by urgency, then the newest first."""
+    """Hold requests of one priority order: the most urgent first, then the newest."""
 
     __slots__ = ('_heap',)
 
@@ -27,47 +27,48 @@
 
     @property
     def first(self) -> tuple[_Rank, WaitingRequest] | None:
-        """The rank and the request in head, None if none waits."""
+        """The rank and the request at the head, None if the heap is empty."""
         while self._heap and self._heap[0][1].ended:
             heappop(self._heap)
         return self._heap[0] if self._heap else None
 
     def add(self, rank: _Rank, request: WaitingRequest) -> None:
-        """Take a request."""
+        """Add a request under its rank."""
         heappush(self._heap, (rank, request))
 
     def pop(self) -> tuple[_Rank, WaitingRequest]:
-        """Take the request in head out."""
+        """Remove and return the request at the head."""
         return heappop(self._heap)
 
     def pop_all(self) -> Iterator[tuple[_Rank, WaitingRequest]]:
-        """Take all requests out."""
+        """Remove and yield all requests, in order."""
         while self.first is not None:
             yield self.pop()
 
 
 class CallerQueue(WaitingQueue):
-    """Let callers within their shares go first, then those that are the least beyond.
+    """Serve callers within their shares first, then those that exceed theirs the least.
 
-    What a caller was given changes while its requests wait, so it is looked up when a request
-    is taken.  Those of callers that are not far below their shares are set deferred, a heap each:
-    counted callers are few, so the choice among them is cheap.
+    The admitted requests of a caller change while its requests wait, so its priority class is
+    computed when a request is taken from the queue. Requests of callers that are not far below
+    their shares are deferred into one heap for each caller. Only a bounded number of callers is
+    counted, so it is cheap to choose among these heaps.
     """
 
     __slots__ = ('_deferred_by_caller', '_shares', '_undeferred')
 
     def __init__(self, shares: CallerShares) -> None:
-        """Order by `shares`."""
+        """Order requests by `shares`."""
         self._shares = shares
         self._undeferred = _RequestHeap()
         self._deferred_by_caller: dict[int, _RequestHeap] = {}
 
     def add(self, request: WaitingRequest, number: int) -> None:
-        """Take the request that came as the `number`th."""
+        """Add the request that arrived as the `number`th."""
         self._undeferred.add((request.priority, -number), request)
 
     def first(self, now: float) -> WaitingRequest | None:
-        """Return the request that goes on first, None if none waits."""
+        """Return the request to send next, None if none waits."""
         best = self._first_deferred(now)
         head = self._undeferred.first
         while head is not None:
@@ -82,7 +83,7 @@
         return best[1] if best else None
 
     def _first_deferred(self, now: float) -> _Classed | None:
-        """Return the first that was set deferred; join those that need not be with the others."""
+        """Return the best deferred request; requeue callers that are far below their shares."""
         best: _Classed | None = None
         for caller, deferred in list(self._deferred_by_caller.items()):
             head = deferred.first
@@ -99,7 +100,7 @@
             self._undeferred.add(rank, request)
 
     def _with_class(self, ranked: tuple[_Rank, WaitingRequest], now: float) -> _Classed:
-        """Return a request with its priority, its caller's place, and its rank."""
+        """Return a request with its sort key: priority, its caller's priority class, rank."""
         rank, request = ranked
         return (rank[0], self._shares.priority_class(self._caller(request), now), rank), request
 
@@ -108,15 +109,16 @@
 
 
 class CallerFairOrder(NewestFirst):
-    """Share the room of pools whose demand is controlled among callers, max-min.
+    """Share the capacity of pools among callers by max-min fairness.
 
-    Load pattern: one caller asks for many times what the others do, and there is too little room
-    for all.  Newest first alone gives each caller as much of the room as it has of the
-    requests: the others are refused as often as the one that is the cause.
+    It applies to pools whose demand is controlled. Load pattern: one caller sends many times as
+    many requests as the others, and there is too little capacity for all. With newest first alone,
+    each caller gets capacity in proportion to its requests, so the others are refused as often as
+    the caller that is the cause.
     """
 
     def queue_of(self, pool: Pool) -> WaitingQueue:
-        """Return the queue of a pool that none waits for yet."""
+        """Return a new queue for a pool."""
         if pool.callers is None:
             return RankedQueue(self)
         return CallerQueue(pool.callers)
--- a/src/bronzekeel/core/routing/caller_shares.py
+++ b/src/bronzekeel/core/routing/caller_shares.py
@@ -1,8 +1,8 @@
-"""Reckon each caller's share of a service that is short, at all hosts of the data centre.
+"""Compute each caller's share of an overloaded service across all hosts of the data centre.
 
-Load pattern: callers ask for more than the upstreams can do, and one of them for many times
-what the others do.  Shares are max-min: who asks for less than an equal part gets all of
-it, and what is left is shared by the others alike.
+Load pattern: callers demand more than the upstreams can serve, and one of them many times as much
+as the others. Shares are max-min fair: a caller that demands less than an equal share gets all that
+it demands, and the rest is divided equally among the others.
 """
 
 from math import sqrt
@@ -11,22 +11,22 @@
 from bronzekeel.core.routing.caller_sketch import DECAY_S, CallerSketch, estimate_distinct
 
 
-#: Leading bits of an address that make one caller: all of them.
+#: Leading bits of an address that identify a caller: all of them.
 DEFAULT_CALLER_BITS = 32
 
-#: Seconds after the last request waited for which callers are counted.  Source: a burst that
-#: comes in waves must not find callers whose use is forgotten.
+#: Seconds after the last request waited for which callers are still counted, so that the counts
+#: survive the gaps of a burst that comes in waves.
 COUNTING_PERIOD_S = 5.0
 
-#: Deviations by which a caller may be above its share before its openings are refused, and
-#: requests beside them.  Source: one that asks at random for its share is more than two
-#: deviations, the root of the share each, above it once in forty times.
+#: Slack above its share before a caller's openings are refused: standard deviations, and requests
+#: on top of them. A caller whose random demand averages its share exceeds it by more than two
+#: deviations (the square root of the share each) once in forty times.
 SLACK_DEVIATIONS = 2
 SLACK_REQUESTS = 1
 
-#: Part of its share up to which a caller goes before others, and faded requests that are never
-#: too many.  Source: who asks at random for its share is seldom below half of it; who asks for
-#: less must not wait behind one that takes all that is left.
+#: Fraction of its share up to which a caller goes before others, and the decayed requests that
+#: always count as low use. A caller whose random demand averages its share is seldom below half of
+#: it; a caller that demands less must not wait behind one that takes all that is left.
 LOW_USE_FRACTION = 0.5
 MIN_ADMITTED = 1.0
 
@@ -37,17 +37,18 @@
 
 
 def caller_of(flow: bytes, bits: int) -> int:
-    """Return who sent the packets of a flow: the leading bits of the address."""
+    """Return the caller of a flow: the leading `bits` of the source address."""
     address = int.from_bytes(flow[:_ADDRESS_BYTES], 'big')
     return address >> (_ADDRESS_BITS - bits) << (_ADDRESS_BITS - bits)
 
 
-def max_min_level(demands: list[tuple[float, float]], room: float) -> float:
-    """Return what a caller gets at most when `room` is shared max-min.
+def max_min_level(demands: list[tuple[float, float]], capacity: float) -> float:
+    """Return the most that one caller gets when `capacity` is shared max-min.
 
-    `demands` are pairs of what a caller asks for and how many callers ask for as much.
+    `demands` are pairs of the demand of one caller and the number of callers with that demand.
+    Returns ``NO_LEVEL`` if the capacity covers all demands.
     """
-    left = room
+    left = capacity
     callers = sum(number for _, number in demands)
     for demand, number in sorted(demands):
         if demand * callers >= left:
@@ -58,11 +59,11 @@
 
 
 class CallerShares:
-    """Hold what callers of one pool demand for and were admitted, and the share of each.
+    """Track the demand and the admitted requests of the callers of one pool, and their shares.
 
-    Requests are counted while it is `counting`: some wait here, or a neighbour says that they do
-    there.  `level` is the most that a caller may be admitted by max-min shares, in faded requests;
-    `above_share` callers were far above it when it was reckoned last.
+    Requests are counted only while `counting` is set: while some wait here or a neighbour reports
+    that they wait there. `level` is the max-min share in decayed requests: the most that one caller
+    may be admitted. `above_share` is the number of callers that were throttled at the last update.
     """
 
     __slots__ = (
@@ -76,7 +77,7 @@
     )
 
     def __init__(self, bits: int = DEFAULT_CALLER_BITS) -> None:
-        """Take the leading `bits` of an address for a caller."""
+        """Identify callers by the leading `bits` of their addresses."""
         self.bits = bits
         self.counting = False
         self.above_share = 0
@@ -86,13 +87,13 @@
         self._admitted_at_peers_by_caller: dict[int, float] = {}
 
     def note_shortage(self, now: float) -> None:
-        """Note that a request has to wait."""
+        """Record that a request has to wait."""
         if not self.counting:
             self._begin(now)
         self._shortage_until = now + COUNTING_PERIOD_S
 
     def note(self, flow: bytes, now: float, *, admitted: bool) -> None:
-        """Count a request that was let through or refused."""
+        """Count a request that was admitted or refused."""
         if self.counting:
             self._sketch.note(caller_of(flow, self.bits), now, admitted=admitted)
 
@@ -101,15 +102,15 @@
         return caller_of(flow, self.bits)
 
     def admitted_for(self, caller: int, now: float) -> float:
-        """Return the requests of a caller that were let through at all hosts, faded."""
-        elsewhere = self._admitted_at_peers_by_caller.get(caller, 0)
-        return self._sketch.admitted_for(caller, now) + elsewhere
+        """Return the decayed number of a caller's requests that all hosts admitted."""
+        at_peers = self._admitted_at_peers_by_caller.get(caller, 0)
+        return self._sketch.admitted_for(caller, now) + at_peers
 
     def priority_class(self, caller: int, now: float) -> int:
-        """Return the place of a caller among those that wait: zero for one far below its share.
+        """Return the priority class of a caller; callers of a lower class are served first.
 
-        Equals in this are those up to half of the share, and those up to the share; above it
-        each further request counts.
+        Class 0 is for callers up to half of their share, class 1 for those up to their share. Above
+        it, the class grows by one with each further request.
         """
         admitted = self.admitted_for(caller, now)
         if admitted <= max(self.level * LOW_USE_FRACTION, MIN_ADMITTED):
@@ -119,7 +120,7 @@
         return 2 + int(admitted - self.level)
 
     def refuses(self, caller: int, now: float) -> bool:
-        """Whether a caller was admitted so much that its openings need not wait."""
+        """Whether a caller is so far above its share that its openings are refused at once."""
         if self.level == NO_LEVEL:
             return False
         slack = SLACK_DEVIATIONS * sqrt(self.level) + SLACK_REQUESTS
@@ -130,11 +131,11 @@
         if self.level == NO_LEVEL:
             return []
         known = set(self._sketch.counts(now)).union(self._admitted_at_peers_by_caller)
-        beyond = [caller for caller in known if self.refuses(caller, now)]
-        return sorted(beyond, key=lambda caller: -self.admitted_for(caller, now))
+        throttled = [caller for caller in known if self.refuses(caller, now)]
+        return sorted(throttled, key=lambda caller: -self.admitted_for(caller, now))
 
     def report(self, now: float) -> CallersReport | None:
-        """Return what neighbours are to know, None while nothing is counted."""
+        """Return the report for neighbours, None while nothing is counted."""
         if not self.counting:
             return None
         counts = self._sketch.counts(now)
@@ -148,9 +149,9 @@
         )
 
     def update_level(self, reports: list[tuple[float, CallersReport]], now: float) -> None:
-        """Reckon the level from own counts and what neighbours `reports`.
+        """Recompute the level from this host's counts and the `reports` of neighbours.
 
-        Each report comes with the part of it that has not faded.
+        Each report comes with its weight, the fraction of it that has not decayed.
         """
         if any(report.short for _, report in reports) and not self.counting:
             self._begin(now)
@@ -168,20 +169,20 @@
         self._sketch = CallerSketch(now)
 
     def _compute_level(self, reports: list[tuple[float, CallersReport]], now: float) -> None:
-        """Share what was admitted: the heaviest one by one, all others as if they were equal."""
+        """Share what was admitted: the heaviest callers one by one, all others as equals."""
         demand_by_caller = {
             caller: demand for caller, (demand, _) in self._sketch.counts(now).items()
         }
         demand = self._sketch.demand(now)
         admitted = self._sketch.admitted(now)
         seen = self._sketch.seen
-        for part, report in reports:
-            demand += report.asked * part
-            admitted += report.given * part
+        for weight, report in reports:
+            demand += report.asked * weight
+            admitted += report.given * weight
             seen |= report.seen
             for heavy in report.heaviest:
-                _add(demand_by_caller, heavy.caller, heavy.asked * part)
-                _add(self._admitted_at_peers_by_caller, heavy.caller, heavy.given * part)
+                _add(demand_by_caller, heavy.caller, heavy.asked * weight)
+                _add(self._admitted_at_peers_by_caller, heavy.caller, heavy.given * weight)
         self.level = max_min_level(
             _demand_groups(demand_by_caller, demand, estimate_distinct(seen)), admitted
         )
@@ -196,7 +197,7 @@
     all_demand: float,
     callers: float,
 ) -> list[tuple[float, float]]:
-    """Return the demands of the heaviest callers, and the mean one of all others."""
+    """Return the demands of the heaviest callers, and the mean demand of all others."""
     heaviest = sorted(demand_by_caller.values(), reverse=True)[:MAX_REPORTED_CALLERS]
     others = max(callers - len(heaviest), 1)
     rest = max(all_demand - sum(heaviest), 0)
@@ -204,5 +205,5 @@
 
 
 def decay_factor(age_s: float, interval_s: float) -> float:
-    """Return the part that is left of a report; it is whole until the next one is due."""
+    """Return the weight of a report: one until the next is due, then falling to zero."""
     return max(0, 1 - max(0, age_s - interval_s) / DECAY_S)
--- a/src/bronzekeel/core/routing/caller_sketch.py
+++ b/src/bronzekeel/core/routing/caller_sketch.py
@@ -1,9 +1,9 @@
-"""Count the requests of callers in constant memory, the newest for the most.
+"""Count the requests of callers in constant memory, with exponential decay.
 
-The heaviest callers are kept by space-saving (Metwally, Agrawal and El Abbadi, 2005), the number
-of all by linear counting (Whang, Vander-Zanden and Taylor, 1990).  Counts fade by forward decay
-(Cormode, Shkapenyuk, Srivastava and Xu, 2009): a new request weighs more, and what is
-kept need not be touched.
+The heaviest callers are tracked by the space-saving algorithm (Metwally, Agrawal and El Abbadi,
+2005), the number of distinct callers by linear counting (Whang, Vander-Zanden and Taylor, 1990).
+Counts decay by forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): newer requests get
+larger weights, so stored counts need not be touched.
 """
 
 from heapq import heapify, heappop, heappush
@@ -11,56 +11,58 @@
 from zlib import crc32
 
 
-#: Seconds in which a count fades to a third.  Source: two intervals between heartbeats in a data
-#: centre of 30 hosts, so that what neighbours tell is not older than what it is compared with.
+#: Time constant of the decay: a count falls to 1/e in this many seconds. It spans two heartbeat
+#: intervals of a data centre of 30 hosts, so that reports of neighbours are no older than the
+#: counts that they are added to.
 DECAY_S = 2.0
 
-#: Callers that are counted one by one at most.  Source: those above their share are few by
-#: nature; at a hundred times their share even these would be more than all room.
+#: Most callers that are counted one by one. Callers above their shares are few by nature: at a
+#: hundred times its share each, this many would demand more than the whole capacity.
 MAX_COUNTED = 128
 
-#: Bits by which callers are counted.  Source: up to four times as many callers are told apart,
-#: more than a data centre's upstreams have room for in an overload.
+#: Bits of the bitmap of linear counting. It can tell up to four times as many callers apart, more
+#: than the upstreams of a data centre can serve in an overload.
 DISTINCT_BITS = 64
 
-#: Multiplier and range of a hash.  Source: Knuth, The Art of Computer Programming, 6.4.
+#: Multiplier and range of multiplicative hashing: Knuth, The Art of Computer Programming, 6.4.
 _GOLDEN_RATIO = 0x9E3779B1
 _HASH_RANGE = 0x100000000
 
-#: Exponent from which weights are reckoned anew.  Source: far below what a float can hold.
+#: Exponent from which all counts are rescaled, far below the range of a float.
 _RESCALE_EXPONENT = 50.0
 
-#: Exponent beyond which a weight is no float.  What goes wrong without it: a host that stood still
-#: for half an hour ends at its first packet.
+#: Exponent beyond which a weight overflows a float. Without this bound, a host that was paused for
+#: half an hour crashes at its first packet.
 _MAX_EXPONENT = 700
 
-#: Faded requests below which a caller is not worth an entry.
+#: Decayed requests below which a caller's entry is dropped.
 _MIN_COUNT = 0.01
 
 
 class CallerCount:
-    """Hold what one caller demand for and was admitted, by the weights of a sketch.
+    """Hold the weighted counts of one caller: requests `asked` for and `given`, that is, admitted.
 
-    `inherited` of what it `demand` may be another's, whose entry it took.
+    `inherited` is the part of `asked` that may belong to the caller whose entry was replaced by
+    this one.
     """
 
     __slots__ = ('asked', 'given', 'inherited')
 
     def __init__(self, inherited: float) -> None:
-        """Start with what the former owner of the entry demand for."""
+        """Start with the demand of the caller whose entry was replaced."""
         self.asked = inherited
         self.given: float = 0
         self.inherited = inherited
 
     def rescale(self, weight: float) -> None:
-        """Reckon the counts for requests of another weight."""
+        """Divide the counts by `weight`."""
         self.asked /= weight
         self.given /= weight
         self.inherited /= weight
 
 
 class CallerSketch:
-    """Count requests by caller: the heaviest one by one, all of them together."""
+    """Count the requests of the heaviest callers one by one, and of all callers in total."""
 
     __slots__ = (
         '_demand',
@@ -90,11 +92,11 @@
 
     @property
     def seen(self) -> int:
-        """Bits of the callers that demand in the last seconds."""
+        """Bitmap of the callers that sent requests recently, for ``estimate_distinct``."""
         return self._seen | self._previous_seen
 
     def note(self, caller: int, now: float, *, admitted: bool) -> None:
-        """Count one request, and whether it was let through."""
+        """Count one request, and whether it was admitted."""
         weight = self._weight(now)
         counted = self._by_caller.get(caller) or self._add_entry(caller)
         counted.asked += weight
@@ -105,20 +107,20 @@
         self._mark_seen(caller, now)
 
     def demand(self, now: float) -> float:
-        """Return the requests of all callers, faded."""
+        """Return the decayed number of requests of all callers."""
         return self._demand / self._weight(now)
 
     def admitted(self, now: float) -> float:
-        """Return the requests of all callers that were let through, faded."""
+        """Return the decayed number of admitted requests of all callers."""
         return self._admitted / self._weight(now)
 
     def admitted_for(self, caller: int, now: float) -> float:
-        """Return the requests of one caller that were let through, faded."""
+        """Return the decayed number of admitted requests of one caller."""
         counted = self._by_caller.get(caller)
         return counted.given / self._weight(now) if counted else 0
 
     def counts(self, now: float) -> dict[int, tuple[float, float]]:
-        """Return what each counted caller surely demand for, and was admitted, faded."""
+        """Return the least demand and the admitted requests by counted caller, decayed."""
         weight = self._weight(now)
         return {
             caller: ((counted.asked - counted.inherited) / weight, counted.given / weight)
@@ -126,7 +128,7 @@
         }
 
     def _weight(self, now: float) -> float:
-        """Return the weight of a request that comes now."""
+        """Return the weight of a request that arrives now."""
         exponent = (now - self._since) / DECAY_S
         if exponent > _RESCALE_EXPONENT:
             self._rescale(now, exp(min(exponent, _MAX_EXPONENT)))
@@ -134,7 +136,7 @@
         return exp(exponent)
 
     def _rescale(self, now: float, weight: float) -> None:
-        """Reckon all counts for weights that start from one, and forget those that faded."""
+        """Rescale all counts to weights that start from one, and drop those that have decayed."""
         self._since = now
         self._demand /= weight
         self._admitted /= weight
@@ -148,7 +150,7 @@
         heapify(self._smallest)
 
     def _add_entry(self, caller: int) -> CallerCount:
-        """Give a caller an entry, that of the one that demand for least if all are taken."""
+        """Add an entry for a caller; in a full table it replaces that with the least demand."""
         inherited: float = 0
         if len(self._by_caller) >= MAX_COUNTED:
             inherited = self._by_caller.pop(self._pop_least()).asked
@@ -158,7 +160,7 @@
         return counted
 
     def _pop_least(self) -> int:
-        """Return the caller that demand for least; counts in the heap may be out of date."""
+        """Return the caller with the least demand; counts in the heap may be out of date."""
         while True:
             demand, caller = heappop(self._smallest)
             newest = self._by_caller[caller].asked
@@ -175,12 +177,12 @@
 
 
 def _bit_of(caller: int) -> int:
-    """Return the bit of a caller: the head of a product, since a checksum alone is linear."""
+    """Return the bit of a caller: the high bits of a product, since a CRC alone is linear."""
     product = crc32(caller.to_bytes(4, 'big')) * _GOLDEN_RATIO % _HASH_RANGE
     return product * DISTINCT_BITS // _HASH_RANGE
 
 
 def estimate_distinct(seen: int) -> float:
-    """Return about how many callers have set some bits."""
+    """Return the estimated number of distinct callers that set the bits of `seen`."""
     free = max(DISTINCT_BITS - seen.bit_count(), 1)
     return DISTINCT_BITS * log(DISTINCT_BITS / free)
--- a/src/bronzekeel/core/routing/caller_watch.py
+++ b/src/bronzekeel/core/routing/caller_watch.py
@@ -1,4 +1,4 @@
-"""Keep the shares of callers up to date, and tell operators who is throttled to its share."""
+"""Update the shares of callers, and log which callers are throttled."""
 
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.caller_reports import MAX_REPORTED_SERVICES, CallersReport
@@ -8,17 +8,17 @@
 from bronzekeel.core.routing.pools import Pool
 
 
-#: Callers of a service whose beginnings and ends are logged at most, at a time.
+#: Most callers of a service that are logged as throttled at a time.
 _MAX_THROTTLED = 4
 
-#: Seconds for which a caller must have kept to its share to be throttled no longer.
+#: Seconds within its share after which a caller counts as released.
 _RELEASE_S = 2.0
 
 _OCTETS = 4
 
 
 class _Throttled:
-    """Hold since when a caller is throttled to its share, and until when at least."""
+    """Hold since when a caller has been throttled, and until when it is at least."""
 
     __slots__ = ('since', 'until')
 
@@ -28,12 +28,12 @@
 
 
 class CallerWatch:
-    """Give pools whose demand is controlled the shares of their callers."""
+    """Maintain the caller shares of pools whose demand is controlled."""
 
     __slots__ = ('_throttled_by_pool', 'bits')
 
     def __init__(self, bits: int = DEFAULT_CALLER_BITS) -> None:
-        """Take the leading `bits` of an address for a caller."""
+        """Identify callers by the leading `bits` of their addresses."""
         self.bits = bits
         self._throttled_by_pool: dict[Pool, dict[int, _Throttled]] = {}
 
@@ -45,9 +45,9 @@
         *,
         controlled: bool,
     ) -> list[Effect]:
-        """Reckon the shares; return the lines on callers that are throttled to theirs, or no longer.
+        """Update the shares; return log lines on callers that became throttled or were released.
 
-        There are shares only while demand is `controlled`.
+        Pools have shares only while demand is `controlled`.
         """
         effects: list[Effect] = []
         for pool in pools:
@@ -62,7 +62,7 @@
         return effects
 
     def reports(self, pools: list[Pool], now: float) -> dict[str, CallersReport]:
-        """Return what neighbours are to know of services that are short."""
+        """Return the reports for neighbours on services where requests wait, by service."""
         report_by_service: dict[str, CallersReport] = {}
         for pool in pools:
             report = pool.callers.report(now) if pool.callers else None
@@ -115,7 +115,7 @@
 
 
 def format_caller(caller: int, bits: int) -> str:
-    """Return a caller for people: the address and how many leading bits count."""
+    """Return a caller in CIDR notation."""
     octets = '.'.join(str(octet) for octet in caller.to_bytes(_OCTETS, 'big'))
     return f'{octets}/{bits}'
 
@@ -125,7 +125,7 @@
     peers: PeerTable,
     now: float,
 ) -> list[tuple[float, CallersReport]]:
-    """Return the newest words of living neighbours on a service, and what is left of each."""
+    """Return the newest reports of live neighbours on a service, each with its weight."""
     reports = []
     for peer in peers.living(now):
         if peer.heartbeat is None or peer.heard_at is None:
--- a/src/bronzekeel/core/routing/change_trigger.py
+++ b/src/bronzekeel/core/routing/change_trigger.py
@@ -1,27 +1,27 @@
-"""Notice changes that others should hear before the next ordinary heartbeat."""
+"""Detect changes that should be reported before the next regular heartbeat."""
 
 from collections.abc import Hashable, Mapping
 from typing import Generic, TypeVar
 
 
-#: Seconds between two changes that are told early, at least.  Source: a large data centre's
-#: ordinary heartbeats go every 0.8 to 1.2 s; early ones add no more than twice as many.
+#: Least seconds between two changes that are reported early. Regular heartbeats of a large data
+#: centre go every 0.8 to 1.2 s; early ones add at most twice as many.
 MIN_INTERVAL_S = 0.5
 
 KeyT = TypeVar('KeyT', bound=Hashable)
 
 
 class ChangeTrigger(Generic[KeyT]):
-    """Compare levels with those that were told early last; they changed at `changed_at`.
+    """Compare values with those that were reported early last; they changed at `changed_at`.
 
-    A change is told if it is at least `least`, and `share` of the larger level: small ones wait
-    for the ordinary heartbeat.
+    A change is reported if it is at least `least`, and at least `share` of the larger value.
+    Smaller changes wait for the regular heartbeat.
     """
 
     __slots__ = ('_least', '_level_by_key', '_next_at', '_share', 'changed_at')
 
     def __init__(self, least: float, share: float) -> None:
-        """Start with all levels at zero."""
+        """Start with all values at zero."""
         self.changed_at: float = 0
         self._least = least
         self._share = share
@@ -29,7 +29,7 @@
         self._next_at: float = 0
 
     def note(self, level_by_key: Mapping[KeyT, float], now: float) -> None:
-        """Take the levels as they are `now`."""
+        """Record the values `now`, unless the last early report was too recent."""
         if now < self._next_at or not self._has_changed(level_by_key):
             return
         self._level_by_key = dict(level_by_key)
--- a/src/bronzekeel/core/routing/demand.py
+++ b/src/bronzekeel/core/routing/demand.py
@@ -1,4 +1,4 @@
-"""Hold what is learned and decided where the demand on services is controlled."""
+"""Hold the state of demand control: callers, learned capacities and moving load."""
 
 from bronzekeel.core.routing.caller_watch import CallerWatch
 from bronzekeel.core.routing.capacities import Capacities
@@ -7,12 +7,12 @@
 
 
 class Demand:
-    """Hold the parts that control demand; `control` says whether they act."""
+    """Hold the parts that control demand; `control` decides whether they are active."""
 
     __slots__ = ('callers', 'capacities', 'control', 'moving')
 
     def __init__(self, control: DemandControl) -> None:
-        """Act while `control` says so."""
+        """Control demand while `control` covers the text in force."""
         self.control = control
         self.callers = CallerWatch()
         self.capacities = Capacities()
--- a/src/bronzekeel/core/routing/overflow.py
+++ b/src/bronzekeel/core/routing/overflow.py
@@ -1,12 +1,12 @@
-"""Send flows that find no room in their data centre to another one that has some.
+"""Send flows that find no free capacity in their data centre to remote ones that have some.
 
-What goes wrong without it: a data centre loses a third of its upstreams, or its callers ask
-for more than others' do.  Its callers wait and are refused while upstreams elsewhere idle.
-One notices by refusals in one data centre, and none in the others.
+Without this, when a data centre loses a third of its upstreams or its callers demand more than
+those of others, its callers wait and are refused while remote upstreams idle. The symptom is
+refusals in one data centre and none in the others.
 
-Data centres tell each other how many requests are in progress for each of their slots.  That of
-their own callers only: what others send there does not count, so the room that is told
-does not shrink because it is used, and nothing swings.
+Data centres report to each other how many requests are in progress for each of their slots. Only
+requests of local callers count: the reported free capacity does not shrink because remote callers
+use it, so the allowances do not oscillate.
 """
 
 from collections.abc import Container, Iterable, Mapping
@@ -16,37 +16,37 @@
 from bronzekeel.core.routing.pools import NO_LIMIT, REQUESTS_A_SLOT
 
 
-#: Requests in progress a slot up to which a data centre has room for others' callers: a little
-#: less than those from which its own callers wait.  Source: a flow that crosses must find a slot
-#: that is about to be free, and own callers go first.
+#: Requests in progress a slot up to which a data centre accepts flows of remote callers: a little
+#: less than the load from which its own callers wait. A flow that crosses must find a slot that is
+#: about to be free, and local callers go first.
 ACCEPTING_LOAD = 1.75
 
-#: Requests in progress a slot from which a data centre may look for room elsewhere itself.
+#: Requests in progress a slot from which a data centre may send flows to remote ones.
 FULL_LOAD = 1.0
 
-#: How many times its own slots a data centre must lack to claim others'.  What goes wrong with
-#: less: data centres that differ a little send each other flows in every overload, and what
-#: is saved in one is lost in the next.
+#: How many times its own slots a data centre must be short of to claim remote ones. With less,
+#: data centres that differ a little send each other flows in every overload, and what one gains
+#: the next loses.
 CLAIM_FACTOR = 1.0
 
-#: Requests that a balancer without upstreams at home may have in progress at each other data
-#: centre, whatever room is told.  Source: as at home, where a share is one at least.
+#: Requests that a balancer without local upstreams may have in progress at each remote data
+#: centre, whatever free capacity is reported: as for local pools, where a share is at least one.
 MIN_REMOTE_REQUESTS = 1.0
 
-#: Interval in seconds at which room elsewhere is reckoned.  Source: that of heartbeats.
+#: Interval in seconds at which allowances are computed: that of heartbeats.
 ALLOWANCE_INTERVAL_S = 0.25
 
 
 class RemoteCapacity:
-    """Hold what other data centres have room for, as reckoned or told last.
+    """Hold the allowances in other data centres, as computed here or reported last.
 
-    This balancer `reckons` it when other data centres tell it their loads.
+    This balancer computes them itself (`reckons`) when other data centres report their loads to it.
     """
 
     __slots__ = ('allowances', 'reckon_at', 'reckons')
 
     def __init__(self) -> None:
-        """Start with no room known."""
+        """Start without allowances."""
         self.allowances: tuple[Allowance, ...] = ()
         self.reckon_at: float = 0
         self.reckons = False
@@ -58,11 +58,11 @@
     load_by_service_by_centre: Mapping[str, Mapping[str, float]],
     rates_by_centre: Mapping[str, Mapping[str, float]],
 ) -> tuple[Allowance, ...]:
-    """Return how many requests of the callers at `home` may be in progress elsewhere.
+    """Return how many requests of local callers may be in progress in remote data centres.
 
-    It is what others have room for, in equal parts for all that have none themselves, and
-    never less than the part of all slots that follows from what the callers of all data
-    centres ask for.
+    The free capacity of each remote data centre is divided equally among all that have none
+    themselves. An allowance is never less than the claim that follows from the demand of the
+    callers of all data centres (see ``claims_of``).
     """
     services = {name for loads in load_by_service_by_centre.values() for name in loads}
     allowances: list[Allowance] = []
@@ -71,8 +71,8 @@
         rate_by_centre = _of_service(service, rates_by_centre)
         capacity_by_centre = directory.pool_members.capacity_by_centre(service)
         claims = claims_of(home, capacity_by_centre, rate_by_centre)
-        for centre, room in free_capacity_by_centre(capacity_by_centre, load_by_centre).items():
-            requests = max(room, claims.get(centre, 0) * REQUESTS_A_SLOT)
+        for centre, free in free_capacity_by_centre(capacity_by_centre, load_by_centre).items():
+            requests = max(free, claims.get(centre, 0) * REQUESTS_A_SLOT)
             allowances.append(Allowance(service, centre, requests))
     return tuple(allowances)
 
@@ -88,9 +88,9 @@
     capacity_by_centre: Mapping[str, float],
     load_by_centre: Mapping[str, float],
 ) -> dict[str, float]:
-    """Return the requests that each data centre has room for, by its load.
+    """Return the requests that each data centre has free capacity for, by its load.
 
-    All that have no room themselves get equal parts.
+    It is divided equally among this data centre and all that have no free capacity.
     """
     sharers = 1 + sum(load >= FULL_LOAD for load in load_by_centre.values())
     return {
@@ -105,16 +105,16 @@
     rate_by_centre: Mapping[str, float],
     factor: float = CLAIM_FACTOR,
 ) -> dict[str, float]:
-    """Return the slots elsewhere that the callers at `home` may claim, by data centre.
+    """Return the remote slots that the callers at `home` may claim, by data centre.
 
-    What goes wrong without it: a data centre that has lost its upstreams gets only what
-    others leave, which is nothing in an overload, and all of its callers are refused.
+    Without this, a data centre that has lost its upstreams gets only what others leave, which is
+    nothing in an overload, and all of its callers are refused.
     """
     rate = sum(rate_by_centre.values())
     capacity = sum(capacity_by_centre.get(centre, 0) for centre in rate_by_centre)
     if not rate or not capacity:
         return {}
-    due_by_centre = {centre: capacity * asked / rate for centre, asked in rate_by_centre.items()}
+    due_by_centre = {centre: capacity * demand / rate for centre, demand in rate_by_centre.items()}
     own = capacity_by_centre.get(home, 0)
     claimed = due_by_centre.get(home, 0) - own
     spare_by_centre = _spare_of(capacity_by_centre, due_by_centre)
@@ -128,7 +128,7 @@
     capacity_by_centre: Mapping[str, float],
     due_by_centre: Mapping[str, float],
 ) -> dict[str, float]:
-    """Return the capacity of each data centre beyond what is due to its own callers."""
+    """Return the capacity of each data centre beyond the part due to its own callers."""
     return {
         centre: max(0, capacity_by_centre.get(centre, 0) - due)
         for centre, due in due_by_centre.items()
@@ -142,19 +142,19 @@
     share_by_service: Mapping[str, float],
     homeless: Container[str],
 ) -> None:
-    """Give this balancer its share of what its data centre may have in progress elsewhere.
+    """Set this balancer's share of the requests that its data centre may have in progress remotely.
 
-    It limits flows that found no room at home, and all flows of services that are
-    `homeless`: without upstreams at home.
+    The allowance limits flows that found no free capacity locally, and all flows of services that
+    are `homeless`: without local upstreams.
     """
     pools = directory.pools_elsewhere(home)
-    for pool in pools.values():
-        pool.allowance = 0
-        pool.limit = NO_LIMIT
+    for remote in pools.values():
+        remote.allowance = 0
+        remote.limit = NO_LIMIT
     for allowance in allowances:
-        elsewhere = pools.get((allowance.service, allowance.data_centre))
-        if elsewhere is None:
+        pool = pools.get((allowance.service, allowance.data_centre))
+        if pool is None:
             continue
-        elsewhere.allowance = allowance.requests * share_by_service[allowance.service]
+        pool.allowance = allowance.requests * share_by_service[allowance.service]
         if allowance.service in homeless:
-            elsewhere.limit = max(elsewhere.allowance, MIN_REMOTE_REQUESTS)
+            pool.limit = max(pool.allowance, MIN_REMOTE_REQUESTS)
--- a/src/bronzekeel/core/routing/overload.py
+++ b/src/bronzekeel/core/routing/overload.py
@@ -1,4 +1,4 @@
-"""Tell operators when a service's callers ask for more than its upstreams can do."""
+"""Log when the demand on a service exceeds what its upstreams can serve."""
 
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.routing.effects import Effect, WriteLine
@@ -7,14 +7,14 @@
 
 
 class OverloadWatch:
-    """Note when overloads of pools begin and end: a line each, however many requests wait."""
+    """Log when overloads of pools begin and end: a line each, however many requests wait."""
 
     def __init__(self) -> None:
-        """Start with no overload."""
+        """Start without overloads."""
         self._refused_by_pool: dict[Pool, int] = {}
 
     def check(self, pools: list[Pool], now: float) -> list[Effect]:
-        """Return the lines on overloads that began or ended since the last look."""
+        """Return log lines on overloads that began or ended since the last check."""
         effects: list[Effect] = []
         for pool in pools:
             queued_s = pool.queued_s(now)
--- a/src/bronzekeel/core/routing/peer_exchange.py
+++ b/src/bronzekeel/core/routing/peer_exchange.py
@@ -1,12 +1,12 @@
-"""Tell peers what this balancer knows, and take what they know.
+"""Exchange heartbeats and views with peers: send what this balancer knows, apply what they know.
 
-What goes wrong without it: a host that restarts while its data centre is cut
-off from the store knows nothing, and the fabric may send it packets all the
-same; and every host's own watch costs the store a call at each change.
+Without this, a host that restarts while its data centre is cut off from the store knows nothing,
+although the fabric may send it packets; and each host would need a watch of its own, which costs
+the store a call per host at each change.
 
-Views are ordered by the store's revisions (`core.routing.revisions`), texts by
-their generations, from whatever source they come: what is older than what is known
-is left out, so nobody is taken back.
+Views are ordered by the store's revisions (`core.routing.revisions`), texts by their generations,
+whatever source they come from. What is older than the known state is ignored, so no host returns to
+an older state.
 """
 
 from bronzekeel.core.log_numbers import LogNumber
@@ -31,63 +31,62 @@
 )
 
 
-#: Seconds after which a view that was asked for is asked for again.
-#: Source: ten times what a text of 2,000 routes takes on a link of 5 Mbit/s.
+#: Seconds after which a view is requested again: ten times what a text of 2,000 routes takes on a
+#: link of 5 Mbit/s.
 FETCH_RETRY_S = 0.5
 
-#: Seconds after which a balancer that could not get from its peers what they
-#: know asks the store.  Source: a third of the shortest bound on a change (3 s).
+#: Seconds after which a balancer that could not get from its peers what they know asks the store:
+#: a third of the shortest bound on a change (3 s).
 MAX_BEHIND_S = 1.0
 
-#: Seconds from a start for which the store has time to answer before another data centre is
-#: asked.  What goes wrong without it: each of hundreds of hosts that start takes a view of all
-#: upstreams across data centres that the store is about to list.  Source: fifty times the usual
-#: answer of the users' store.
+#: Seconds from a start in which the store may answer before another data centre is asked: fifty
+#: times the usual answer time of the users' store. Without this, each of hundreds of starting
+#: hosts fetches a view of all upstreams across data centres although the store is about to list
+#: them.
 STORE_GRACE_S = 0.2
 
-#: Seconds for which another data centre must have known more before it is asked.
-#: Source: the own watch tells of a change within 0.25 s of another's, also if the
-#: store is sixty times slower than its usual 4 ms; twice that.
+#: Seconds for which another data centre must have known more before it is asked. The local watch
+#: reports a change within 0.25 s of a remote one, even if the store is sixty times slower than its
+#: usual 4 ms; this is twice that.
 REMOTE_GRACE_S = 0.5
 
 
 def send_due_heartbeats(state: RoutingState, now: float) -> list[Effect]:
     """Send the heartbeats that are due."""
     effects: list[Effect] = []
-    news_at = max(state.flows.silent_at, state.demand.moving.local_changes.changed_at)
-    if news_at > state.peers.told_at:
+    changed_at = max(state.flows.silent_at, state.demand.moving.local_changes.changed_at)
+    if changed_at > state.peers.told_at:
         state.peers.beat_soon()
-    near = state.peers.due_neighbours(now)
-    if near:
+    local = state.peers.due_neighbours(now)
+    if local:
         counts = state.demand.capacities.counts.tell(now)
-        effects.append(SendHeartbeat(near_heartbeat(state, now, counts), near))
-    far = state.peers.due_seeds(now, ready=state.ready)
-    far.extend(
+        effects.append(SendHeartbeat(near_heartbeat(state, now, counts), local))
+    remote = state.peers.due_seeds(now, ready=state.ready)
+    remote.extend(
         state.relays.due(
             now,
             direct=state.is_direct(now),
             strained=needs_frequent_reports(state, now),
         )
     )
-    if far:
+    if remote:
         named = state.peers.next_elsewhere(now)
-        effects.append(SendHeartbeat(far_heartbeat(state, named, now), far))
+        effects.append(SendHeartbeat(far_heartbeat(state, named, now), remote))
     return effects
 
 
 def announce_change(state: RoutingState, now: float) -> list[Effect]:
-    """Tell peers at once that there is something new."""
+    """Send heartbeats at once because there is a change."""
     state.peers.beat_now()
     return send_due_heartbeats(state, now)
 
 
 def on_heartbeat(state: RoutingState, event: HeartbeatHeard, now: float) -> list[Effect]:
-    """Take a heartbeat, and ask for what is new.
+    """Apply a heartbeat, and fetch the sender's view if it knows more.
 
-    A peer that is new or knows nothing is answered at once: it may be in
-    another data centre, which gets heartbeats seldom, and serves nothing until
-    then.  One that knows nothing itself answers only a new peer, else two of
-    them would answer each other without end.
+    A peer that is new or knows nothing is answered at once: it may be in another data centre, which
+    gets heartbeats seldom, and it serves nothing until then. A balancer that knows nothing itself
+    answers only new peers; otherwise two of them would answer each other endlessly.
     """
     heartbeat = event.heartbeat
     effects: list[Effect] = []
@@ -111,9 +110,10 @@
 
 
 def apply_view(state: RoutingState, event: ViewFetched, now: float) -> list[Effect]:
-    """Take what a peer knows.
+    """Apply a peer's view.
 
-    What another data centre told is told on at once: here everybody waits for it.
+    If it came from another data centre, the change is announced at once, because all hosts of this
+    data centre wait for it.
     """
     view = event.view
     known = (state.text_order, state.directory.newest_revision)
@@ -141,28 +141,27 @@
 
 
 def _remove_unreported(state: RoutingState, view: View, now: float) -> list[Effect]:
-    """Note the upstreams that a restored store has lost: a view of it is whole."""
-    told = {entry.name for entry in view.entries}
+    """Remove the upstreams that a restored store has lost: a view of it is complete."""
+    reported = {entry.name for entry in view.entries}
     effects: list[Effect] = []
     for name in list(state.directory.by_name):
-        if name not in told:
+        if name not in reported:
             effects.extend(take_removal(state, name, view.newest_revision, now))
     return effects
 
 
 def on_view_failed(state: RoutingState, event: ViewFailed, now: float) -> list[Effect]:
-    """Note that a peer gave no view; the next heartbeat asks again."""
+    """Log that a peer gave no view; the next heartbeat triggers another fetch."""
     state.fetch_until = now
     address = ':'.join(map(str, event.address))
     return [WriteLine(LogNumber.PEER_UNREACHED, peer=address, problem=event.problem)]
 
 
 def is_behind_too_long(state: RoutingState, now: float) -> bool:
-    """Whether this balancer has known for long that a peer knows more.
+    """Whether a peer has known more than this balancer for ``MAX_BEHIND_S``.
 
-    What goes wrong without it: the peers of a large data centre are too busy to
-    pass a large text on, and those that wait for it miss the bound on a change.
-    Such a balancer asks the store itself.
+    Such a balancer asks the store itself. Without this, a large text that the busy peers of a large
+    data centre cannot pass on in time arrives later than the bound on a change.
     """
     if state.behind_since is None:
         return False
@@ -173,12 +172,12 @@
 
 
 def fetch_remote(state: RoutingState, now: float) -> list[Effect]:
-    """Ask a host of another data centre that has known more for ``REMOTE_GRACE_S``.
+    """Fetch the view of a remote host that has known more for ``REMOTE_GRACE_S``.
 
-    What goes wrong without it: the store falls silent towards all watchers of a
-    data centre and closes nothing.  Until their watches end they tell everybody that
-    nothing has changed, and the data centre goes by an old text and sends to
-    upstreams that have left.  One notices by hosts elsewhere that know more.
+    Without this, a store that stops answering all watchers of a data centre without closing their
+    connections goes unnoticed: until their watches end the watchers report that nothing has
+    changed, and the data centre routes by an old text and to upstreams that have left. Remote hosts
+    that know more reveal it.
     """
     ahead = state.relays.ahead(
         state.text_order,
@@ -198,10 +197,10 @@
 def view_since(state: RoutingState, known: Known, now: float) -> View:
     """Return what this balancer knows beyond what is `known`.
 
-    What the store's listing does not tell is told to those that have not asked for it yet:
-    upstreams that are no longer listed, and those whose entries became unreadable.  One that knows
-    only a former incarnation of the store is told all that is listed: what the store has lost
-    has no revision.
+    Peers that have not asked yet also get what the store's listing does not contain: upstreams that
+    are no longer listed, and those whose entries became unreadable. A peer that knows only a former
+    incarnation of the store gets everything that is listed, because what the store has lost has no
+    revision.
     """
     followers = state.follower_by_collection
     upstreams = followers[Collection.UPSTREAMS]
@@ -227,7 +226,7 @@
         seen = known.removals_revision if withheld else known.upstreams_revision
         if whole or upstream.entry.revision > seen:
             entries.append(upstream.entry)
-    # After the entries that hold: taken before them, a doubted one would pass for the newer word.
+    # Doubted entries come last: before the valid ones they would count as newer.
     entries.extend(
         doubted
         for doubted in state.directory.doubted_entries
@@ -250,10 +249,10 @@
 
 
 def _apply_evacuations(state: RoutingState, heartbeat: Heartbeat, now: float) -> list[Effect]:
-    """Take what a peer says of evacuations.
+    """Apply the evacuations that a peer reports.
 
-    The own watch has to tell the same soon, else it is doubted.  What another data centre
-    told is told on at once: here everybody waits for it.
+    The watch of this host has to report the same soon, or it is doubted. Changes that come from
+    another data centre are announced at once, because all hosts of this data centre wait for them.
     """
     known = state.evacuated.centres
     effects = take_evacuated(state, heartbeat.evacuated, heartbeat.sender.name, now)
@@ -267,7 +266,7 @@
 
 
 def _fetch_from(state: RoutingState, peer: PeerAddress, now: float) -> Effect:
-    """Ask a peer for what it knows beyond what is known here."""
+    """Request from a peer what it knows beyond what is known here."""
     state.fetch_until = now + FETCH_RETRY_S
     newest = state.directory.newest_revision
     removals = newest if state.knows_missing else 0
@@ -275,10 +274,11 @@
 
 
 def _note_changes(state: RoutingState, known: tuple[int, int], now: float) -> list[Effect]:
-    """Note what a view told beyond the `known` revisions of text and upstreams.
+    """Handle what a view added to the `known` revisions of text and upstreams.
 
-    Own watches have to tell the same soon, else they are doubted.  What another
-    data centre told is told on at once: here everybody waits for it.
+    The watches of this host have to report the same soon, or they are doubted. Changes that come
+    from another data centre are announced at once, because all hosts of this data centre wait for
+    them.
     """
     text_order, upstreams_revision = known
     followers = state.follower_by_collection
@@ -286,26 +286,26 @@
         followers[Collection.TEXT].expect_news(now)
     if state.directory.newest_revision > upstreams_revision:
         followers[Collection.UPSTREAMS].expect_news(now)
-    told = known != (state.text_order, state.directory.newest_revision)
-    if told and state.told_elsewhere_at is not None:
+    changed = known != (state.text_order, state.directory.newest_revision)
+    if changed and state.told_elsewhere_at is not None:
         return announce_change(state, now)
     return []
 
 
 def _knows_more(state: RoutingState, heartbeat: Heartbeat, now: float) -> bool:
-    """Whether the sender has something that is new here.
+    """Whether the sender has state worth fetching.
 
-    One that has nothing itself is not asked.  Before this balancer is ready a peer
-    elsewhere will do too, unless the store is answering; later only those of its own data
-    centre, so that no change crosses data centres once for each host.  One of those is asked
-    once for the entries that it remembers and the store no longer has: their upstreams may live.
+    A sender that has nothing itself is not asked. Before this balancer is ready it also asks remote
+    peers, unless the store is answering. Later it asks only local peers, so that a change does not
+    cross data centres once for each host. It asks one local peer once for the entries that the peer
+    remembers and the store no longer has, because their upstreams may be alive.
     """
     if not heartbeat.text_order:
         return False
-    near = heartbeat.sender.data_centre == state.peers.me.data_centre
+    local = heartbeat.sender.data_centre == state.peers.me.data_centre
     if not state.ready:
-        return near or _is_store_unresponsive(state, now)
-    if not near:
+        return local or _is_store_unresponsive(state, now)
+    if not local:
         return False
     if not state.knows_missing:
         return True
@@ -313,7 +313,7 @@
 
 
 def _is_store_unresponsive(state: RoutingState, now: float) -> bool:
-    """Whether the store had the time to answer a host that starts, and did not."""
+    """Whether the store had time to answer a host that starts, and did not."""
     answered_at = state.started_at
     for follower in state.follower_by_collection.values():
         answered_at = max(answered_at, follower.answered_at)
@@ -321,7 +321,7 @@
 
 
 def _apply_missing(state: RoutingState, missing: MissingEntry, now: float) -> list[Effect]:
-    """Take a removal; the teller knows how long the entry may still come back."""
+    """Apply a removal; the sender knows how long the entry may still come back."""
     name = missing.entry.name
     state.directory.remember(missing.entry, now)
     effects = take_removal(state, name, missing.revision, now)
--- a/src/bronzekeel/core/routing/shared_load.py
+++ b/src/bronzekeel/core/routing/shared_load.py
@@ -1,11 +1,10 @@
-"""Reckon from what peers tell how busy upstreams are beyond own sight.
+"""Compute from the reports of peers how busy upstreams are with requests of other balancers.
 
-What peers tell is as old as a heartbeat, several times the work of a request.
-What goes wrong when it is added up for each upstream: all balancers see the same
-one as the least busy until the next heartbeat, and send it everything that comes.
-One notices by callers who wait while other upstreams idle, most in a burst and
-with many balancers.  So peers' word counts as a mean, which decides between data
-centres, and singles out only those that are far beyond the mean: slow or grey ones.
+Reports are as old as a heartbeat, which is several times the work of a request. Added up for each
+upstream, they make all balancers see the same one as the least busy until the next heartbeat, and
+send it all new requests: callers wait while other upstreams idle, most of all in a burst and with
+many balancers. So the reports count as a mean, which decides between data centres, and only
+upstreams far above the mean are singled out: those that are slow or partly failed.
 """
 
 from collections.abc import Mapping
@@ -16,26 +15,26 @@
 from bronzekeel.core.routing.pools import Pool
 
 
-#: How many times the mean of the others an upstream's load must be to be singled out,
-#: and how much more a slot.  Source: of factors 1.5 and 2 and slacks 0.25, 0.5 and 1
-#: those with the fewest late requests in a burst, and no more with a slow upstream.
+#: An upstream is singled out when its load exceeds this factor times the mean of the others, plus
+#: the slack a slot. Among factors 1.5 and 2 and slacks 0.25, 0.5 and 1 this pair gives the fewest
+#: late requests in a burst, and no more with a slow upstream.
 OUTLIER_FACTOR = 2.0
 OUTLIER_SLACK = 0.5
 
 
 class SharedLoads:
-    """Note at upstreams what others see in progress there.
+    """Record at upstreams the requests in progress that other balancers report.
 
-    Only upstreams that peers tell of, or told of last, are looked at: with tens of
-    thousands of them a look at all, ten times a second, is a tenth of a core.
+    Only upstreams in the current or the previous reports are updated: with tens of thousands of
+    upstreams, a pass over all of them ten times a second takes a tenth of a core.
     """
 
     def __init__(self) -> None:
-        """Start with nothing told."""
+        """Start without reports."""
         self._reported: set[int] = set()
 
     def note(self, directory: Directory, busy_by_number: Mapping[int, int]) -> None:
-        """Take the requests in progress by the short numbers of their upstreams."""
+        """Record the requests in progress by the short numbers of their upstreams."""
         touched = self._reported.union(busy_by_number)
         self._reported = set(busy_by_number)
         touched_by_pool: dict[Pool, list[Upstream]] = {}
@@ -59,9 +58,9 @@
     )
     for upstream in touched:
         others = capacity.of_listed - upstream.capacity
-        beyond: float = 0
+        excess: float = 0
         if others > 0:
-            usual = (busy - upstream.busy_elsewhere) / others
+            mean = (busy - upstream.busy_elsewhere) / others
             load = upstream.busy_elsewhere / upstream.capacity
-            beyond = max(0, load - usual * OUTLIER_FACTOR - OUTLIER_SLACK)
-        upstream.shared_load = beyond
+            excess = max(0, load - mean * OUTLIER_FACTOR - OUTLIER_SLACK)
+        upstream.shared_load = excess
--- a/src/bronzekeel/core/routing/waiting.py
+++ b/src/bronzekeel/core/routing/waiting.py
@@ -1,10 +1,10 @@
-"""Hold requests that found no room until there is some.
+"""Queue requests that find no free capacity until there is some.
 
-What goes wrong without it: callers ask for more than the upstreams can do.  Queues at the
-upstreams fill, each answer takes as long as a full queue, and those that found it full
-ask again at once.  One notices by answers that are all late while upstreams turn away
-a third of what reaches them.  Held here, requests go on in the order that serves callers
-best, and an upstream gets one when it is about to have a slot.
+Without this, when callers demand more than the upstreams can serve, the queues at the upstreams
+fill, each answer takes as long as a full queue, and callers that were turned away retry at once.
+The symptom is that all answers are late while upstreams turn away a third of what reaches them.
+Queued at the balancer, requests are sent in the order that serves callers best, and an upstream
+gets one when a slot is about to become free.
 """
 
 from abc import ABC, abstractmethod
@@ -15,16 +15,16 @@
 from bronzekeel.core.routing.waiting_bounds import RECHECK_INTERVAL_S, wait_s
 
 
-#: Bytes of packets that wait at most; beyond them requests go on without waiting.  Source: an
+#: Most bytes of packets that wait; beyond them requests are sent without waiting. This is an
 #: eighth of the memory that a balancer may take at the size of docs/CAPACITY.md.
 MAX_WAITING_BYTES = 4_000_000
 
 
 class WaitingRequest:
-    """Hold one request that waits: an opening packet, or the packets of a request on a flow.
+    """Hold one waiting request: an opening packet, or the packets of a request on an open flow.
 
-    It waits until `until`, a moment of the steady clock, at most; its caller gives it up at
-    `given_up_at`.  `ended` tells that it no longer waits.
+    It waits no later than `until`, a time of the monotonic clock; its caller gives it up at
+    `given_up_at`. `ended` is set when it no longer waits.
     """
 
     __slots__ = ('ended', 'given_up_at', 'packets', 'pool', 'priority', 'until')
@@ -37,7 +37,7 @@
         until: float,
         given_up_at: float,
     ) -> None:
-        """Wait with the first packet of a request."""
+        """Start with the first packet of a request."""
         self.packets = [packet]
         self.pool = pool
         self.priority = priority
@@ -47,61 +47,61 @@
 
     @property
     def opens(self) -> bool:
-        """Whether its flow is not open yet, and may be refused."""
+        """Whether its flow is not open yet, so that it may be refused."""
         return self.packets[0].opens
 
     def must_be_sent(self, now: float) -> bool:
-        """Whether it is sent on after its wait: it cannot be refused and is wanted still."""
+        """Whether it is sent after its wait: its flow is open and its caller still waits for it."""
         return not self.opens and now < self.given_up_at
 
     @property
     def size(self) -> int:
-        """Bytes of its packets."""
+        """Total size of its packets in bytes."""
         return sum(len(packet.raw) for packet in self.packets)
 
 
 class WaitingQueue(ABC):
-    """Hold the requests that wait for one pool."""
+    """Hold the waiting requests of one pool."""
 
     __slots__ = ()
 
     @abstractmethod
     def add(self, request: WaitingRequest, number: int) -> None:
-        """Take the request that came as the `number`th."""
+        """Add the request that arrived as the `number`th."""
 
     @abstractmethod
     def first(self, now: float) -> WaitingRequest | None:
-        """Return the request that goes on first, None if none waits."""
+        """Return the request to send next, None if none waits."""
 
 
 class WaitingOrder(ABC):
-    """Say which of the waiting requests of a pool goes on first."""
+    """Define which waiting request of a pool is sent first."""
 
     def queue_of(self, pool: Pool) -> WaitingQueue:
-        """Return the queue of a pool that none waits for yet."""
+        """Return a new queue for a pool."""
         return RankedQueue(self)
 
     @abstractmethod
     def rank(self, request: WaitingRequest, number: int) -> tuple[int, int]:
-        """Return the place of the request that came as the `number`th; the smallest goes first."""
+        """Return the rank of the request that arrived as the `number`th; the lowest goes first."""
 
 
 class NewestFirst(WaitingOrder):
-    """Let the most urgent go first, and of equals the newest.
+    """Send the most urgent request first, and among equals the newest.
 
-    Load pattern: more requests than slots, for seconds.  Oldest first, every request waits
-    as long as all that came before it, and all answers are late; newest first, most are in
-    time, and the few that are late already become later.  The published source is "Fail
-    at Scale" (Maurer, ACM Queue 13(8), 2015), which calls it adaptive LIFO.
+    Load pattern: more requests than slots, for seconds. With the oldest first, every request waits
+    for all that arrived before it, and all answers are late. With the newest first, most answers
+    are in time, and the few that are late already become later. This is the adaptive LIFO of "Fail
+    at Scale" (Maurer, ACM Queue 13(8), 2015).
     """
 
     def rank(self, request: WaitingRequest, number: int) -> tuple[int, int]:
-        """Rank by priority, then by who came last."""
+        """Rank by priority, then by arrival, the newest first."""
         return request.priority, -number
 
 
 class RankedQueue(WaitingQueue):
-    """Hold requests by ranks that stay as they are from when they come."""
+    """Hold requests by ranks that are fixed on arrival."""
 
     __slots__ = ('_heap', '_order')
 
@@ -111,21 +111,21 @@
         self._heap: list[tuple[tuple[int, int], WaitingRequest]] = []
 
     def add(self, request: WaitingRequest, number: int) -> None:
-        """Take the request that came as the `number`th."""
+        """Add the request that arrived as the `number`th."""
         heappush(self._heap, (self._order.rank(request, number), request))
 
     def first(self, now: float) -> WaitingRequest | None:
-        """Return the request that goes on first, None if none waits."""
+        """Return the request to send next, None if none waits."""
         while self._heap and self._heap[0][1].ended:
             heappop(self._heap)
         return self._heap[0][1] if self._heap else None
 
 
 class WaitingRequests:
-    """Hold the waiting requests of all pools; of each flow one request waits at most."""
+    """Hold the waiting requests of all pools, at most one for each flow."""
 
     def __init__(self, order: WaitingOrder) -> None:
-        """Start with none; `order` says who goes on first."""
+        """Start empty; `order` defines which request is sent first."""
         self._order = order
         self._by_flow: dict[bytes, WaitingRequest] = {}
         self._queue_by_pool: dict[Pool, WaitingQueue] = {}
@@ -134,7 +134,7 @@
         self._bytes = 0
 
     def __len__(self) -> int:
-        """Return the number of requests that wait."""
+        """Return the number of waiting requests."""
         return len(self._by_flow)
 
     @property
@@ -144,17 +144,17 @@
 
     @property
     def next_expiry(self) -> float | None:
-        """When the next of them has waited long enough, None if none waits."""
+        """When the wait of the next request expires, None if none waits."""
         while self._by_expiry and self._by_expiry[0][2].ended:
             heappop(self._by_expiry)
         return self._by_expiry[0][0] if self._by_expiry else None
 
     def of_flow(self, flow: bytes) -> WaitingRequest | None:
-        """Return the request of a flow that waits, None if none does."""
+        """Return the waiting request of a flow, None if there is none."""
         return self._by_flow.get(flow)
 
     def add(self, packet: FlowPacket, pool: Pool, route: Route, now: float) -> None:
-        """Let the request that `packet` begins wait for room in `pool`."""
+        """Queue the request that `packet` begins until `pool` has free capacity."""
         pool.enter(now)
         if pool.callers is not None:
             pool.callers.note_shortage(now)
@@ -169,14 +169,14 @@
         self._queue_by_pool[pool].add(request, self._number)
 
     def join(self, request: WaitingRequest, packet: FlowPacket) -> None:
-        """Let a further packet wait with its request; repeats of a packet are dropped."""
+        """Add a further packet to its waiting request; retransmitted packets are dropped."""
         if packet.sequence in {other.sequence for other in request.packets}:
             return
         request.packets.append(packet)
         self._bytes += len(packet.raw)
 
     def end(self, request: WaitingRequest, now: float) -> None:
-        """Let a request wait no longer."""
+        """End the wait of a request."""
         request.ended = True
         request.pool.leave(now)
         request.pool.waiting_open -= not request.opens
@@ -184,7 +184,7 @@
         self._by_flow.pop(request.packets[0].flow)
 
     def pop_expired(self, now: float) -> WaitingRequest | None:
-        """Take out the next request that has waited long enough, None if none has."""
+        """Remove and return the next request whose wait has expired, None if there is none."""
         end = self.next_expiry
         while end is not None and now >= end:
             request = heappop(self._by_expiry)[2]
@@ -197,7 +197,7 @@
         return None
 
     def pop_more_urgent(self, request: WaitingRequest, now: float) -> WaitingRequest | None:
-        """Take out the first that is more urgent than one that goes on before there is room."""
+        """Remove and return the first request that is more urgent than one sent regardless of the limit."""
         queue = self._queue_by_pool.get(request.pool)
         first = queue.first(now) if queue else None
         if first is None or first.priority >= request.priority:
@@ -206,7 +206,7 @@
         return first
 
     def pop_ready(self, now: float) -> WaitingRequest | None:
-        """Take out the first request that has room by now, None if none has."""
+        """Remove and return the first request whose pool has free capacity, None if there is none."""
         for pool, queue in list(self._queue_by_pool.items()):
             if not pool.waiting:
                 self._queue_by_pool.pop(pool)
@@ -226,7 +226,7 @@
         heappush(self._by_expiry, (request.until, self._number, request))
 
     def _keeps_waiting(self, request: WaitingRequest, now: float) -> bool:
-        """Whether a request that is to go on waits longer: its caller is far above its share."""
+        """Whether an expired request waits longer because its caller is far above its share."""
         callers = request.pool.callers
         if callers is None or not request.must_be_sent(now):
             return False
--- a/tests/test_caller_shares.py
+++ b/tests/test_caller_shares.py
@@ -504,7 +504,7 @@
     def test_no_request_waits_while_there_is_room(self) -> None:
         """Guards against shares that leave slots idle."""
         crowd = played(20, OBJECTIVE_S)
-        self.assertGreater(crowd.lookups, 100)
+        self.assertGreater(crowd.looks, 100)
         self.assertEqual(0, crowd.waited_beside_room)
 
     def test_open_flows_do_not_starve(self) -> None:
