--- a/src/bronzekeel/core/routing/demand_meter.py
+++ b/src/bronzekeel/core/routing/demand_meter.py
@@ -1,7 +1,7 @@
-"""Count what callers ask of each service in the newest half second, refused flows too.
+"""Measure the demand on each service in the last half second, refused flows included.
 
-Requests that were placed are no measure of demand: a data centre that refuses most of its callers
-would seem to have few.  A smoothed rate is none of a crowd that lasts three seconds.
+Placed requests do not measure demand: a data centre that refuses most of its callers would seem to
+have few. A smoothed rate is too slow for a surge that lasts three seconds.
 """
 
 from collections import deque
@@ -11,19 +11,19 @@
 from bronzekeel.core.routing.messages import Asked
 
 
-#: Seconds over which requests are counted, and looks at the counts in that time.  Source: a crowd
-#: must be known within a second at all hosts; forty requests in half a second are sixteen percent
-#: off by chance, and shares change at half as much again.
+#: Length of the window in seconds, and samples in it. A surge must be known within a second at all
+#: hosts; forty requests in half a second vary by sixteen percent at random, and shares change at
+#: half as much again.
 WINDOW_S = 0.5
 _SAMPLES_PER_WINDOW = 5
 
-#: Seconds by which a look may come early.  Source: half of the interval at which looks are due, so
-#: that timers that fire a little unevenly skip none.
+#: Seconds by which a sample may be early: half of the interval between samples, so that uneven
+#: timers skip none.
 _TIMER_SLACK_S = 0.05
 
 
 class _Counts:
-    """Hold the requests and the refusals of each service up to a moment."""
+    """Hold the requests and the refusals of each service up to a time."""
 
     __slots__ = ('at', 'by_service')
 
@@ -33,12 +33,12 @@
 
 
 class DemandMeter:
-    """Hold what was asked of this balancer in the newest half second, None before it is known."""
+    """Hold the demand on this balancer in the last half second, None before it is known."""
 
     __slots__ = ('_counts', '_next_sample_at', 'by_service')
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Start without samples."""
         self.by_service: dict[str, Asked] | None = None
         self._counts: deque[_Counts] = deque(maxlen=_SAMPLES_PER_WINDOW + 1)
         self._next_sample_at: float = 0
@@ -50,7 +50,7 @@
         directory: Directory,
         now: float,
     ) -> bool:
-        """Take the counts of some services, some times in the window; return whether it did."""
+        """Sample the counts of services if a sample is due; return whether one was taken."""
         if now < self._next_sample_at - _TIMER_SLACK_S:
             return False
         self._next_sample_at = now + WINDOW_S / _SAMPLES_PER_WINDOW
@@ -58,9 +58,9 @@
             self._counts.clear()
             self.by_service = None
         counts = _Counts(now)
-        for counted in services:
-            requests = requests_by_service.get(counted, 0)
-            counts.by_service[counted] = (requests, _refused_requests(directory, counted))
+        for sampled in services:
+            requests = requests_by_service.get(sampled, 0)
+            counts.by_service[sampled] = (requests, _refused_requests(directory, sampled))
         self._counts.append(counts)
         if len(self._counts) <= _SAMPLES_PER_WINDOW:
             return True
@@ -78,7 +78,7 @@
 
 
 def total_demand(asked: Iterable[Mapping[str, Asked]]) -> dict[str, Asked]:
-    """Return what is asked of several balancers together."""
+    """Return the total demand on several balancers."""
     total: dict[str, Asked] = {}
     for asked_by_service in asked:
         for service, one in asked_by_service.items():
--- a/src/bronzekeel/core/routing/load_moves.py
+++ b/src/bronzekeel/core/routing/load_moves.py
@@ -1,4 +1,4 @@
-"""Keep up where load that moves may go, for the services whose demand is controlled."""
+"""Update how much load may move to other data centres, for services whose demand is controlled."""
 
 from bronzekeel.core.routing.balance import load_at
 from bronzekeel.core.routing.effects import Effect
@@ -17,13 +17,14 @@
 
 _NO_DEMAND = Asked(0, 0)
 
-#: Marks a share among levels, which counts as so many flows: a tenth of all is told early.
+#: Marks a share among the levels. It counts as so many flows that a change by a tenth of all is
+#: reported early.
 _SHARE = 'share'
 _SHARE_SCALE = 10
 
 
 def update_load(state: RoutingState, now: float) -> list[Effect]:
-    """Count what is asked, and notice what others should hear at once."""
+    """Sample the demand, and detect changes that peers should receive at once."""
     moving = state.demand.moving
     services = controlled_services(state)
     if not services:
@@ -38,37 +39,37 @@
 
 
 def expedite_allowances(state: RoutingState, heartbeat: Heartbeat) -> None:
-    """Reckon room at the next tick if a heartbeat may have told of another."""
-    told = heartbeat.allowances is not None
-    far = heartbeat.sender.data_centre != state.peers.me.data_centre
-    if state.controls_demand and heartbeat.asked_by_service and (told or far):
+    """Recompute allowances at the next tick if a heartbeat may have changed them."""
+    has_allowances = heartbeat.allowances is not None
+    is_remote = heartbeat.sender.data_centre != state.peers.me.data_centre
+    if state.controls_demand and heartbeat.asked_by_service and (has_allowances or is_remote):
         state.room.reckon_at = 0
 
 
 def needs_frequent_reports(state: RoutingState, now: float) -> bool:
-    """Whether other data centres are to be told more often than in calm."""
+    """Whether other data centres get reports more often than in calm periods."""
     if state.directory.is_strained(state.peers.me.data_centre, now):
         return True
     if not state.demand.moving.asked.by_service:
         return False
-    hurried_until = state.demand.moving.remote_changes.changed_at + STRAINED_RELAY_S
-    return now < hurried_until or has_unserved_demand(state, now)
+    frequent_until = state.demand.moving.remote_changes.changed_at + STRAINED_RELAY_S
+    return now < frequent_until or has_unserved_demand(state, now)
 
 
 def adopt_shares(state: RoutingState, shares: tuple[FlowShare, ...]) -> None:
-    """Put shares in force, unless they are reckoned by the newest second.
+    """Apply shares, unless ``update_moving_shares`` computes them from the newest demand.
 
-    Where operators ask for equal work, all shares count.
+    Where operators set equal work, all shares are applied.
     """
     if not state.balance.bearable or not state.controls_demand:
         state.balance.adopt(shares)
 
 
 def update_moving_shares(state: RoutingState, now: float) -> None:
-    """Settle which flows leave that home could not serve in time, by the newest report.
+    """Set the shares of flows that leave because they could not be served in time locally.
 
-    A host that hears all data centres that its neighbours hear reckons the shares itself; the
-    others take them from one that does.
+    A host that receives reports of all data centres that its neighbours receive computes the shares
+    itself; the others adopt those of a neighbour that does.
     """
     moving = state.demand.moving
     services = controlled_services(state)
@@ -86,9 +87,10 @@
 
 
 def shares_to_report(state: RoutingState) -> tuple[FlowShare, ...] | None:
-    """Return the shares that were reckoned here, None if this host hears too little for it.
+    """Return the shares that were computed here, None if this host receives too little for it.
 
-    What goes wrong with shares that neighbours told: hosts repeat each other's for ever.
+    Shares that neighbours reported are left out; otherwise hosts would repeat each other's shares
+    endlessly.
     """
     if not state.balance.reckons:
         return None
@@ -98,23 +100,23 @@
 
 
 def _shares_from_peers(state: RoutingState, now: float) -> tuple[FlowShare, ...]:
-    """Return the shares of the neighbour that hears most, unless its report is old."""
-    told: tuple[FlowShare, ...] = ()
+    """Return the shares of the neighbour that receives most, unless its report is old."""
+    shares: tuple[FlowShare, ...] = ()
     most: tuple[int, float] = (0, 0)
     for peer in _recent_peers(state, now):
         if peer.heartbeat is None or peer.heartbeat.shares is None:
             continue
-        heard = (len(peer.heartbeat.hears), peer.newest_at)
-        if heard > most:
-            most = heard
-            told = peer.heartbeat.shares
-    return told
+        received = (len(peer.heartbeat.hears), peer.newest_at)
+        if received > most:
+            most = received
+            shares = peer.heartbeat.shares
+    return shares
 
 
 def _recent_peers(state: RoutingState, now: float) -> list[Peer]:
-    """Return the neighbours whose report of room is still believed, the newest last."""
-    lately = [peer for peer in state.peers.living(now) if now < peer.newest_at + REPORT_VALID_S]
-    return sorted(lately, key=lambda peer: peer.newest_at)
+    """Return the neighbours whose reports are still valid, the newest last."""
+    recent = [peer for peer in state.peers.living(now) if now < peer.newest_at + REPORT_VALID_S]
+    return sorted(recent, key=lambda peer: peer.newest_at)
 
 
 def _shares_of(
@@ -123,30 +125,30 @@
     heartbeat_by_centre: dict[str, Heartbeat],
     now: float,
 ) -> tuple[FlowShare, ...]:
-    home = state.peers.me.data_centre
-    asked = centre_demand(state, now) or {}
+    local_centre = state.peers.me.data_centre
+    demand_by_service = centre_demand(state, now) or {}
     shares: list[FlowShare] = []
     for service in services:
-        rate_by_centre = _rates_of(service, home, heartbeat_by_centre)
-        rate_by_centre[home] = asked.get(service, _NO_DEMAND).rate
+        rate_by_centre = _rates_of(service, local_centre, heartbeat_by_centre)
+        rate_by_centre[local_centre] = demand_by_service.get(service, _NO_DEMAND).rate
         capacity_by_centre = state.directory.pool_members.capacity_by_centre(service)
-        load = load_at(state.directory, home, service)
+        load = load_at(state.directory, local_centre, service)
         by_centre = state.demand.moving.shares.shares_of(
-            service, home, capacity_by_centre, rate_by_centre, load, now
+            service, local_centre, capacity_by_centre, rate_by_centre, load, now
         )
         shares.extend(FlowShare(service, centre, share) for centre, share in by_centre.items())
     return tuple(shares)
 
 
 def _rates_of(
-    service: str, home: str, heartbeat_by_centre: dict[str, Heartbeat]
+    service: str, local_centre: str, heartbeat_by_centre: dict[str, Heartbeat]
 ) -> dict[str, float]:
-    """Return what is asked in the data centres that hear this one."""
+    """Return the demand in the data centres that receive reports of this one."""
     rate_by_centre: dict[str, float] = {}
     for centre, heartbeat in heartbeat_by_centre.items():
-        asked = heartbeat.asked_by_service or {}
-        if home not in heartbeat.unheard and service in asked:
-            rate_by_centre[centre] = asked[service].rate
+        demand_by_service = heartbeat.asked_by_service or {}
+        if local_centre not in heartbeat.unheard and service in demand_by_service:
+            rate_by_centre[centre] = demand_by_service[service].rate
     return rate_by_centre
 
 
@@ -155,9 +157,9 @@
     allowances: tuple[Allowance, ...],
     now: float,
 ) -> tuple[Allowance, ...]:
-    """Reckon those of the `allowances` anew whose services' demand is controlled.
+    """Recompute those of the `allowances` that belong to services whose demand is controlled.
 
-    Data centres whose hosts are of a former version tell nothing of it; theirs stay as they are.
+    Data centres whose hosts run an older version report no demand; their allowances stay.
     """
     services = controlled_services(state)
     if not services:
@@ -165,27 +167,27 @@
     heartbeat_by_centre = state.relays.words_elsewhere(now, REPORT_VALID_S)
     relays = state.relays
     former = {one for one in relays.loads_elsewhere(now) if not relays.tells_asked(one)}
-    kept = [
+    recomputed = [
         allowance
         for allowance in allowances
         if allowance.service not in services or allowance.data_centre in former
     ]
     for service in services:
-        kept.extend(_allowances_of(state, service, heartbeat_by_centre, now))
-    return tuple(kept)
+        recomputed.extend(_allowances_of(state, service, heartbeat_by_centre, now))
+    return tuple(recomputed)
 
 
 def allowances_in_force(state: RoutingState, now: float) -> tuple[Allowance, ...]:
-    """Return what is reckoned here, and what only neighbours lately had report for.
+    """Return the allowances computed here, and recent ones that only neighbours could compute.
 
-    Where demand is not controlled it is only the one or the other.
+    Where demand is not controlled, they are all from one source.
     """
     if not state.controls_demand:
         return state.room.allowances
     by_target: dict[tuple[str, str], Allowance] = {}
     for peer in _recent_peers(state, now):
-        for told in (peer.heartbeat and peer.heartbeat.allowances) or ():
-            by_target[(told.service, told.data_centre)] = told
+        for reported in (peer.heartbeat and peer.heartbeat.allowances) or ():
+            by_target[(reported.service, reported.data_centre)] = reported
     for own in state.room.allowances if state.room.reckons else ():
         by_target[(own.service, own.data_centre)] = own
     return tuple(by_target.values())
@@ -197,34 +199,38 @@
     heartbeat_by_centre: dict[str, Heartbeat],
     now: float,
 ) -> list[Allowance]:
-    home = state.peers.me.data_centre
+    local_centre = state.peers.me.data_centre
     report_by_centre = {
-        centre: _report_of(heartbeat, service, home)
+        centre: _report_of(heartbeat, service, local_centre)
         for centre, heartbeat in heartbeat_by_centre.items()
         if heartbeat.asked_by_service and service in heartbeat.asked_by_service
     }
     own = (centre_demand(state, now) or {}).get(service, _NO_DEMAND)
     capacity_by_centre = state.directory.pool_members.capacity_by_centre(service)
     room = state.demand.moving.room
-    return room.allowances_of(service, home, own.rate, report_by_centre, capacity_by_centre, now)
+    return room.allowances_of(
+        service, local_centre, own.rate, report_by_centre, capacity_by_centre, now
+    )
 
 
-def _report_of(heartbeat: Heartbeat, service: str, home: str) -> CentreReport:
-    asked = (heartbeat.asked_by_service or {}).get(service, _NO_DEMAND)
+def _report_of(heartbeat: Heartbeat, service: str, local_centre: str) -> CentreReport:
+    demand = (heartbeat.asked_by_service or {}).get(service, _NO_DEMAND)
     load = heartbeat.load_by_service.get(service, 0)
-    return CentreReport(load, asked.rate, asked.lacking, hears=home not in heartbeat.unheard)
+    return CentreReport(
+        load, demand.rate, demand.lacking, hears=local_centre not in heartbeat.unheard
+    )
 
 
 def _local_loads(state: RoutingState, services: list[str]) -> dict[str, float]:
-    home = state.peers.me.data_centre
-    return {service: load_at(state.directory, home, service) for service in services}
+    local_centre = state.peers.me.data_centre
+    return {service: load_at(state.directory, local_centre, service) for service in services}
 
 
 def _levels_for_peers(
     state: RoutingState,
     services: list[str],
 ) -> dict[LevelKey, float]:
-    """Return how many requests wait here, and the room elsewhere if it is reckoned here."""
+    """Return the waiting requests, and the allowances and shares if they are computed here."""
     levels: dict[LevelKey, float] = {
         service: sum(pool.waiting for pool in state.directory.pools_by_service[service].values())
         for service in services
--- a/src/bronzekeel/core/routing/overflow.py
+++ b/src/bronzekeel/core/routing/overflow.py
@@ -54,7 +54,7 @@
 
 def allowances_of(
     directory: Directory,
-    home: str,
+    local_centre: str,
     load_by_service_by_centre: Mapping[str, Mapping[str, float]],
     rates_by_centre: Mapping[str, Mapping[str, float]],
 ) -> tuple[Allowance, ...]:
@@ -70,7 +70,7 @@
         load_by_centre = _of_service(service, load_by_service_by_centre)
         rate_by_centre = _of_service(service, rates_by_centre)
         capacity_by_centre = directory.pool_members.capacity_by_centre(service)
-        claims = claims_of(home, capacity_by_centre, rate_by_centre)
+        claims = claims_of(local_centre, capacity_by_centre, rate_by_centre)
         for centre, free in free_capacity_by_centre(capacity_by_centre, load_by_centre).items():
             requests = max(free, claims.get(centre, 0) * REQUESTS_A_SLOT)
             allowances.append(Allowance(service, centre, requests))
@@ -100,12 +100,12 @@
 
 
 def claims_of(
-    home: str,
+    local_centre: str,
     capacity_by_centre: Mapping[str, float],
     rate_by_centre: Mapping[str, float],
     factor: float = CLAIM_FACTOR,
 ) -> dict[str, float]:
-    """Return the remote slots that the callers at `home` may claim, by data centre.
+    """Return the remote slots that the callers at `local_centre` may claim, by data centre.
 
     Without this, a data centre that has lost its upstreams gets only what others leave, which is
     nothing in an overload, and all of its callers are refused.
@@ -115,8 +115,8 @@
     if not rate or not capacity:
         return {}
     due_by_centre = {centre: capacity * demand / rate for centre, demand in rate_by_centre.items()}
-    own = capacity_by_centre.get(home, 0)
-    claimed = due_by_centre.get(home, 0) - own
+    own = capacity_by_centre.get(local_centre, 0)
+    claimed = due_by_centre.get(local_centre, 0) - own
     spare_by_centre = _spare_of(capacity_by_centre, due_by_centre)
     spare = sum(spare_by_centre.values())
     if not spare or claimed < own * factor:
@@ -137,17 +137,17 @@
 
 def apply_allowances(
     directory: Directory,
-    home: str,
+    local_centre: str,
     allowances: Iterable[Allowance],
     share_by_service: Mapping[str, float],
-    homeless: Container[str],
+    without_upstreams: Container[str],
 ) -> None:
     """Set this balancer's share of the requests that its data centre may have in progress remotely.
 
-    The allowance limits flows that found no free capacity locally, and all flows of services that
-    are `homeless`: without local upstreams.
+    The allowance limits flows that found no free capacity locally, and all flows of the services
+    `without_upstreams` in this data centre.
     """
-    pools = directory.pools_elsewhere(home)
+    pools = directory.pools_elsewhere(local_centre)
     for remote in pools.values():
         remote.allowance = 0
         remote.limit = NO_LIMIT
@@ -156,5 +156,5 @@
         if pool is None:
             continue
         pool.allowance = allowance.requests * share_by_service[allowance.service]
-        if allowance.service in homeless:
+        if allowance.service in without_upstreams:
             pool.limit = max(pool.allowance, MIN_REMOTE_REQUESTS)
--- a/src/bronzekeel/core/routing/waiting.py
+++ b/src/bronzekeel/core/routing/waiting.py
@@ -197,7 +197,7 @@
         return None
 
     def pop_more_urgent(self, request: WaitingRequest, now: float) -> WaitingRequest | None:
-        """Remove and return the first request that is more urgent than one sent regardless of the limit."""
+        """Remove and return a request more urgent than one that is sent despite the limit."""
         queue = self._queue_by_pool.get(request.pool)
         first = queue.first(now) if queue else None
         if first is None or first.priority >= request.priority:
@@ -206,7 +206,7 @@
         return first
 
     def pop_ready(self, now: float) -> WaitingRequest | None:
-        """Remove and return the first request whose pool has free capacity, None if there is none."""
+        """Remove and return the first request whose pool has free capacity, if any."""
         for pool, queue in list(self._queue_by_pool.items()):
             if not pool.waiting:
                 self._queue_by_pool.pop(pool)
