--- a/tests/test_caller_shares.py
+++ b/tests/test_caller_shares.py
@@ -1,4 +1,4 @@
-"""Test how callers share a service that is short, and what becomes of those that ask for more."""
+"""Test how callers share an overloaded service, and how those above their share are treated."""
 
 from random import Random
 from types import MappingProxyType
@@ -71,46 +71,46 @@
 
 _CALLERS = 40
 
-#: Share of late requests that a caller which keeps to its share bears while another sends ten times
-#: its own: what the issue asks for.
-_MOST_LATE = 0.01
+#: Most late requests of a caller within its share while another sends ten times its own, as a share
+#: of its requests.
+_MAX_LATE_SHARE = 0.01
 
-_ODD_ADDRESS = 0x64400909
+_HEAVY_CALLER = 0x64400909
 
 
 class MaxMinTest(TestCase):
-    """Share room among demands."""
+    """Max-min fair shares."""
 
     def test_small_demands_are_met(self) -> None:
-        """Guards against equal parts that a caller of little does not use up."""
+        """Guards against equal parts, of which a caller with a small demand leaves some unused."""
         self.assertEqual(4, max_min_level([(10, 1), (1, 2)], 6))
 
-    def test_equals_get_equal_parts(self) -> None:
-        """Guards against a caller that gets more than another that asks for as much."""
+    def test_equal_demands_get_equal_shares(self) -> None:
+        """Guards against callers of equal demand that get different shares."""
         self.assertEqual(2, max_min_level([(3, 4)], 8))
 
-    def test_room_for_all(self) -> None:
-        """Guards against callers held to a share while nothing is short."""
+    def test_capacity_for_all(self) -> None:
+        """Guards against throttled callers while there is enough capacity."""
         self.assertEqual(NO_LEVEL, max_min_level([(3, 4), (1, 1)], 14))
 
-    def test_no_room(self) -> None:
-        """Guards against a division by nothing."""
+    def test_no_capacity(self) -> None:
+        """Guards against a division by zero."""
         self.assertEqual(0, max_min_level([(3, 4)], 0))
         self.assertEqual(NO_LEVEL, max_min_level([], 3))
 
 
 class SketchTest(TestCase):
-    """Count callers in constant memory."""
+    """Counts of callers in constant memory."""
 
-    def test_a_host_that_stood_still_for_long(self) -> None:
-        """Guards against a weight that is no float, which ended a host after half an hour."""
+    def test_a_host_that_was_paused_for_long(self) -> None:
+        """Guards against a weight that overflows a float; it crashed hosts after half an hour."""
         sketch = CallerSketch(0)
         sketch.note(1, 0, admitted=True)
         sketch.note(2, DECAY_S * 5000, admitted=True)
         self.assertAlmostEqual(1, sketch.admitted_for(2, DECAY_S * 5000))
 
-    def test_counts_fade(self) -> None:
-        """Guards against callers that pay for what they asked for long ago."""
+    def test_counts_decay(self) -> None:
+        """Guards against callers that are throttled for requests of long ago."""
         sketch = CallerSketch(0)
         sketch.note(1, 0, admitted=True)
         self.assertEqual(1, sketch.admitted_for(1, 0))
@@ -119,7 +119,7 @@
         self.assertAlmostEqual(1, sketch.admitted(DECAY_S * 200))
 
     def test_an_attack_of_many_addresses(self) -> None:
-        """Guards against memory that grows with addresses, and a crowd that hides among them."""
+        """Guards against memory that grows with addresses, among which a heavy caller hides."""
         sketch = CallerSketch(0)
         attack = 100_000
         for number in range(attack):
@@ -131,8 +131,8 @@
         self.assertLessEqual(len(sketch._smallest), 2 * MAX_COUNTED)
         self.assertGreater(sketch.admitted_for(1, 1), 500)
 
-    def test_who_takes_an_entry_over_does_not_pay_for_it(self) -> None:
-        """Guards against a caller of one request that is charged with those of another."""
+    def test_a_replaced_entry_charges_nothing_to_its_successor(self) -> None:
+        """Guards against charging a caller of one request with those of the caller it replaces."""
         sketch = CallerSketch(0)
         for number in range(MAX_COUNTED):
             for _ in range(5):
@@ -142,45 +142,45 @@
         self.assertEqual((1, 1), sketch.counts(0)[1000])
 
     def test_callers_are_counted_by_bits(self) -> None:
-        """Guards against a share that is reckoned for far more or fewer callers than there are."""
+        """Guards against shares that are computed for far more or fewer callers than there are."""
         sketch = CallerSketch(0)
         for number in range(_CALLERS):
             sketch.note(number, 0, admitted=True)
         self.assertAlmostEqual(_CALLERS, estimate_distinct(sketch.seen), delta=_CALLERS / 3)
 
 
-class WordsTest(TestCase):
-    """What hosts tell each other."""
+class ReportsTest(TestCase):
+    """Reports between hosts."""
 
     def setUp(self) -> None:
-        """Know what a neighbour says of a crowd."""
-        heavy = HeavyCaller(_ODD_ADDRESS, 30, 20.5)
+        """Prepare a neighbour's report of a heavy caller."""
+        heavy = HeavyCaller(_HEAVY_CALLER, 30, 20.5)
         self.report = CallersReport(True, 60, 40, 0xF0F0, (heavy,))  # noqa: FBT003
 
-    def test_a_word_is_read_as_it_was_written(self) -> None:
-        """Guards against shares that are reckoned from other figures than were told."""
-        told = unpack_callers_report(pack_callers_report(self.report))
-        self.assertEqual((True, 60, 40, 0xF0F0), (told.short, told.asked, told.given, told.seen))
-        heavy = told.heaviest[0]
-        self.assertEqual((_ODD_ADDRESS, 30, 20.5), (heavy.caller, heavy.asked, heavy.given))
+    def test_a_report_survives_encoding(self) -> None:
+        """Guards against shares that are computed from other figures than were reported."""
+        read = unpack_callers_report(pack_callers_report(self.report))
+        self.assertEqual((True, 60, 40, 0xF0F0), (read.short, read.asked, read.given, read.seen))
+        heavy = read.heaviest[0]
+        self.assertEqual((_HEAVY_CALLER, 30, 20.5), (heavy.caller, heavy.asked, heavy.given))
 
-    def test_a_word_of_another_length_is_unreadable(self) -> None:
-        """Guards against a peer of another version that is half understood."""
+    def test_a_report_of_another_length_is_rejected(self) -> None:
+        """Guards against misreading the report of a peer of another version."""
         raw = pack_callers_report(self.report)
         for broken in (b'', raw[:-1], raw + bytes(8 * MAX_REPORTED_CALLERS)):
             with self.assertRaises(ValueError):
                 unpack_callers_report(broken)
 
-    def test_nothing_is_told_while_nothing_is_short(self) -> None:
-        """Guards against heartbeats that cost more on a quiet day."""
-        state = _covered_state()
+    def test_nothing_is_reported_without_a_shortage(self) -> None:
+        """Guards against longer heartbeats while no service is overloaded."""
+        state = _controlled_state()
         heartbeat = near_heartbeat(state, 0)
         self.assertEqual({}, heartbeat.callers_by_service)
         self.assertNotIn(b'callers', encode_heartbeat(heartbeat))
 
-    def test_a_short_service_is_told_in_few_bytes(self) -> None:
-        """Guards against heartbeats that grow with the callers."""
-        state = _covered_state()
+    def test_a_shortage_is_reported_in_few_bytes(self) -> None:
+        """Guards against heartbeats that grow with the number of callers."""
+        state = _controlled_state()
         quiet = len(encode_heartbeat(near_heartbeat(state, 0)))
         shares = _shares_of(state)
         shares.note_shortage(0)
@@ -196,90 +196,90 @@
         with self.assertRaises(MessageError):
             decode_heartbeat(raw.replace(b'"callers":[["portal","', b'"callers":[["portal","!'))
 
-    def test_the_word_counts_once(self) -> None:
-        """Guards against a duplicate of a heartbeat that makes a caller look twice as heavy."""
-        state = _covered_state()
+    def test_a_duplicate_report_counts_once(self) -> None:
+        """Guards against a duplicate heartbeat that makes a caller look twice as heavy."""
+        state = _controlled_state()
         for _ in range(2):
             _receive(state, self.report, 1)
         reduce(state, Ticked(), 1)
-        self.assertEqual(20.5, _shares_of(state).admitted_for(_ODD_ADDRESS, 1))
+        self.assertEqual(20.5, _shares_of(state).admitted_for(_HEAVY_CALLER, 1))
 
-    def test_the_word_of_a_silent_host_fades(self) -> None:
-        """Guards against shares that a host which died goes on to take part in."""
-        state = _covered_state()
+    def test_the_report_of_a_dead_host_decays(self) -> None:
+        """Guards against a host that died and still takes part in the shares."""
+        state = _controlled_state()
         _receive(state, self.report, 1)
         reduce(state, Ticked(), 1)
         self.assertTrue(_shares_of(state).counting)
         reduce(state, Ticked(), 3)
-        self.assertEqual(0, _shares_of(state).admitted_for(_ODD_ADDRESS, 3))
+        self.assertEqual(0, _shares_of(state).admitted_for(_HEAVY_CALLER, 3))
         self.assertFalse(_shares_of(state).counting)
         self.assertEqual(NO_LEVEL, _shares_of(state).level)
 
-    def test_a_restarted_host_takes_its_word_back(self) -> None:
-        """Guards against counts of a process that is gone."""
-        state = _covered_state()
+    def test_a_restarted_host_withdraws_its_report(self) -> None:
+        """Guards against counts of a process that no longer runs."""
+        state = _controlled_state()
         _receive(state, self.report, 1)
         _receive(state, None, 1.1)
         reduce(state, Ticked(), 1.1)
-        self.assertEqual(0, _shares_of(state).admitted_for(_ODD_ADDRESS, 1.1))
+        self.assertEqual(0, _shares_of(state).admitted_for(_HEAVY_CALLER, 1.1))
 
     def test_hosts_do_not_keep_each_other_counting(self) -> None:
-        """Guards against a shortage that lives on in words after the last request waited."""
-        state = _covered_state()
-        over = CallersReport(False, 60, 40, 0xF0F0)  # noqa: FBT003
-        _receive(state, over, 1)
+        """Guards against a shortage that hosts report to each other after it has ended."""
+        state = _controlled_state()
+        ended = CallersReport(False, 60, 40, 0xF0F0)  # noqa: FBT003
+        _receive(state, ended, 1)
         reduce(state, Ticked(), 1)
         self.assertFalse(_shares_of(state).counting)
 
-    def test_fading(self) -> None:
-        """A report is whole until the next is due, and is nothing after it faded."""
+    def test_decay_factor(self) -> None:
+        """A report has its full weight until the next is due, and none after it decayed."""
         self.assertEqual(1, decay_factor(0.5, 1))
         self.assertEqual(0.5, decay_factor(1 + DECAY_S / 2, 1))
         self.assertEqual(0, decay_factor(9, 1))
 
 
 class OrderTest(TestCase):
-    """Which of those that wait goes on first."""
+    """The order of waiting requests."""
 
     def setUp(self) -> None:
-        """Let a crowd have been given ten times what its share is, and another caller nothing."""
+        """Let one caller have been admitted ten times its share, and another nothing."""
         self.shares = CallerShares()
         self.shares.note_shortage(0)
         for _ in range(20):
-            self.shares.note(_flow_of(_ODD_ADDRESS), 0, admitted=True)
+            self.shares.note(_flow_of(_HEAVY_CALLER), 0, admitted=True)
         self.shares.level = 2
         self.pool = Pool(PORTAL, HOME)
         self.pool.callers = self.shares
         self.queue = CallerQueue(self.shares)
 
-    def test_who_is_above_its_share_goes_last(self) -> None:
-        """Guards against a crowd that gets as much of the room as it has of the requests."""
+    def test_callers_above_their_share_go_last(self) -> None:
+        """Guards against a heavy caller that gets capacity in proportion to its requests."""
         self._add(1, 1)
         for number in range(2, 9):
-            self._add(_ODD_ADDRESS, number)
+            self._add(_HEAVY_CALLER, number)
         self.assertEqual(1, self._first_caller(0))
 
-    def test_the_newest_of_equals_goes_first(self) -> None:
+    def test_among_equals_the_newest_goes_first(self) -> None:
         """Guards against answers that are all late by the same half second."""
         for number in range(1, 4):
             self._add(number, number)
         self.assertEqual(3, self._first_caller(0))
 
     def test_shares_are_looked_up_when_a_request_is_taken(self) -> None:
-        """Guards against a caller that waits for what it was given seconds ago."""
+        """Guards against a caller that waits because of requests admitted seconds ago."""
         self._add(1, 1)
-        self._add(_ODD_ADDRESS, 2)
+        self._add(_HEAVY_CALLER, 2)
         self.assertEqual(1, self._first_caller(0))
-        self.assertEqual(_ODD_ADDRESS, self._first_caller(5 * DECAY_S))
+        self.assertEqual(_HEAVY_CALLER, self._first_caller(5 * DECAY_S))
 
     def test_priorities_are_never_inverted(self) -> None:
-        """Guards against a less urgent request that goes first since its caller had little."""
+        """Guards against a less urgent request that goes first by its caller's share."""
         random = Random(3)
         for round_number in range(50):
             queue = CallerQueue(self.shares)
             waiting = []
             for number in range(30):
-                caller = random.choice((1, 2, 3, _ODD_ADDRESS))
+                caller = random.choice((1, 2, 3, _HEAVY_CALLER))
                 waiting.append(self._request(caller, random.randrange(3)))
                 queue.add(waiting[-1], number)
             while waiting:
@@ -290,9 +290,9 @@
                 waiting.remove(first)
             self.assertIsNone(queue.first(0))
 
-    def test_many_addresses_are_ordered_in_little_time(self) -> None:
-        """Guards against a choice that lookups at all callers for each request."""
-        shares = _CountedShares()
+    def test_ordering_many_callers_is_cheap(self) -> None:
+        """Guards against a pass over all callers for each request."""
+        shares = _CountingShares()
         shares.level = 2
         queue = CallerQueue(shares)
         for number in range(10_000):
@@ -317,8 +317,8 @@
         return caller_of(first.packets[0].flow, 32)
 
 
-class _CountedShares(CallerShares):
-    """Shares that count how often what a caller was given is looked up."""
+class _CountingShares(CallerShares):
+    """Shares that count the look-ups of admitted requests."""
 
     __slots__ = ('lookups',)
 
@@ -327,19 +327,19 @@
         self.lookups = 0
 
     def admitted_for(self, caller: int, now: float) -> float:
-        """Look up and count."""
+        """Count the look-up and return its result."""
         self.lookups += 1
         return super().admitted_for(caller, now)
 
 
 class RefusalTest(TestCase):
-    """When a flow is refused at once, and how long others wait."""
+    """Which flows are refused at once, and how long others wait."""
 
     def setUp(self) -> None:
-        """Start with a full pool; the caller of the flow 1 was given ten times its share."""
-        self.state = _covered_state()
-        self.chosen = steering(self.state)
-        self.given = id_given(self.chosen.decide(opening(1), 0))
+        """Start with a full pool; the caller of flow 2 was admitted ten times its share."""
+        self.state = _controlled_state()
+        self.policy = steering(self.state)
+        self.given = id_given(self.policy.decide(opening(1), 0))
         self.pool = next(iter(self.state.directory.pools_of(HOME)))
         self.pool.limit = 1
         self.shares = _shares_of(self.state)
@@ -349,25 +349,25 @@
         self.shares.level = 2
 
     def test_a_caller_far_above_its_share_is_refused_at_once(self) -> None:
-        """Guards against a crowd that is held until its deadline though it cannot be served."""
-        self.assertEqual('Reset above_share', delivered_to(self.chosen.decide(opening(2), 0)))
+        """Guards against queueing the flows of a heavy caller although they cannot be served."""
+        self.assertEqual('Reset above_share', delivered_to(self.policy.decide(opening(2), 0)))
         self.assertEqual(1, self.pool.refused)
 
     def test_others_wait(self) -> None:
-        """Guards against callers that pay for the crowd of another."""
-        self.assertEqual('Wait', delivered_to(self.chosen.decide(opening(3), 0)))
+        """Guards against callers that are refused because of the surge of another."""
+        self.assertEqual('Wait', delivered_to(self.policy.decide(opening(3), 0)))
 
-    def test_nobody_is_refused_while_there_is_room(self) -> None:
+    def test_nobody_is_refused_while_there_is_capacity(self) -> None:
         """Guards against idle slots beside refused callers."""
         self.pool.limit = 2
-        self.assertEqual(entry(1).name, delivered_to(self.chosen.decide(opening(2), 0)))
+        self.assertEqual(entry(1).name, delivered_to(self.policy.decide(opening(2), 0)))
 
     def test_a_repeat_is_not_refused_at_once(self) -> None:
-        """Guards against the reset of a flow that the first packet opened elsewhere."""
-        self.assertEqual('Wait', delivered_to(self.chosen.decide(opening(2, copy=1), 0)))
+        """Guards against resetting a flow that the first packet opened through another host."""
+        self.assertEqual('Wait', delivered_to(self.policy.decide(opening(2, copy=1), 0)))
 
     def test_refusals_are_spread(self) -> None:
-        """Guards against callers that are refused together and come back together."""
+        """Guards against callers that are refused together and retry together."""
         waits = {
             round(wait_s(opening(number), self.pool, _patient_route(), 0), 3)
             for number in range(100)
@@ -379,28 +379,28 @@
         """Guards against open flows that starve behind newer requests until they are given up."""
         self._ask_on_open_flow()
         until = OBJECTIVE_S * OPEN_WAIT_FRACTION
-        self.assertEqual([], _resumed(self.chosen, until - 0.01))
-        sent = _resumed(self.chosen, until)
+        self.assertEqual([], _resumed(self.policy, until - 0.01))
+        sent = _resumed(self.policy, until)
         self.assertEqual([entry(1).name], sent)
         self.assertEqual(0, self.pool.waiting_open)
 
-    def test_a_more_urgent_request_is_not_passed(self) -> None:
-        """Guards against a bound on waiting that lets the less urgent go first."""
+    def test_a_more_urgent_request_is_not_overtaken(self) -> None:
+        """Guards against a bound on waiting that sends a less urgent request first."""
         self._ask_on_open_flow()
         until = OBJECTIVE_S * OPEN_WAIT_FRACTION
         urgent = _of_priority(_patient_route(), -1)
         self.state.waiting.add(opening(3), self.pool, urgent, until - 0.01)
-        packets = [packet for packet, _ in self.chosen.resume(until)]
+        packets = [packet for packet, _ in self.policy.resume(until)]
         self.assertEqual([flow(3), flow(1)], [packet.flow for packet in packets])
 
-    def test_who_was_given_up_is_not_sent_on(self) -> None:
-        """Guards against work for a caller that is gone after a host stood still."""
+    def test_abandoned_requests_are_not_sent(self) -> None:
+        """Guards against work for callers that gave up while the host was paused."""
         self._ask_on_open_flow()
-        verdicts = _resumed(self.chosen, TIMEOUT_S)
+        verdicts = _resumed(self.policy, TIMEOUT_S)
         self.assertEqual(['Discard given_up'], verdicts)
 
-    def test_it_is_logged_once(self) -> None:
-        """Guards against a log that a crowd fills."""
+    def test_throttling_is_logged_once(self) -> None:
+        """Guards against a log flooded by one heavy caller."""
         numbers: list[int] = []
         for tick in range(150):
             now = tick / 10
@@ -415,19 +415,19 @@
         self.assertEqual(1, numbers.count(LogNumber.CALLER_RELEASED))
 
     def _ask_on_open_flow(self) -> None:
-        self.chosen.decide(asking(1, self.given), 0)
-        self.chosen.decide(acknowledging(1, self.given, 9), 0)
+        self.policy.decide(asking(1, self.given), 0)
+        self.policy.decide(acknowledging(1, self.given, 9), 0)
         self.pool.limit = 0
         further = asking(1, self.given, 141, acknowledged=9)
-        self.assertEqual('Wait', delivered_to(self.chosen.decide(further, 0)))
+        self.assertEqual('Wait', delivered_to(self.policy.decide(further, 0)))
         self.assertEqual(1, self.pool.waiting_open)
 
 
-class NotCoveredTest(TestCase):
-    """Services whose callers cannot wait."""
+class UncontrolledTest(TestCase):
+    """Services whose demand is not controlled."""
 
-    def test_they_are_served_as_before(self) -> None:
-        """Guards against deployments that did not ask for shares and get them."""
+    def test_callers_have_no_shares(self) -> None:
+        """Guards against shares in deployments that did not ask for them."""
         state = ready_state(entry(1))
         reduce(state, Ticked(), 0)
         pool = next(iter(state.directory.pools_of(HOME)))
@@ -435,14 +435,14 @@
         self.assertIsInstance(CallerFairOrder().queue_of(pool), RankedQueue)
 
     def test_every_answer_is_the_same(self) -> None:
-        """Guards against another order, other waits or refusals where nothing is controlled."""
+        """Guards against another order, other waits or refusals where demand is not controlled."""
         plain = Crowd(FleetPolicies(order_of=NewestFirst), objective_s=0, lasting_s=4)
         shared = Crowd(FleetPolicies(), objective_s=0, lasting_s=4)
         self.assertEqual(plain.latencies, shared.latencies)
 
 
 class OrganisationTest(TestCase):
-    """Who counts as one caller."""
+    """Which addresses make one caller."""
 
     def test_leading_bits(self) -> None:
         """Guards against an organisation that gets a share for each of its addresses."""
@@ -452,7 +452,7 @@
         )
 
     def test_the_setting_is_checked(self) -> None:
-        """Guards against bits that no address has."""
+        """Guards against prefix lengths that no address has."""
         self.assertEqual(32, EntrySettings(_SETTINGS).caller_bits)
         self.assertEqual(24, EntrySettings({**_SETTINGS, 'caller_bits': 24}).caller_bits)
         for wrong in (0, 33, 24.0, '24', True):
@@ -460,12 +460,12 @@
                 EntrySettings({**_SETTINGS, 'caller_bits': wrong})
 
 
-class ToldTest(TestCase):
-    """What operators see."""
+class ObservabilityTest(TestCase):
+    """Log lines and metrics for operators."""
 
-    def test_a_refusal_tells_the_share(self) -> None:
-        """Guards against callers who are refused and nobody can say why."""
-        state = _covered_state()
+    def test_a_refusal_logs_the_share(self) -> None:
+        """Guards against refusals that the log does not explain."""
+        state = _controlled_state()
         shares = _shares_of(state)
         shares.note_shortage(0)
         for _ in range(20):
@@ -480,32 +480,32 @@
         self.assertEqual((20, 2), (written[0]['given'], written[0]['share']))
 
     def test_metrics(self) -> None:
-        """Guards against a crowd that no metric shows."""
-        page = metrics_of(_covered_state(), 0, {}, 0, 0).decode()
+        """Guards against throttling that no metric shows."""
+        page = metrics_of(_controlled_state(), 0, {}, 0, 0).decode()
         self.assertIn('bronzekeel_callers_above_share{kind="portal"} 0', page)
         self.assertIn('bronzekeel_requests_waiting_open{kind="portal"} 0', page)
 
 
-class CrowdTest(TestCase):
-    """One caller asks for ten times its share beside forty others, at twelve hosts."""
+class SurgeTest(TestCase):
+    """One caller sends ten times its share beside forty others, at twelve hosts."""
 
-    def test_the_others_notice_nothing(self) -> None:
-        """Guards against a crowd of one that makes the answers of all others late."""
-        self.assertGreater(played(10, 0).late_share, _MOST_LATE)
-        crowd = played(10, OBJECTIVE_S)
-        self.assertLess(crowd.late_share, _MOST_LATE)
-        self.assertGreater(crowd.late_share_of_crowd, crowd.late_share)
+    def test_other_callers_are_not_affected(self) -> None:
+        """Guards against a heavy caller that makes the answers of all others late."""
+        self.assertGreater(played(10, 0).late_share, _MAX_LATE_SHARE)
+        surge = played(10, OBJECTIVE_S)
+        self.assertLess(surge.late_share, _MAX_LATE_SHARE)
+        self.assertGreater(surge.late_share_of_crowd, surge.late_share)
 
     def test_twenty_times_its_share(self) -> None:
-        """Guards against a crowd that is large enough to get its way."""
+        """Guards against a surge large enough to defeat the shares."""
         without = played(20, 0)
         self.assertLess(played(20, OBJECTIVE_S).late_share, without.late_share / 2)
 
-    def test_no_request_waits_while_there_is_room(self) -> None:
+    def test_no_request_waits_beside_free_slots(self) -> None:
         """Guards against shares that leave slots idle."""
-        crowd = played(20, OBJECTIVE_S)
-        self.assertGreater(crowd.looks, 100)
-        self.assertEqual(0, crowd.waited_beside_room)
+        surge = played(20, OBJECTIVE_S)
+        self.assertGreater(surge.looks, 100)
+        self.assertEqual(0, surge.waited_beside_room)
 
     def test_open_flows_do_not_starve(self) -> None:
         """Guards against requests on open flows that wait until their callers give them up."""
@@ -513,18 +513,18 @@
         self.assertLess(played(20, OBJECTIVE_S).p99_of_open, OBJECTIVE_S)
 
     def test_a_host_dies_halfway(self) -> None:
-        """Guards against shares that stay wrong after a host with a part of the counts is gone."""
-        crowd = Crowd(FleetPolicies(), disturb=restart_a_host)
+        """Guards against shares that stay wrong after a host that held part of the counts dies."""
+        surge = Crowd(FleetPolicies(), disturb=restart_a_host)
         without = Crowd(FleetPolicies(), objective_s=0, disturb=restart_a_host)
-        self.assertLess(crowd.late_share, without.late_share)
+        self.assertLess(surge.late_share, without.late_share)
 
     def test_a_data_centre_is_cut_off(self) -> None:
-        """Guards against shares that need other data centres or the store."""
-        crowd = Crowd(
+        """Guards against shares that depend on other data centres or the store."""
+        surge = Crowd(
             FleetPolicies(),
             disturb=lambda load: load.fleet.cut_centres.add(CENTRES[0]),
         )
-        self.assertLess(crowd.late_share, _MOST_LATE)
+        self.assertLess(surge.late_share, _MAX_LATE_SHARE)
 
 
 def _flow_of(caller: int) -> bytes:
@@ -536,9 +536,9 @@
     return Route(plain.key, plain.shares, plain.seal, 0, TIMEOUT_S, objective_s=OBJECTIVE_S)
 
 
-def _resumed(chosen: ConnectionIdSteering, now: float) -> list[str]:
-    """Return what becomes of those that wait no longer."""
-    return [delivered_to(verdict) for _, verdict in chosen.resume(now)]
+def _resumed(policy: ConnectionIdSteering, now: float) -> list[str]:
+    """Return the outcomes of the requests that no longer wait."""
+    return [delivered_to(verdict) for _, verdict in policy.resume(now)]
 
 
 def _of_priority(plain: Route, priority: int) -> Route:
@@ -552,8 +552,8 @@
     )
 
 
-def _covered_state() -> RoutingState:
-    """Return a ready state whose service has its demand controlled."""
+def _controlled_state() -> RoutingState:
+    """Return a ready state with a service whose demand is controlled."""
     state = ready_state(entry(1))
     stored = StoredObject('main', 50, text(50, _patient_route()))
     reduce(state, ChangesRead(Collection.TEXT, [stored], 50), 0)
@@ -568,7 +568,7 @@
 
 
 def _receive(state: RoutingState, report: CallersReport | None, now: float) -> None:
-    """Let a neighbour tell a report, or that it has none."""
+    """Deliver a neighbour's heartbeat with a report, or without one."""
     heartbeat = Heartbeat(
         PeerAddress('a2', HOME, ('a2', 9)),
         0,
--- a/tests/test_demand_control.py
+++ b/tests/test_demand_control.py
@@ -1,4 +1,4 @@
-"""Test whether demand is controlled: by the objectives of a text, or as a setting says."""
+"""Test when demand is controlled: by the objectives of a text, or by a setting."""
 
 from unittest import TestCase
 
@@ -27,15 +27,15 @@
 
 
 class DemandControlTest(TestCase):
-    """Decide by objectives, always, or never."""
+    """Control by objectives, always, or never."""
 
     def test_patient_callers(self) -> None:
-        """A text all of whose callers can wait is covered."""
+        """Demand is controlled if all callers of a text can wait."""
         text = _text(_route(_KEY, MIN_OBJECTIVE_S, 'portal'), _route(_OTHER_KEY, 2, 'archive'))
         self.assertTrue(DemandControl().covers(text))
 
     def test_the_least_patient_route_decides(self) -> None:
-        """Guards against requests of an impatient route that wait behind those of a patient one."""
+        """Guards against requests of an impatient route queued behind those of a patient one."""
         text = _text(
             _route(_KEY, MIN_OBJECTIVE_S, 'archive'),
             _route(_OTHER_KEY, MIN_OBJECTIVE_S / 2, 'portal'),
@@ -43,7 +43,7 @@
         self.assertFalse(DemandControl().covers(text))
 
     def test_no_objective(self) -> None:
-        """Guards against waiting for callers of whom nothing is known."""
+        """Guards against making callers wait whose objective is unknown."""
         text = _text(_route(_KEY, 0, 'portal'), _route(_OTHER_KEY, 1, 'portal'))
         self.assertFalse(DemandControl().covers(text))
         self.assertFalse(DemandControl().covers(_text()))
@@ -55,9 +55,9 @@
         patient = _text(_route(_KEY, 1, 'portal'))
         self.assertFalse(DemandControl(DemandControlMode.NEVER).covers(patient))
 
-    def test_told_to_peers(self) -> None:
-        """Guards against hosts that got the text from a peer and serve it in another way."""
+    def test_peers_receive_the_objective(self) -> None:
+        """Guards against hosts that got the text from a peer and serve it differently."""
         text = _text(_route(_KEY, 0.552, 'portal'), _route(_OTHER_KEY, 0.7, 'archive'))
-        told = decode_view(encode_view(View(text, 1, [], [], 1))).text
-        assert told is not None
-        self.assertEqual(0.552, told.least_objective_s)
+        received = decode_view(encode_view(View(text, 1, [], [], 1))).text
+        assert received is not None
+        self.assertEqual(0.552, received.least_objective_s)
--- a/tests/test_room_elsewhere.py
+++ b/tests/test_room_elsewhere.py
@@ -1,4 +1,4 @@
-"""Test what a balancer reckons and tells of room elsewhere, and which flows it sends there."""
+"""Test how capacity in other data centres is computed and reported, and which flows move there."""
 
 from types import MappingProxyType
 from unittest import TestCase
@@ -34,94 +34,96 @@
 )
 
 
-class SharedRoomTest(TestCase):
-    """What a data centre may have in progress elsewhere."""
+class RemoteAllowancesTest(TestCase):
+    """Requests that a data centre may have in progress remotely."""
 
     def setUp(self) -> None:
         """Start with nothing known."""
         self.room = RemoteAllowances()
 
-    def test_room_grows_in_a_second_and_ends_at_once(self) -> None:
-        """Guards against all data centres that fill a freed one at the same moment."""
+    def test_allowances_grow_in_a_second_and_end_at_once(self) -> None:
+        """Guards against all data centres filling a recovered one at the same moment."""
         idle = CentreReport(0.75, 50, 0, hears=True)
         self.assertEqual(0, self._allowance(0, idle))
         self.assertAlmostEqual(4.5, self._allowance(RAMP_UP_S / 2, idle))
         self.assertAlmostEqual(9, self._allowance(RAMP_UP_S, idle))
         self.assertEqual(0, self._allowance(RAMP_UP_S, CentreReport(2, 50, 0, hears=True)))
 
-    def test_a_way_that_is_lost_has_no_room(self) -> None:
-        """Guards against flows to a data centre that does not hear this one."""
+    def test_a_lost_link_has_no_allowance(self) -> None:
+        """Guards against flows to a data centre that does not receive reports of this one."""
         self._allowance(0, CentreReport(0.75, 50, 0, hears=True))
         self.assertEqual(0, self._allowance(RAMP_UP_S, CentreReport(0.75, 50, 0, hears=False)))
 
-    def test_who_lacked_room_shares_until_it_has_some(self) -> None:
-        """Guards against parts that double and halve with each word."""
+    def test_full_data_centres_share_until_they_recover(self) -> None:
+        """Guards against parts that double and halve with each report."""
         loads = (1.1, 0.9, 0.7)
         parts = []
         for place, load in enumerate(loads):
-            words = {
+            reports = {
                 'b': CentreReport(load, 50, 0, hears=True),
                 'c': CentreReport(0.75, 50, 0, hears=True),
             }
-            told = self.room.allowances_of(
-                PORTAL, 'a', 50, words, _NINE_EACH, place * 2 * RAMP_UP_S
+            allowances = self.room.allowances_of(
+                PORTAL, 'a', 50, reports, _NINE_EACH, place * 2 * RAMP_UP_S
             )
-            parts.append(told[1].requests)
+            parts.append(allowances[1].requests)
         self.assertEqual(0, parts[0])
         self.assertAlmostEqual(4.5, parts[1])
         self.assertAlmostEqual(9, parts[2])
 
-    def test_a_claim_is_kept_until_half_is_left(self) -> None:
-        """Guards against a claim that comes and goes with the chance of a second."""
+    def test_a_claim_lasts_until_half_of_it_is_left(self) -> None:
+        """Guards against a claim that comes and goes with the random variation of a second."""
         full = {'b': CentreReport(2, 100, 5, hears=True), 'c': CentreReport(2, 100, 5, hears=True)}
-        held = []
+        has_claim = []
         for place, rate in enumerate((200, 450, 350, 150)):
             allowances = self.room.allowances_of(
                 PORTAL, 'a', rate, full, _NINE_EACH, place * 2 * RAMP_UP_S
             )
-            held.append(sum(allowance.requests for allowance in allowances) > 0)
-        self.assertEqual([False, True, True, False], held)
+            has_claim.append(sum(allowance.requests for allowance in allowances) > 0)
+        self.assertEqual([False, True, True, False], has_claim)
 
-    def _allowance(self, now: float, word: CentreReport) -> float:
-        told = self.room.allowances_of(PORTAL, 'a', 50, {'b': word}, _NINE_EACH, now)
-        return told[0].requests
+    def _allowance(self, now: float, report: CentreReport) -> float:
+        allowances = self.room.allowances_of(PORTAL, 'a', 50, {'b': report}, _NINE_EACH, now)
+        return allowances[0].requests
 
 
 _NINE_EACH = MappingProxyType({'a': 9, 'b': 9, 'c': 9})
 
 
-class CrowdSharesTest(TestCase):
-    """Which share of new flows leaves."""
+class SurgeSharesTest(TestCase):
+    """Shares of new flows that move."""
 
-    def test_a_crowd_lasts_until_little_more_is_asked(self) -> None:
-        """Guards against shares that come and go with the chance of a second."""
-        sent = self._sent(60, 500, 500, 180, 90)
-        self.assertEqual([False, False, True, True, False], sent)
+    def test_a_surge_ends_below_its_end_factor(self) -> None:
+        """Guards against shares that come and go with the random variation of a second."""
+        moved = self._moves_flows(60, 500, 500, 180, 90)
+        self.assertEqual([False, False, True, True, False], moved)
 
-    def test_a_burst_everywhere_is_no_crowd(self) -> None:
-        """Guards against data centres that hear late of each other's burst and send it around."""
+    def test_a_burst_everywhere_is_no_surge(self) -> None:
+        """Guards against data centres that learn late of each other's burst and exchange it."""
         shares = SurgeShares()
-        heard_late = {'a': 500.0, 'b': 50.0, 'c': 50.0}
-        self.assertEqual({}, shares.shares_of(PORTAL, 'a', _NINE_EACH, heard_late, 1, 0))
-        heard = {'a': 500.0, 'b': 450.0, 'c': 480.0}
-        self.assertEqual({}, shares.shares_of(PORTAL, 'a', _NINE_EACH, heard, 1, SURGE_CONFIRM_S))
+        received_late = {'a': 500.0, 'b': 50.0, 'c': 50.0}
+        self.assertEqual({}, shares.shares_of(PORTAL, 'a', _NINE_EACH, received_late, 1, 0))
+        received = {'a': 500.0, 'b': 450.0, 'c': 480.0}
+        self.assertEqual(
+            {}, shares.shares_of(PORTAL, 'a', _NINE_EACH, received, 1, SURGE_CONFIRM_S)
+        )
 
-    def test_a_data_centre_with_room_keeps_its_crowd(self) -> None:
-        """Guards against flows that cross while home can serve all of them."""
+    def test_a_data_centre_with_capacity_keeps_its_flows(self) -> None:
+        """Guards against moving flows that can all be served locally."""
         rates = {'a': 500.0, 'b': 50.0, 'c': 50.0}
         shares = SurgeShares()
         for now in (0, SURGE_CONFIRM_S):
             self.assertEqual({}, shares.shares_of(PORTAL, 'a', _NINE_EACH, rates, 0.5, now))
 
-    def _sent(self, *rates: float) -> list[bool]:
-        """Return whether flows leave at rates that are told one after another."""
+    def _moves_flows(self, *rates: float) -> list[bool]:
+        """Return whether flows move at rates that are reported one after another."""
         shares = SurgeShares()
-        sent = []
+        moved = []
         for place, rate in enumerate(rates):
-            told = {'a': rate, 'b': 50.0, 'c': 50.0}
+            rate_by_centre = {'a': rate, 'b': 50.0, 'c': 50.0}
             now = place * SURGE_CONFIRM_S
-            sent.append(bool(shares.shares_of(PORTAL, 'a', _NINE_EACH, told, 1, now)))
-        return sent
+            moved.append(bool(shares.shares_of(PORTAL, 'a', _NINE_EACH, rate_by_centre, 1, now)))
+        return moved
 
 
 _SAMPLE_S = 0.1
@@ -129,7 +131,7 @@
 
 
 def _rates_of(samples: list[float]) -> list[float]:
-    """Return what is told after each look while ``_RATE`` requests a second come."""
+    """Return the rate after each sample while ``_RATE`` requests a second arrive."""
     meter = DemandMeter()
     directory = ready_state(entry(1)).directory
     rates = []
@@ -140,11 +142,11 @@
     return rates
 
 
-class AskedTest(TestCase):
-    """What callers ask for."""
+class DemandMeterTest(TestCase):
+    """Measured demand."""
 
-    def test_the_refused_count_and_only_the_newest_half_second(self) -> None:
-        """Guards against a data centre that refuses all its callers and seems to have none."""
+    def test_refusals_count_in_the_last_half_second(self) -> None:
+        """Guards against a data centre that refuses all its callers and seems to have no demand."""
         state = ready_state(entry(1))
         pool = state.directory.pools_by_service[PORTAL]['dc-a']
         meter = DemandMeter()
@@ -152,15 +154,15 @@
         self.assertIsNone(meter.by_service)
         pool.refused = 7
         self._sample(meter, state.directory, 5 * _SAMPLE_S, 1)
-        told = meter.by_service or {}
-        self.assertAlmostEqual(7 / WINDOW_S, told[PORTAL].rate)
-        self.assertEqual(7, told[PORTAL].lacking)
+        demand = meter.by_service or {}
+        self.assertAlmostEqual(7 / WINDOW_S, demand[PORTAL].rate)
+        self.assertEqual(7, demand[PORTAL].lacking)
         self._sample(meter, state.directory, 6 * _SAMPLE_S, 9)
-        told = meter.by_service or {}
-        self.assertEqual((0, 0), (told[PORTAL].rate, told[PORTAL].lacking))
+        demand = meter.by_service or {}
+        self.assertEqual((0, 0), (demand[PORTAL].rate, demand[PORTAL].lacking))
 
-    def test_uneven_ticks_change_no_rate(self) -> None:
-        """Guards against ticks a little apart from a tenth of a second: twice the rate was told."""
+    def test_uneven_ticks_do_not_change_the_rate(self) -> None:
+        """Guards against ticks a few milliseconds off a tenth of a second that double the rate."""
         for jitter_s in (0, 0.003, -0.003, 0.04):
             with self.subTest(jitter_s=jitter_s):
                 rates = _rates_of(
@@ -169,8 +171,8 @@
                 self.assertLess(max(rates), 1.1 * _RATE)
                 self.assertGreater(min(rates), 0.9 * _RATE)
 
-    def test_what_came_while_nobody_looked_is_no_rate(self) -> None:
-        """Guards against the requests of ten minutes told as those of half a second."""
+    def test_requests_during_a_gap_are_left_out(self) -> None:
+        """Guards against the requests of ten minutes without samples counted as one window."""
         rates = _rates_of([0, 0.1, 0.2, 0.3, 0.4, 0.5, 600, 600.1, 600.2, 600.3, 600.4, 600.5])
         self.assertLess(max(rates), 1.1 * _RATE)
 
@@ -181,29 +183,29 @@
             meter.sample([PORTAL], {PORTAL: 0}, directory, from_s + place * _SAMPLE_S)
 
 
-class NewsTest(TestCase):
-    """What is told early."""
+class ReportTest(TestCase):
+    """Early reports, and the demand in heartbeats."""
 
     def test_early_heartbeats_are_bounded(self) -> None:
         """Guards against a round of heartbeats for each request that waits."""
-        news: ChangeTrigger[str] = ChangeTrigger(1, 0.25)
-        told = set()
+        trigger: ChangeTrigger[str] = ChangeTrigger(1, 0.25)
+        reported = set()
         for place in range(40):
-            news.note({'a': place % 2 * 8}, place * 0.1)
-            told.add(news.changed_at)
-        self.assertLessEqual(len(told), 4 / MIN_INTERVAL_S + 1)
-
-    def test_small_changes_wait(self) -> None:
-        """Guards against early heartbeats in calm."""
-        news: ChangeTrigger[str] = ChangeTrigger(1, 0.25)
-        news.note({'a': 20}, 1)
-        news.note({'a': 24}, 2)
-        self.assertEqual(1, news.changed_at)
-        news.note({'a': 28}, 3)
-        self.assertEqual(3, news.changed_at)
-
-    def test_what_is_told_can_be_read(self) -> None:
-        """Guards against a field that is lost on the wire; a former version sends none."""
+            trigger.note({'a': place % 2 * 8}, place * 0.1)
+            reported.add(trigger.changed_at)
+        self.assertLessEqual(len(reported), 4 / MIN_INTERVAL_S + 1)
+
+    def test_small_changes_are_not_reported_early(self) -> None:
+        """Guards against early heartbeats in calm periods."""
+        trigger: ChangeTrigger[str] = ChangeTrigger(1, 0.25)
+        trigger.note({'a': 20}, 1)
+        trigger.note({'a': 24}, 2)
+        self.assertEqual(1, trigger.changed_at)
+        trigger.note({'a': 28}, 3)
+        self.assertEqual(3, trigger.changed_at)
+
+    def test_heartbeats_carry_the_demand(self) -> None:
+        """Guards against a field lost in encoding; an older version sends none."""
         me = PeerAddress('a1', 'dc-a', ('a1', 9))
         sent = Heartbeat(
             me,
@@ -222,8 +224,8 @@
         self.assertIsNone(former.asked_by_service)
         self.assertEqual(((), ()), (former.hears, former.unheard))
 
-    def test_unreadable_fields_are_refused(self) -> None:
-        """Guards against a peer's nonsense that is reckoned with."""
+    def test_unreadable_fields_are_rejected(self) -> None:
+        """Guards against computing with invalid figures of a peer."""
         me = PeerAddress('a1', 'dc-a', ('a1', 9))
         raw = encode_heartbeat(Heartbeat(me, 1, 1, {}, asked_by_service={}))
         for asked in ('5', '[["portal",-1,0]]', '[["portal",1e999,0]]', '[["portal",1,-1]]'):
@@ -234,7 +236,7 @@
         with self.assertRaises(MessageError):
             decode_heartbeat(raw.replace(b'"asked":[]', b'"hears":[5,null]'))
 
-    def test_a_service_that_is_not_covered_adds_nothing(self) -> None:
+    def test_uncontrolled_services_add_nothing(self) -> None:
         """Guards against bytes and decisions for services whose demand is not controlled."""
         state = ready_state(entry(1))
         for heartbeat in (near_heartbeat(state, 1), far_heartbeat(state, (), 1)):
@@ -244,43 +246,43 @@
 
 
 class SteeringTest(TestCase):
-    """Which flows go elsewhere when their host has no room."""
+    """Flows whose host has no free capacity."""
 
     def setUp(self) -> None:
-        """Let home have no room, and another data centre some."""
+        """Start without free local capacity, and with some in another data centre."""
         self.state = ready_state(entry(1), entry(2, data_centre='dc-b'))
         self.state.demand.control = DemandControl(DemandControlMode.ALWAYS)
-        self.chosen = steering(self.state)
+        self.policy = steering(self.state)
         pools = self.state.directory.pools_by_service[PORTAL]
         pools['dc-a'].limit = 0
         pools['dc-b'].allowance = 9
 
-    def test_a_long_flow_stays_while_neighbours_have_room(self) -> None:
-        """Guards against feeds that cross for life because one host is full by chance."""
+    def test_a_long_flow_stays_while_neighbours_have_capacity(self) -> None:
+        """Guards against feeds that stay remote for life because one host was full by chance."""
         self.assertEqual('Wait', self._open(1))
 
-    def test_a_long_flow_goes_when_the_data_centre_is_full(self) -> None:
+    def test_a_long_flow_moves_when_the_data_centre_is_full(self) -> None:
         """Guards against feeds that pile up where nobody can serve them."""
         self.state.demand.moving.load_by_service = {PORTAL: 1.2}
         self.assertEqual(entry(2).name, self._open(1))
 
-    def test_a_short_flow_goes_at_once(self) -> None:
-        """Guards against single requests that wait beside idle upstreams elsewhere."""
+    def test_a_short_flow_moves_at_once(self) -> None:
+        """Guards against single requests that wait beside idle remote upstreams."""
         for number in range(20):
             self.state.flows.lengths.note_opening(flow(number))
             self.state.flows.lengths.note_request(flow(number))
         self.assertEqual(entry(2).name, self._open(1))
 
-    def test_who_would_be_refused_goes_elsewhere(self) -> None:
-        """Guards against refusals while another data centre has room."""
+    def test_flows_move_rather_than_be_refused(self) -> None:
+        """Guards against refusals while another data centre has free capacity."""
         self._open(1)
-        told = list(self.chosen.resume(0.41))
-        self.assertEqual([entry(2).name], [delivered_to(verdict) for _, verdict in told])
+        resumed = list(self.policy.resume(0.41))
+        self.assertEqual([entry(2).name], [delivered_to(verdict) for _, verdict in resumed])
         departures = self.state.demand.moving.departures
         self.assertEqual(1, departures.flows_by_reason[Departure.ELSE_REFUSED])
 
-    def test_a_flow_without_a_home_goes_wherever_there_is_room(self) -> None:
-        """Guards against callers of an evacuated data centre that wait for a full one."""
+    def test_a_flow_without_local_upstreams_finds_capacity(self) -> None:
+        """Guards against callers of an evacuated data centre that wait for one that is full."""
         state = ready_state(entry(2, data_centre='dc-b'), entry(3, data_centre='dc-c'))
         state.demand.control = DemandControl(DemandControlMode.ALWAYS)
         pools = state.directory.pools_by_service[PORTAL]
@@ -290,27 +292,27 @@
         verdict = steering(state).decide(opening(1), 0)
         self.assertEqual(entry(3).name, delivered_to(verdict))
 
-    def test_nobody_crosses_while_home_has_room(self) -> None:
-        """Guards against bytes between data centres for flows that home can serve."""
+    def test_no_flow_moves_while_there_is_local_capacity(self) -> None:
+        """Guards against traffic between data centres for flows that can be served locally."""
         self.state.directory.pools_by_service[PORTAL]['dc-a'].limit = 9
         self.state.demand.moving.load_by_service = {PORTAL: 1.2}
         self.assertEqual(entry(1).name, self._open(1))
 
-    def test_a_service_that_is_not_covered_is_served_as_before(self) -> None:
-        """Guards against other customers' flows that wait where they went elsewhere."""
+    def test_uncontrolled_services_move_flows_at_once(self) -> None:
+        """Guards against waits of flows whose service's demand is not controlled."""
         self.state.demand.control = DemandControl(DemandControlMode.NEVER)
         self.assertEqual(entry(2).name, self._open(1))
         self.assertEqual(0, sum(self.state.demand.moving.departures.flows_by_reason.values()))
 
     def _open(self, number: int) -> str:
-        return delivered_to(self.chosen.decide(opening(number), 0))
+        return delivered_to(self.policy.decide(opening(number), 0))
 
 
 class FlowLengthsTest(TestCase):
-    """How many requests flows carry."""
+    """Requests for each flow."""
 
-    def test_short_and_long_flows_are_told_apart(self) -> None:
-        """Guards against feeds that cross data centres for all their life."""
+    def test_short_and_long_flows_are_distinguished(self) -> None:
+        """Guards against feeds that use a remote upstream for all their life."""
         short, long = (FlowLengths(), FlowLengths())
         for number in range(20):
             key = flow(number)
@@ -322,8 +324,8 @@
         self.assertFalse(long.is_short(PORTAL_KEY))
         self.assertFalse(FlowLengths().is_short(PORTAL_KEY))
 
-    def test_routes_that_are_counted_are_bounded(self) -> None:
-        """Guards against memory that grows with each route that ever was."""
+    def test_counted_routes_are_bounded(self) -> None:
+        """Guards against memory that grows with every route that ever existed."""
         lengths = FlowLengths()
         for number in range(MOST_ROUTES + 1):
             key = number.to_bytes(6, 'big')
@@ -334,7 +336,7 @@
         self.assertTrue(lengths.is_short(MOST_ROUTES.to_bytes(6, 'big')))
 
     def test_requests_of_open_flows_count(self) -> None:
-        """Guards against flows of many requests that are counted by their openings."""
+        """Guards against flows of many requests that are counted by their openings alone."""
         state = ready_state(entry(1))
         upstream = state.directory.by_name[entry(1).name]
         for number in range(20):
@@ -346,17 +348,17 @@
 
 
 class DeparturesTest(TestCase):
-    """What operators are told."""
+    """Log lines on flows that move."""
 
-    def test_a_crowd_is_two_lines(self) -> None:
-        """Guards against a line for each flow that leaves."""
+    def test_a_surge_logs_two_lines(self) -> None:
+        """Guards against a line for each flow that moves."""
         departures = Departures()
-        told: list[Effect] = []
+        effects: list[Effect] = []
         for place in range(50):
             departures.note(PORTAL, Departure.NO_ROOM, place / 10)
-            told.extend(departures.look(place / 10))
-        told.extend(departures.look(5 + ENDED_S))
-        lines = [line for line in told if isinstance(line, WriteLine)]
+            effects.extend(departures.look(place / 10))
+        effects.extend(departures.look(5 + ENDED_S))
+        lines = [line for line in effects if isinstance(line, WriteLine)]
         numbers = [line.number for line in lines]
         ended = LogNumber.SENDING_ELSEWHERE_ENDED
         self.assertEqual([LogNumber.SENDING_ELSEWHERE, ended], numbers)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Test what balancers tell each other, and that nobody is taken back."""
+"""Test how balancers share their state, and that no host returns to an older state."""
 
 from unittest import TestCase
 
@@ -28,17 +28,17 @@
 
 _SETTLED_S = 2 * WATCH_S + 1
 
-#: Seconds in which a data centre whose watchers are deaf must know: the users' bound.
-_TOLD_S = 3
+#: Bound on a change in seconds, also for a data centre whose watchers are stalled.
+_CHANGE_BOUND_S = 3
 
 
 def _watching(fleet: RoutingFleet) -> list[str]:
-    """Return the names of the hosts whose watches work, as they believe."""
+    """Return the names of the hosts that consider their watches to work."""
     return [node.me.name for node in fleet.running if node.state.is_direct(fleet.now)]
 
 
-def _restart_in_the_dark(fleet: RoutingFleet, names: list[str]) -> None:
-    """Let hosts lose power for a second, and start while the store turns them away."""
+def _restart_without_store(fleet: RoutingFleet, names: list[str]) -> None:
+    """Let hosts lose power for a second, and start while the store refuses their calls."""
     fleet.lose_store(names, 'refuses')
     for name in names:
         fleet.kill(name)
@@ -47,15 +47,11 @@
         fleet.restart(name)
 
 
-class TellingTest(TestCase):
-    """A few watch the store, the others are told."""
+class ReportingTest(TestCase):
+    """A few hosts watch the store and report to the others."""
 
-    def test_few_watch_and_all_know(self) -> None:
-        """Symptom: each change costs the store a call for every host.
-
-        Sequence: nine hosts of a data centre follow the store for a minute.
-        Cause: every host watching for itself.
-        """
+    def test_few_watch_and_all_are_updated(self) -> None:
+        """Guards against a watch at every host, each of which costs the store a call per change."""
         fleet = fleet_of(9, ('dc-a',))
         fleet.run(_SETTLED_S)
         before = sum(node.calls for node in fleet.running)
@@ -66,18 +62,18 @@
         self.assertLessEqual(calls, 2 * LONE_WATCHERS)
 
     def test_all_are_current_though_few_watch(self) -> None:
-        """A host that is told may refuse what is not in force, like a watcher."""
+        """A host without a watch may refuse what is not in force, like a watcher."""
         fleet = fleet_of(5, ('dc-a',))
         fleet.run(_SETTLED_S)
         self.assertEqual(5, len(fleet.running))
         self.assertTrue(all(node.state.is_current(fleet.now) for node in fleet.running))
 
     def test_a_change_that_peers_cannot_pass_on_is_read(self) -> None:
-        """Symptom: a large data centre has an old text for ten seconds and more.
+        """Guards against waiting for peers without a bound.
 
-        Sequence: a text grows by two thousand routes; all hosts ask the two that
-        watch for it, over links that one copy fills for a tenth of a second.
-        Cause: waiting for peers without an end.
+        A text grows by two thousand routes, and all hosts fetch it from the two watchers, over
+        links that one copy fills for a tenth of a second. The data centre would have an old text
+        for ten seconds and more.
         """
         fleet = fleet_of(9, ('dc-a',))
         fleet.run(_SETTLED_S)
@@ -91,11 +87,7 @@
         self.assertLess(calls, 9 * 5)
 
     def test_watchers_that_die_are_replaced(self) -> None:
-        """Symptom: a data centre stops at an old text.
-
-        Sequence: both hosts that watch die; then the text changes.
-        Cause: relying on watchers that nobody checks.
-        """
+        """Guards against a data centre that stays at an old text after both watchers die."""
         fleet = fleet_of(6, ('dc-a',))
         fleet.run(_SETTLED_S)
         watching = [node.me.name for node in fleet.running if node.state.is_direct(fleet.now)]
@@ -107,11 +99,10 @@
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
 
     def test_watchers_of_a_large_data_centre_are_replaced_soon(self) -> None:
-        """Symptom: a large data centre goes by an old text for five seconds.
+        """Guards against detecting dead watchers as late as other dead peers.
 
-        Sequence: all its watchers, and every second other host, are killed at once
-        as the text changes; the others hear heartbeats a second and more apart.
-        Cause: taking a watcher for dead as late as any other peer.
+        All watchers and every second other host are killed as the text changes; the others receive
+        heartbeats a second and more apart. The data centre would use an old text for five seconds.
         """
         fleet = fleet_of(29, ('dc-a', 'dc-b'))
         fleet.run(_SETTLED_S)
@@ -120,14 +111,13 @@
             if name in watching or place % 2:
                 fleet.kill(name)
         newest = put_text(fleet)
-        fleet.run(_TOLD_S)
+        fleet.run(_CHANGE_BOUND_S)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
 
     def test_watchers_that_the_store_refuses_are_replaced(self) -> None:
-        """Symptom: hosts that reach the store miss a change.
+        """Guards against choosing watchers only by whether they are live.
 
-        Sequence: the store turns both watchers away; the text changes.
-        Cause: a choice of watchers that asks only who lives.
+        The store refuses both watchers; hosts that reach it would miss a change.
         """
         fleet = fleet_of(6, ('dc-a',))
         fleet.run(_SETTLED_S)
@@ -137,12 +127,11 @@
         fleet.run(2.5)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
 
-    def test_a_store_silent_towards_a_third_hides_nothing(self) -> None:
-        """Symptom: a data centre has a text, and an upstream's leaving, ten seconds late.
+    def test_a_store_that_ignores_a_third_hides_nothing(self) -> None:
+        """Guards against so few watchers that all may be stalled at once without knowing it.
 
-        Sequence: the store falls silent towards a third of the hosts, without a
-        reset; those that watch for the others are among them; the text changes.
-        Cause: as few watchers as may all be deaf at once without knowing it.
+        The store stops answering a third of the hosts, watchers among them, without a reset. The
+        data centre would learn of a text and of a removed upstream ten seconds late.
         """
         fleet = fleet_of(9, ('dc-a',))
         fleet.run(_SETTLED_S)
@@ -152,64 +141,57 @@
         fleet.run(0.5)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
 
-    def test_a_data_centre_of_deaf_watchers_hears_from_another(self) -> None:
-        """Symptom: a data centre has a text, and an upstream's leaving, ten seconds late.
+    def test_stalled_watchers_learn_from_another_data_centre(self) -> None:
+        """Guards against stalled watches of a whole data centre that nobody contradicts.
 
-        Sequence: the store falls silent, without a reset, towards all hosts that
-        watch for one of three data centres; text and upstreams change.
-        Cause: a watch that is waited for, and nobody who says what it should tell.
-        The data centre is not the one of the seeds, which hear from everybody.
+        The store stops answering all watchers of one of three data centres, without a reset. It
+        would learn of a text and of a removed upstream ten seconds late. It is not the data centre
+        of the seeds, which receive heartbeats of everybody.
         """
         fleet = fleet_of(8, ('dc-a', 'dc-b', 'dc-c'))
         put_upstream(fleet, 2)
         fleet.run(_SETTLED_S)
-        deaf = [name for name in _watching(fleet) if name.startswith('dc-c')]
-        self.assertEqual(WATCHERS, len(deaf))
-        fleet.lose_store(deaf, 'silent')
+        stalled = [name for name in _watching(fleet) if name.startswith('dc-c')]
+        self.assertEqual(WATCHERS, len(stalled))
+        fleet.lose_store(stalled, 'silent')
         newest = put_text(fleet)
         fleet.store.remove(Collection.UPSTREAMS, entry(2).name)
         fleet.tell_watches()
-        fleet.run(_TOLD_S)
+        fleet.run(_CHANGE_BOUND_S)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
         for node in fleet.running:
             self.assertFalse(node.state.directory.by_name[entry(2).name].listed)
 
-    def test_deaf_watchers_are_replaced_soon(self) -> None:
-        """Symptom: hosts that hear nothing pass for watchers until their watches end.
+    def test_stalled_watchers_are_replaced_soon(self) -> None:
+        """Guards against trusting a watch that did not report what a peer reported.
 
-        Sequence: the store falls silent towards two of three watchers; the text
-        changes, and the third tells it.
-        Cause: believing a watch that did not tell what a peer told.
+        The store stops answering two of three watchers; the third reports a change. The two would
+        count as watchers until their watches end.
         """
         fleet = fleet_of(8, ('dc-a', 'dc-b'))
         fleet.run(_SETTLED_S)
-        deaf = [name for name in _watching(fleet) if name.startswith('dc-a')][:2]
-        fleet.lose_store(deaf, 'silent')
+        stalled = [name for name in _watching(fleet) if name.startswith('dc-a')][:2]
+        fleet.lose_store(stalled, 'silent')
         put_text(fleet)
         fleet.run(NEWS_S + PROVING_WATCH_S + ANSWER_S + 1)
         working = [name for name in _watching(fleet) if name.startswith('dc-a')]
         self.assertEqual(WATCHERS, len(working))
-        self.assertFalse(set(working) & set(deaf))
+        self.assertFalse(set(working) & set(stalled))
 
-    def test_other_data_centres_are_told_by_few(self) -> None:
-        """Symptom: bytes between data centres grow with the square of the hosts.
-
-        Sequence: three data centres of twelve hosts each, nothing changes.
-        Cause: everybody telling everybody elsewhere.
-        """
+    def test_few_hosts_report_to_other_data_centres(self) -> None:
+        """Guards against traffic between data centres that grows with the square of the hosts."""
         fleet = fleet_of(12, ('dc-a', 'dc-b', 'dc-c'))
         fleet.run(_SETTLED_S)
         before = fleet.heartbeats_elsewhere
         fleet.run(2 * SEED_S)
-        told = (fleet.heartbeats_elsewhere - before) / (2 * SEED_S)
+        heartbeats_s = (fleet.heartbeats_elsewhere - before) / (2 * SEED_S)
         seeds = 2 * len(fleet.running) / SEED_S
-        self.assertLessEqual(told, 6 * RELAYS * RELAYS / RELAY_S + seeds)
+        self.assertLessEqual(heartbeats_s, 6 * RELAYS * RELAYS / RELAY_S + seeds)
 
-    def test_a_watch_that_tells_late_is_not_doubted(self) -> None:
-        """Symptom: each change costs two calls more a watcher.
+    def test_a_watch_that_is_a_little_late_is_not_doubted(self) -> None:
+        """Guards against doubting a watch at once when a peer reports a change before it.
 
-        Sequence: a peer tells of a change a moment before the own watch does.
-        Cause: doubting a watch at once.
+        Each change would cost two more calls for each watcher.
         """
         follower = Follower(Collection.TEXT, 'dc-a-1')
         follower.adopt(1)
@@ -221,11 +203,11 @@
         follower.expect_news(5)
         self.assertTrue(follower.is_doubtful(5 + NEWS_S))
 
-    def test_a_silent_store_is_noticed(self) -> None:
-        """Symptom: a host believes for ever that nothing changes.
+    def test_an_unresponsive_store_is_detected(self) -> None:
+        """Guards against watches without an end.
 
-        Sequence: the store falls silent towards a watcher, without a reset.
-        Cause: a watch without an end.
+        If the store stops answering a watcher without a reset, the host would believe forever that
+        nothing changes.
         """
         fleet = fleet_of(1, ('dc-a',))
         fleet.run(1)
@@ -238,15 +220,14 @@
         self.assertEqual(newest, fleet.running[0].state.text_revision)
 
 
-class CutTest(TestCase):
+class PartitionTest(TestCase):
     """Data centres that are cut off from the store and from each other."""
 
     def test_a_restarted_host_learns_from_its_neighbours(self) -> None:
-        """Symptom: every request fails that the fabric sends to a restarted host.
+        """Guards against hosts that can learn only from the store.
 
-        Sequence: two of three hosts lose power; their data centre is cut off
-        from the store and the others; they come back.
-        Cause: a host that can learn only from the store.
+        Two of three hosts restart in a data centre that is cut off. Every request that the fabric
+        sends to them would fail.
         """
         fleet = fleet_of(3)
         fleet.run(5)
@@ -262,8 +243,8 @@
             verdict = fleet.decide(name, opening(1))
             self.assertEqual(entry(1).name, delivered_to(verdict))
 
-    def test_a_cut_off_host_takes_the_newest_after_the_cut(self) -> None:
-        """All agree soon after a cut has healed, and nobody went back."""
+    def test_a_cut_off_host_catches_up_after_the_cut(self) -> None:
+        """All hosts agree soon after a cut has healed, and none returned to an older text."""
         fleet = fleet_of(3)
         fleet.run(5)
         fleet.cut_centres.add('dc-a')
@@ -278,47 +259,46 @@
             self.assertEqual(newest, node.state.text_revision)
             self.assertEqual(sorted(node.text_orders), node.text_orders)
 
-    def test_all_hosts_start_while_the_store_is_away(self) -> None:
-        """With nobody who knows, all wait, and serve when the store is back."""
+    def test_all_hosts_start_while_the_store_is_down(self) -> None:
+        """When no host knows anything, all wait, and serve once the store is back."""
         fleet = fleet_of(3, ('dc-a',))
         names = list(fleet.node_by_name)
-        _restart_in_the_dark(fleet, names)
+        _restart_without_store(fleet, names)
         fleet.run(3)
         self.assertFalse(any(node.state.ready for node in fleet.running))
         fleet.lose_store(names, 'serves')
         fleet.run(1)
         self.assertEqual(3, sum(node.state.ready for node in fleet.running))
 
-    def test_a_dark_data_centre_learns_from_another(self) -> None:
-        """Symptom: a data centre serves nothing though others know everything.
+    def test_a_restarted_data_centre_learns_from_another(self) -> None:
+        """Guards against asking only peers of the local data centre.
 
-        Sequence: all its hosts lose power while the store turns them away.
-        Cause: asking only peers of the own data centre.
+        All hosts of a data centre lose power while the store refuses their calls. They would serve
+        nothing although hosts of the other data centre know everything.
         """
         fleet = fleet_of(2)
         fleet.run(5)
-        dark = ['dc-b-1', 'dc-b-2']
-        _restart_in_the_dark(fleet, dark)
+        restarted = ['dc-b-1', 'dc-b-2']
+        _restart_without_store(fleet, restarted)
         fleet.run(1)
-        for name in dark:
+        for name in restarted:
             self.assertTrue(fleet.node_by_name[name].state.ready)
 
-    def test_two_in_the_dark_do_not_answer_each_other_for_ever(self) -> None:
-        """Symptom: two hosts that know nothing fill their link with heartbeats.
+    def test_hosts_without_state_do_not_answer_endlessly(self) -> None:
+        """Guards against two hosts without state that fill their link with heartbeats.
 
-        Sequence: the store is away; two hosts start.
-        Cause: answering whoever knows nothing.
+        It happens if a host answers everyone that knows nothing.
         """
         fleet = fleet_of(2, ('dc-a',))
         names = list(fleet.node_by_name)
-        _restart_in_the_dark(fleet, names)
+        _restart_without_store(fleet, names)
         before = sum(node.heartbeats for node in fleet.running)
         fleet.run(5)
         sent = sum(node.heartbeats for node in fleet.running) - before
         self.assertLess(sent, 200)
 
-    def test_removals_are_told_with_their_time_to_return(self) -> None:
-        """A host that is told of a removal counts it gone when the teller does."""
+    def test_removals_are_reported_with_their_time_to_return(self) -> None:
+        """A host that receives a removal considers the upstream gone when the sender does."""
         fleet = fleet_of(8, ('dc-a',))
         put_upstream(fleet, 2)
         fleet.run(_SETTLED_S)
@@ -333,13 +313,13 @@
 
 
 class OrderTest(TestCase):
-    """An older view takes nobody back."""
+    """An older view changes nothing."""
 
-    def test_a_paused_peer_s_view_is_left_out(self) -> None:
-        """Symptom: an upstream that left gets flows again, a dropped route is back.
+    def test_the_view_of_a_paused_peer_is_ignored(self) -> None:
+        """Guards against applying a view because it arrived last.
 
-        Sequence: a host is paused; it wakes and tells what it knew.
-        Cause: taking a view because it came last.
+        A host is paused, resumes and sends what it knew. An upstream that left would get flows
+        again, and a dropped route would return.
         """
         paused = ready_state(entry(1), entry(2))
         view = view_since(paused, Known(0, 0, 0), 1)
@@ -350,12 +330,12 @@
         self.assertTrue(state.directory.by_name[entry(1).name].entry.draining)
         self.assertFalse(state.directory.by_name[entry(2).name].listed)
 
-    def test_a_view_is_not_fetched_again_and_again(self) -> None:
-        """Symptom: a host asks its peers for their view four times a second, for ever.
+    def test_a_view_is_not_fetched_repeatedly(self) -> None:
+        """Guards against deriving what is known from the entries of a view alone.
 
-        Sequence: an upstream leaves; a minute later nobody remembers it; a host
-        restarts, and gets a view whose newest change is older than its teller's.
-        Cause: reckoning what is known from the entries of the view alone.
+        An upstream leaves, and a minute later no host remembers it. A restarted host gets a view
+        whose newest entry is older than the newest change that its sender knows. It would fetch a
+        view four times a second, forever.
         """
         fleet = fleet_of(3, ('dc-a',))
         put_upstream(fleet, 2)
@@ -372,34 +352,30 @@
         self.assertTrue(restarted.state.is_current(fleet.now))
         self.assertLessEqual(restarted.fetches, 3)
 
-    def test_only_what_is_new_is_told(self) -> None:
-        """A view holds what changed after the asker's revisions."""
+    def test_a_view_contains_only_what_is_new(self) -> None:
+        """A view holds what changed after the requested revisions."""
         state = ready_state(entry(1), entry(2), entry(3))
         view = view_since(state, Known(state.text_order, 2, 2), 1)
         self.assertIsNone(view.text)
-        self.assertEqual([entry(3).name], [told.name for told in view.entries])
+        self.assertEqual([entry(3).name], [reported.name for reported in view.entries])
 
 
 class PeerTableTest(TestCase):
-    """Who is known, and who is told."""
+    """Which peers are known, and which get heartbeats."""
 
     def test_hosts_that_are_gone_are_forgotten(self) -> None:
-        """Symptom: heartbeats to hosts that were replaced long ago.
-
-        Sequence: a host is replaced; two others go on naming it to each other.
-        Cause: naming peers that were not heard.
-        """
+        """Guards against heartbeats to a replaced host that two others keep naming."""
         fleet = fleet_of(3, ('dc-a',))
         fleet.kill('dc-a-3')
         fleet.run(FORGET_S + 10)
         for name in ('dc-a-1', 'dc-a-2'):
             self.assertNotIn('dc-a-3', fleet.node_by_name[name].state.peers.by_name)
 
-    def test_silent_peers_are_not_named(self) -> None:
-        """Symptom: a host that was replaced is remembered for ever.
+    def test_peers_that_stopped_are_not_named(self) -> None:
+        """Guards against a replaced host that is remembered forever.
 
-        Sequence: it falls silent; two others learned of it at different times.
-        Cause: naming it to each other in turn, each time as if it were news.
+        Two hosts that learned of it at different times would name it to each other in turn, as if
+        it were new.
         """
         table = PeerTable(PeerAddress('me', 'dc', ('me', 9)), ())
         table.note_heartbeat(Heartbeat(PeerAddress('old', 'dc', ('old', 9)), 1, 1, {}), 0)
@@ -408,10 +384,9 @@
         self.assertEqual((), table.some_others('dc', NAMED_S + 1))
 
     def test_heartbeats_are_bounded_in_a_large_data_centre(self) -> None:
-        """Symptom: control traffic grows with the square of the fleet.
+        """Guards against heartbeats that grow with the square of the hosts.
 
-        Sequence: a data centre of two hundred hosts.
-        Cause: everyone telling everyone at a fixed interval.
+        It happens with a fixed interval between all pairs; here there are two hundred hosts.
         """
         table = PeerTable(PeerAddress('me', 'dc', ('me', 9)), ())
         for number in range(200):
@@ -421,12 +396,11 @@
         sent = sum(len(table.due_neighbours(step / 10)) for step in range(100))
         self.assertLessEqual(sent / 10, 30)
 
-    def test_loads_seen_elsewhere_count(self) -> None:
-        """Symptom: an upstream that another host fills gets more flows from this one.
+    def test_loads_that_peers_see_count(self) -> None:
+        """Guards against balancing by a host's own requests only.
 
-        Sequence: long requests reach an upstream through one host, new flows
-        come to another.
-        Cause: balancing by own sight alone.
+        Long requests reach an upstream through one host, and new flows arrive at another, which
+        would send them to the same upstream.
         """
         fleet = fleet_of(2, ('dc-a',))
         for number in range(4):
