--- a/src/bronzekeel/core/routing/admission.py
+++ b/src/bronzekeel/core/routing/admission.py
@@ -40,7 +40,7 @@
 #: tens of thousands of upstreams a pass over all of them takes milliseconds.
 _IDLE_POOL_INTERVAL_S = 1.0
 
-#: Least seconds between two ticks that the rate of answers assumes.
+#: Least seconds between two ticks, for the rate of answers.
 _MIN_ELAPSED_S = 0.01
 
 
@@ -149,7 +149,7 @@
     """
     capacity: float = 0
     for upstream in upstreams:
-        if upstream.entry.data_centre != data_centre or not _counts(upstream, now):
+        if upstream.entry.data_centre != data_centre or not _is_available(upstream, now):
             continue
         cold = now < upstream.warm_at
         capacity += upstream.capacity / COLD_FACTOR if cold else upstream.capacity
@@ -163,7 +163,7 @@
     requests in progress there fill the limit, and callers wait while slots of the other upstreams
     are free.
     """
-    working = [upstream for upstream in upstreams if _counts(upstream, now)]
+    working = [upstream for upstream in upstreams if _is_available(upstream, now)]
     busy = sum(upstream.busy_flows for upstream in working)
     stuck: float = sum(upstream.busy_flows for upstream in upstreams) - busy
     for upstream in working:
@@ -174,6 +174,6 @@
     return stuck
 
 
-def _counts(upstream: Upstream, now: float) -> bool:
+def _is_available(upstream: Upstream, now: float) -> bool:
     """Whether the slots of an upstream are available for new flows."""
     return upstream.listed and upstream.entry.takes_flows and now >= upstream.avoided_until
--- a/src/bronzekeel/core/routing/caller_queue.py
+++ b/src/bronzekeel/core/routing/caller_queue.py
@@ -14,11 +14,11 @@
 
 
 _Rank = tuple[int, int]
-_Classed = tuple[tuple[int, int, _Rank], WaitingRequest]
+_KeyedRequest = tuple[tuple[int, int, _Rank], WaitingRequest]
 
 
 class _RequestHeap:
-    """Hold requests of one priority order: the most urgent first, then the newest."""
+    """Hold requests by rank: the most urgent first, and among equals the newest."""
 
     __slots__ = ('_heap',)
 
@@ -72,34 +72,34 @@
         best = self._first_deferred(now)
         head = self._undeferred.first
         while head is not None:
-            classed = self._with_class(head, now)
-            if best is None or classed[0] < best[0]:
-                best = classed
-            if not classed[0][1]:
+            keyed = self._keyed(head, now)
+            if best is None or keyed[0] < best[0]:
+                best = keyed
+            if not keyed[0][1]:
                 break
             deferred = self._deferred_by_caller.setdefault(self._caller(head[1]), _RequestHeap())
             deferred.add(*self._undeferred.pop())
             head = self._undeferred.first
         return best[1] if best else None
 
-    def _first_deferred(self, now: float) -> _Classed | None:
+    def _first_deferred(self, now: float) -> _KeyedRequest | None:
         """Return the best deferred request; requeue callers that are far below their shares."""
-        best: _Classed | None = None
+        best: _KeyedRequest | None = None
         for caller, deferred in list(self._deferred_by_caller.items()):
             head = deferred.first
-            classed = self._with_class(head, now) if head else None
-            if classed is None or not classed[0][1]:
+            keyed = self._keyed(head, now) if head else None
+            if keyed is None or not keyed[0][1]:
                 self._deferred_by_caller.pop(caller)
                 self._restore(deferred)
-            elif best is None or classed[0] < best[0]:
-                best = classed
+            elif best is None or keyed[0] < best[0]:
+                best = keyed
         return best
 
     def _restore(self, deferred: _RequestHeap) -> None:
         for rank, request in deferred.pop_all():
             self._undeferred.add(rank, request)
 
-    def _with_class(self, ranked: tuple[_Rank, WaitingRequest], now: float) -> _Classed:
+    def _keyed(self, ranked: tuple[_Rank, WaitingRequest], now: float) -> _KeyedRequest:
         """Return a request with its sort key: priority, its caller's priority class, rank."""
         rank, request = ranked
         return (rank[0], self._shares.priority_class(self._caller(request), now), rank), request
--- a/src/bronzekeel/core/routing/caller_sketch.py
+++ b/src/bronzekeel/core/routing/caller_sketch.py
@@ -65,14 +65,14 @@
     """Count the requests of the heaviest callers one by one, and of all callers in total."""
 
     __slots__ = (
-        '_demand',
+        '_admitted',
         '_by_caller',
+        '_demand',
         '_previous_seen',
-        '_admitted',
-        '_smallest',
-        '_seen_rotates_at',
         '_seen',
+        '_seen_rotates_at',
         '_since',
+        '_smallest',
     )
 
     def __init__(self, now: float) -> None:
--- a/src/bronzekeel/core/routing/peer_exchange.py
+++ b/src/bronzekeel/core/routing/peer_exchange.py
@@ -57,21 +57,21 @@
     changed_at = max(state.flows.silent_at, state.demand.moving.local_changes.changed_at)
     if changed_at > state.peers.told_at:
         state.peers.beat_soon()
-    local = state.peers.due_neighbours(now)
-    if local:
+    local_addresses = state.peers.due_neighbours(now)
+    if local_addresses:
         counts = state.demand.capacities.counts.tell(now)
-        effects.append(SendHeartbeat(near_heartbeat(state, now, counts), local))
-    remote = state.peers.due_seeds(now, ready=state.ready)
-    remote.extend(
+        effects.append(SendHeartbeat(near_heartbeat(state, now, counts), local_addresses))
+    remote_addresses = state.peers.due_seeds(now, ready=state.ready)
+    remote_addresses.extend(
         state.relays.due(
             now,
             direct=state.is_direct(now),
             strained=needs_frequent_reports(state, now),
         )
     )
-    if remote:
+    if remote_addresses:
         named = state.peers.next_elsewhere(now)
-        effects.append(SendHeartbeat(far_heartbeat(state, named, now), remote))
+        effects.append(SendHeartbeat(far_heartbeat(state, named, now), remote_addresses))
     return effects
 
 
@@ -302,10 +302,10 @@
     """
     if not heartbeat.text_order:
         return False
-    local = heartbeat.sender.data_centre == state.peers.me.data_centre
+    is_local = heartbeat.sender.data_centre == state.peers.me.data_centre
     if not state.ready:
-        return local or _is_store_unresponsive(state, now)
-    if not local:
+        return is_local or _is_store_unresponsive(state, now)
+    if not is_local:
         return False
     if not state.knows_missing:
         return True
