--- a/src/bronzekeel/core/routing/steering.py
+++ b/src/bronzekeel/core/routing/steering.py
@@ -4,9 +4,9 @@
 from zlib import crc32
 
 from bronzekeel.core.routing.connection_ids import opened, sealed
+from bronzekeel.core.routing.flows import Flow
 from bronzekeel.core.routing.decisions import Decision, DecisionLog
 from bronzekeel.core.routing.departures import Departure
-from bronzekeel.core.routing.flows import Flow
 from bronzekeel.core.routing.model import (
     FlowPacket,
     Route,
--- a/src/bronzekeel/entry/daemon.py
+++ b/src/bronzekeel/entry/daemon.py
@@ -31,12 +31,11 @@
 )
 from bronzekeel.core.routing.link_queue import queue_before
 from bronzekeel.core.routing.messages import Known, PeerAddress, View
-from bronzekeel.core.routing.peer_exchange import view_since
 from bronzekeel.core.routing.placement import EqualWork, LeastBusy, Placement
 from bronzekeel.core.routing.reducer import TICK_S, reduce
+from bronzekeel.core.routing.peer_exchange import view_since
 from bronzekeel.core.routing.steering import ConnectionIdSteering
 from bronzekeel.core.store_waits import ANSWER_S
-from bronzekeel.entry.decision_log import LineDecisionLog
 from bronzekeel.entry.http_client import Call, HttpConnection
 from bronzekeel.entry.http_server import (
     NOT_FOUND,
@@ -46,6 +45,7 @@
     HttpServer,
     bound_stream,
 )
+from bronzekeel.entry.decision_log import LineDecisionLog
 from bronzekeel.entry.lines import LineLog
 from bronzekeel.entry.loop import Loop
 from bronzekeel.entry.metrics import metrics_of
--- a/src/bronzekeel/replay/routing_fleet.py
+++ b/src/bronzekeel/replay/routing_fleet.py
@@ -9,9 +9,6 @@
 from functools import partial
 
 from bronzekeel.core.routing.admission import Admission, RequestsPerSlot
-from bronzekeel.core.routing.caller_queue import CallerFairOrder
-from bronzekeel.core.routing.decisions import NoDecisionLog
-from bronzekeel.core.routing.demand_control import DemandControl, DemandControlMode
 from bronzekeel.core.routing.effects import (
     DropWaiting,
     Effect,
@@ -33,12 +30,15 @@
     ViewFetched,
 )
 from bronzekeel.core.routing.follower import Collection
+from bronzekeel.core.routing.caller_queue import CallerFairOrder
+from bronzekeel.core.routing.decisions import NoDecisionLog
+from bronzekeel.core.routing.demand_control import DemandControl, DemandControlMode
 from bronzekeel.core.routing.messages import Heartbeat, PeerAddress
 from bronzekeel.core.routing.model import FlowPacket
-from bronzekeel.core.routing.peer_exchange import FETCH_RETRY_S, view_since
 from bronzekeel.core.routing.peers import PeerTable
 from bronzekeel.core.routing.placement import LeastBusy, Placement
 from bronzekeel.core.routing.reducer import TICK_S, reduce
+from bronzekeel.core.routing.peer_exchange import FETCH_RETRY_S, view_since
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.steering import ConnectionIdSteering
 from bronzekeel.core.routing.verdicts import Verdict, Wait
--- a/tests/test_connection_ids.py
+++ b/tests/test_connection_ids.py
@@ -6,15 +6,15 @@
 from bronzekeel.core.routing.events import ChangesRead, StoredObject
 from bronzekeel.core.routing.flows import MOST_AVOID_S
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.messages import Allowance
+from bronzekeel.core.store_waits import ANSWER_S, WATCH_S
 from bronzekeel.core.routing.model import UpstreamEntry
+from bronzekeel.core.routing.messages import Allowance
 from bronzekeel.core.routing.overflow import apply_allowances
 from bronzekeel.core.routing.pools import REQUESTS_A_SLOT
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.steering import COPY_GAP_S
 from bronzekeel.core.routing.verdicts import Deliver
-from bronzekeel.core.store_waits import ANSWER_S, WATCH_S
 from tests.routing_cases import (
     HOME,
     INTAKE,
