--- a/src/bronzekeel/adapters/rollout.py
+++ b/src/bronzekeel/adapters/rollout.py
@@ -8,11 +8,11 @@
 from msgspec import DecodeError, ValidationError
 from msgspec.json import decode
 
-from bronzekeel.platform.client import HOSTS_KEY, PlatformClient
 from bronzekeel.core.events import Event, HostsListed, TextAccepted
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.messages import HostEntry
 from bronzekeel.core.store_waits import retry_wait_s
+from bronzekeel.platform.client import HOSTS_KEY, PlatformClient
 from bronzekeel.text.checks import catalogue_of, parse_text
 from bronzekeel.text.faults import TextError
 from bronzekeel.text.submission import (
--- a/src/bronzekeel/balancer/daemon.py
+++ b/src/bronzekeel/balancer/daemon.py
@@ -16,7 +16,6 @@
 from bronzekeel.adapters.health import HealthProber
 from bronzekeel.adapters.packets import PacketSocket
 from bronzekeel.adapters.peers import Peers
-from bronzekeel.platform.client import PlatformClient
 from bronzekeel.adapters.rollout import TextSource
 from bronzekeel.adapters.upstreams import Upstreams
 from bronzekeel.balancer.logs import log_event
@@ -52,6 +51,7 @@
 from bronzekeel.core.requests.keepers import kept_upstreams
 from bronzekeel.core.state import BalancerState
 from bronzekeel.core.steering.by_keepers import KeeperSteering
+from bronzekeel.platform.client import PlatformClient
 from bronzekeel.report.outcomes import OutcomeLine, OutcomeRecorder
 
 
--- a/src/bronzekeel/bench/request_trials.py
+++ b/src/bronzekeel/bench/request_trials.py
@@ -8,8 +8,8 @@
 from bronzekeel.bench.flow_trials import bench_hosts
 from bronzekeel.bench.request_policies import Arrivals
 from bronzekeel.core.catalogue import Catalogue, ServiceKind, ServiceSpec, UpstreamSpec, Weighing
-from bronzekeel.core.hashing import text_hash
 from bronzekeel.core.constants import SHARDS
+from bronzekeel.core.hashing import text_hash
 from bronzekeel.replay.fleet import Fleet
 from bronzekeel.replay.request_traffic import RequestTraffic
 
--- a/src/bronzekeel/commands/texts.py
+++ b/src/bronzekeel/commands/texts.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 from uuid import uuid4
 
-from bronzekeel.platform.client import PlatformClient
 from bronzekeel.commands.base import Command, ExitCode
 from bronzekeel.commands.output import complain, say
+from bronzekeel.platform.client import PlatformClient
 from bronzekeel.text.checks import check_change, parse_text
 from bronzekeel.text.differences import differences
 from bronzekeel.text.faults import TextError
--- a/src/bronzekeel/core/reducer.py
+++ b/src/bronzekeel/core/reducer.py
@@ -8,8 +8,8 @@
 from types import MappingProxyType
 
 from bronzekeel.core import messages
-from bronzekeel.core.effects import Drop, Effect, Hand, Log, Say
 from bronzekeel.core.duties import beats, become_ready, complain, keep_shards, stop_when_idle
+from bronzekeel.core.effects import Drop, Effect, Hand, Log, Say
 from bronzekeel.core.events import (
     AttemptEnded,
     CallerGone,
@@ -31,8 +31,8 @@
 from bronzekeel.core.membership import reducer as membership
 from bronzekeel.core.requests import keepers as slot_keepers
 from bronzekeel.core.requests import reducer as requests
-from bronzekeel.core.routing.revisions import incarnation_of, number_of, revision_of
 from bronzekeel.core.rollout import reducer as rollout
+from bronzekeel.core.routing.revisions import incarnation_of, number_of, revision_of
 from bronzekeel.core.state import BalancerState
 from bronzekeel.core.steering import journal, keeper, owners, replicas
 from bronzekeel.core.steering.catalogue import install
--- a/src/bronzekeel/core/routing/balancing.py
+++ b/src/bronzekeel/core/routing/balancing.py
@@ -5,10 +5,10 @@
 from bronzekeel.core.routing.load_moves import (
     adopt_shares,
     allowances_in_force,
-    moved_allowances,
-    reckon_moving_shares,
+    recompute_allowances,
+    update_moving_shares,
 )
-from bronzekeel.core.routing.overflow import RECKON_ROOM_S, allowances_of, put_in_force
+from bronzekeel.core.routing.overflow import ALLOWANCE_INTERVAL_S, allowances_of, apply_allowances
 from bronzekeel.core.routing.state import RoutingState
 
 
@@ -38,7 +38,7 @@
 
 
 def update_free_capacity(state: RoutingState, now: float) -> None:
-    """Update the free capacity of remote data centres once per ``RECKON_ROOM_S``.
+    """Update the free capacity of remote data centres once per ``ALLOWANCE_INTERVAL_S``.
 
     The few hosts that receive the reports of other data centres compute it; the other hosts adopt
     their results.
@@ -46,7 +46,7 @@
     room = state.room
     if now < room.reckon_at:
         return
-    room.reckon_at = now + RECKON_ROOM_S
+    room.reckon_at = now + ALLOWANCE_INTERVAL_S
     load_by_service_by_centre = state.relays.remote_loads(now)
     room.reckons = bool(load_by_service_by_centre)
     local_centre = state.peers.me.data_centre
@@ -59,7 +59,7 @@
             load_by_service_by_centre,
             rates_by_centre,
         )
-        room.allowances = moved_allowances(state, local_allowances, now)
+        room.allowances = recompute_allowances(state, local_allowances, now)
     else:
         room.allowances = state.peers.local_allowances(now)
     allowances = allowances_in_force(state, now)
@@ -68,8 +68,8 @@
     remote_only_services = {
         service for service in services if _has_no_local_upstream(state, service, now)
     }
-    put_in_force(state.directory, local_centre, allowances, shares, remote_only_services)
-    reckon_moving_shares(state, now)
+    apply_allowances(state.directory, local_centre, allowances, shares, remote_only_services)
+    update_moving_shares(state, now)
 
 
 def _has_no_local_upstream(state: RoutingState, service: str, now: float) -> bool:
--- a/src/bronzekeel/core/routing/caller_queue.py
+++ b/src/bronzekeel/core/routing/caller_queue.py
@@ -1,4 +1,4 @@
-"""Order the requests that wait by their callers' shares."""
+"""Order waiting requests by the fair shares of their callers."""
 
 from collections.abc import Iterator
 from heapq import heappop, heappush
@@ -14,11 +14,11 @@
 
 
 _Rank = tuple[int, int]
-_Placed = tuple[tuple[int, int, _Rank], WaitingRequest]
+_KeyedRequest = tuple[tuple[int, int, _Rank], WaitingRequest]
 
 
-class _Ordered:
-    """Hold requests by urgency, then the newest first."""
+class _RequestHeap:
+    """Hold requests by rank: the most urgent first, and among equals the newest."""
 
     __slots__ = ('_heap',)
 
@@ -27,96 +27,98 @@
 
     @property
     def first(self) -> tuple[_Rank, WaitingRequest] | None:
-        """The rank and the request in front, None if none waits."""
+        """The rank and the request at the head, None if the heap is empty."""
         while self._heap and self._heap[0][1].ended:
             heappop(self._heap)
         return self._heap[0] if self._heap else None
 
     def add(self, rank: _Rank, request: WaitingRequest) -> None:
-        """Take a request."""
+        """Add a request under its rank."""
         heappush(self._heap, (rank, request))
 
     def pop(self) -> tuple[_Rank, WaitingRequest]:
-        """Take the request in front out."""
+        """Remove and return the request at the head."""
         return heappop(self._heap)
 
-    def take_all(self) -> Iterator[tuple[_Rank, WaitingRequest]]:
-        """Take all requests out."""
+    def pop_all(self) -> Iterator[tuple[_Rank, WaitingRequest]]:
+        """Remove and yield all requests, in order."""
         while self.first is not None:
             yield self.pop()
 
 
 class CallerQueue(WaitingQueue):
-    """Let callers within their shares go first, then those that are the least beyond.
+    """Serve callers within their shares first, then those that exceed theirs the least.
 
-    What a caller was given changes while its requests wait, so it is looked up when a request
-    is taken.  Those of callers that are not far below their shares are set aside, a heap each:
-    counted callers are few, so the choice among them is cheap.
+    The admitted requests of a caller change while its requests wait, so its priority class is
+    computed when a request is taken from the queue. Requests of callers that are not far below
+    their shares are deferred into one heap for each caller. Only a bounded number of callers is
+    counted, so it is cheap to choose among these heaps.
     """
 
-    __slots__ = ('_aside_by_caller', '_shares', '_within')
+    __slots__ = ('_deferred_by_caller', '_shares', '_undeferred')
 
     def __init__(self, shares: CallerShares) -> None:
-        """Order by `shares`."""
+        """Order requests by `shares`."""
         self._shares = shares
-        self._within = _Ordered()
-        self._aside_by_caller: dict[int, _Ordered] = {}
+        self._undeferred = _RequestHeap()
+        self._deferred_by_caller: dict[int, _RequestHeap] = {}
 
     def add(self, request: WaitingRequest, number: int) -> None:
-        """Take the request that came as the `number`th."""
-        self._within.add((request.priority, -number), request)
+        """Add the request that arrived as the `number`th."""
+        self._undeferred.add((request.priority, -number), request)
 
     def first(self, now: float) -> WaitingRequest | None:
-        """Return the request that goes on first, None if none waits."""
-        best = self._first_aside(now)
-        front = self._within.first
-        while front is not None:
-            placed = self._placed(front, now)
-            if best is None or placed[0] < best[0]:
-                best = placed
-            if not placed[0][1]:
+        """Return the request to send next, None if none waits."""
+        best = self._first_deferred(now)
+        head = self._undeferred.first
+        while head is not None:
+            keyed = self._keyed(head, now)
+            if best is None or keyed[0] < best[0]:
+                best = keyed
+            if not keyed[0][1]:
                 break
-            aside = self._aside_by_caller.setdefault(self._caller(front[1]), _Ordered())
-            aside.add(*self._within.pop())
-            front = self._within.first
+            deferred = self._deferred_by_caller.setdefault(self._caller(head[1]), _RequestHeap())
+            deferred.add(*self._undeferred.pop())
+            head = self._undeferred.first
         return best[1] if best else None
 
-    def _first_aside(self, now: float) -> _Placed | None:
-        """Return the first that was set aside; join those that need not be with the others."""
-        best: _Placed | None = None
-        for caller, aside in list(self._aside_by_caller.items()):
-            front = aside.first
-            placed = self._placed(front, now) if front else None
-            if placed is None or not placed[0][1]:
-                self._aside_by_caller.pop(caller)
-                self._take_back(aside)
-            elif best is None or placed[0] < best[0]:
-                best = placed
+    def _first_deferred(self, now: float) -> _KeyedRequest | None:
+        """Return the best deferred request; requeue callers that are far below their shares."""
+        best: _KeyedRequest | None = None
+        for caller, deferred in list(self._deferred_by_caller.items()):
+            head = deferred.first
+            keyed = self._keyed(head, now) if head else None
+            if keyed is None or not keyed[0][1]:
+                self._deferred_by_caller.pop(caller)
+                self._restore(deferred)
+            elif best is None or keyed[0] < best[0]:
+                best = keyed
         return best
 
-    def _take_back(self, aside: _Ordered) -> None:
-        for rank, request in aside.take_all():
-            self._within.add(rank, request)
+    def _restore(self, deferred: _RequestHeap) -> None:
+        for rank, request in deferred.pop_all():
+            self._undeferred.add(rank, request)
 
-    def _placed(self, ranked: tuple[_Rank, WaitingRequest], now: float) -> _Placed:
-        """Return a request with its priority, its caller's place, and its rank."""
+    def _keyed(self, ranked: tuple[_Rank, WaitingRequest], now: float) -> _KeyedRequest:
+        """Return a request with its sort key: priority, its caller's priority class, rank."""
         rank, request = ranked
-        return (rank[0], self._shares.place(self._caller(request), now), rank), request
+        return (rank[0], self._shares.priority_class(self._caller(request), now), rank), request
 
     def _caller(self, request: WaitingRequest) -> int:
         return self._shares.caller_of(request.packets[0].flow)
 
 
-class SharedAmongCallers(NewestFirst):
-    """Share the room of pools whose demand is controlled among callers, max-min.
+class CallerFairOrder(NewestFirst):
+    """Share the capacity of pools among callers by max-min fairness.
 
-    Load pattern: one caller asks for many times what the others do, and there is too little room
-    for all.  Newest first alone gives each caller as much of the room as it has of the
-    requests: the others are refused as often as the one that is the cause.
+    It applies to pools whose demand is controlled. Load pattern: one caller sends many times as
+    many requests as the others, and there is too little capacity for all. With newest first alone,
+    each caller gets capacity in proportion to its requests, so the others are refused as often as
+    the caller that is the cause.
     """
 
     def queue_of(self, pool: Pool) -> WaitingQueue:
-        """Return the queue of a pool that none waits for yet."""
+        """Return a new queue for a pool."""
         if pool.callers is None:
             return RankedQueue(self)
         return CallerQueue(pool.callers)
--- a/src/bronzekeel/core/routing/capacities.py
+++ b/src/bronzekeel/core/routing/capacities.py
@@ -20,8 +20,8 @@
     AnswerCount,
     AnswerCounts,
     ReportedCounts,
-    start_of,
     invert_soft_clip,
+    start_of,
 )
 from bronzekeel.core.routing.answer_times import AnswerTimes
 from bronzekeel.core.routing.answer_windows import AnswerWindow
--- a/src/bronzekeel/core/routing/asked_meter.py
+++ b/src/bronzekeel/core/routing/demand_meter.py
@@ -1,7 +1,7 @@
-"""Count what callers ask of each service in the newest half second, refused flows too.
+"""Measure the demand on each service in the last half second, refused flows included.
 
-Requests that were placed are no measure of demand: a data centre that refuses most of its callers
-would seem to have few.  A smoothed rate is none of a crowd that lasts three seconds.
+Placed requests do not measure demand: a data centre that refuses most of its callers would seem to
+have few. A smoothed rate is too slow for a surge that lasts three seconds.
 """
 
 from collections import deque
@@ -11,19 +11,19 @@
 from bronzekeel.core.routing.messages import ServiceDemand
 
 
-#: Seconds over which requests are counted, and looks at the counts in that time.  Source: a crowd
-#: must be known within a second at all hosts; forty requests in half a second are sixteen percent
-#: off by chance, and shares change at half as much again.
+#: Length of the window in seconds, and samples in it. A surge must be known within a second at all
+#: hosts; forty requests in half a second vary by sixteen percent at random, and shares change at
+#: half as much again.
 WINDOW_S = 0.5
-_LOOKS = 5
+_SAMPLES_PER_WINDOW = 5
 
-#: Seconds by which a look may come early.  Source: half of the interval at which looks are due, so
-#: that timers that fire a little unevenly skip none.
-_EARLY_S = 0.05
+#: Seconds by which a sample may be early: half of the interval between samples, so that uneven
+#: timers skip none.
+_TIMER_SLACK_S = 0.05
 
 
 class _Counts:
-    """Hold the requests and the refusals of each service up to a moment."""
+    """Hold the requests and the refusals of each service up to a time."""
 
     __slots__ = ('at', 'by_service')
 
@@ -32,53 +32,53 @@
         self.by_service: dict[str, tuple[int, int]] = {}
 
 
-class AskedMeter:
-    """Hold what was asked of this balancer in the newest half second, None before it is known."""
+class DemandMeter:
+    """Hold the demand on this balancer in the last half second, None before it is known."""
 
-    __slots__ = ('_counts', '_look_at', 'by_service')
+    __slots__ = ('_counts', '_next_sample_at', 'by_service')
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Start without samples."""
         self.by_service: dict[str, ServiceDemand] | None = None
-        self._counts: deque[_Counts] = deque(maxlen=_LOOKS + 1)
-        self._look_at: float = 0
+        self._counts: deque[_Counts] = deque(maxlen=_SAMPLES_PER_WINDOW + 1)
+        self._next_sample_at: float = 0
 
-    def look(
+    def sample(
         self,
         services: Iterable[str],
         requests_by_service: Mapping[str, int],
         directory: Directory,
         now: float,
     ) -> bool:
-        """Take the counts of some services, some times in the window; return whether it did."""
-        if now < self._look_at - _EARLY_S:
+        """Sample the counts of services if a sample is due; return whether one was taken."""
+        if now < self._next_sample_at - _TIMER_SLACK_S:
             return False
-        self._look_at = now + WINDOW_S / _LOOKS
+        self._next_sample_at = now + WINDOW_S / _SAMPLES_PER_WINDOW
         if self._counts and now > self._counts[-1].at + WINDOW_S:
             self._counts.clear()
             self.by_service = None
         counts = _Counts(now)
-        for counted in services:
-            requests = requests_by_service.get(counted, 0)
-            counts.by_service[counted] = (requests, _refused(directory, counted))
+        for sampled in services:
+            requests = requests_by_service.get(sampled, 0)
+            counts.by_service[sampled] = (requests, _refused_requests(directory, sampled))
         self._counts.append(counts)
-        if len(self._counts) <= _LOOKS:
+        if len(self._counts) <= _SAMPLES_PER_WINDOW:
             return True
         former = self._counts[0]
         self.by_service = {
-            service: _asked(
+            service: _demand_between(
                 former.by_service.get(service, count),
                 count,
                 now - former.at,
-                _waiting(directory, service),
+                _waiting_requests(directory, service),
             )
             for service, count in counts.by_service.items()
         }
         return True
 
 
-def total_of(asked: Iterable[Mapping[str, ServiceDemand]]) -> dict[str, ServiceDemand]:
-    """Return what is asked of several balancers together."""
+def total_demand(asked: Iterable[Mapping[str, ServiceDemand]]) -> dict[str, ServiceDemand]:
+    """Return the total demand on several balancers."""
     total: dict[str, ServiceDemand] = {}
     for demand_by_service in asked:
         for service, one in demand_by_service.items():
@@ -87,7 +87,7 @@
     return total
 
 
-def _asked(
+def _demand_between(
     former: tuple[int, int],
     newest: tuple[int, int],
     elapsed_s: float,
@@ -98,9 +98,9 @@
     return ServiceDemand((placed + refused) / elapsed_s, refused + waiting)
 
 
-def _refused(directory: Directory, service: str) -> int:
+def _refused_requests(directory: Directory, service: str) -> int:
     return sum(pool.refused for pool in directory.pools_by_service.get(service, {}).values())
 
 
-def _waiting(directory: Directory, service: str) -> int:
+def _waiting_requests(directory: Directory, service: str) -> int:
     return sum(pool.waiting for pool in directory.pools_by_service.get(service, {}).values())
--- a/src/bronzekeel/core/routing/load_moves.py
+++ b/src/bronzekeel/core/routing/load_moves.py
@@ -1,187 +1,197 @@
-"""Keep up where load that moves may go, for the services whose demand is controlled."""
+"""Update how much load may move to other data centres, for services whose demand is controlled."""
 
 from bronzekeel.core.routing.balance import load_at
 from bronzekeel.core.routing.effects import Effect
-from bronzekeel.core.routing.load_words import (
-    asked_of_centre,
-    centres_heard,
+from bronzekeel.core.routing.load_reports import (
+    centre_demand,
+    centres_reporting,
     controlled_services,
-    is_centre_lacking,
+    has_unserved_demand,
 )
 from bronzekeel.core.routing.messages import Allowance, FlowShare, Heartbeat, ServiceDemand
-from bronzekeel.core.routing.moving_load import ROOM_WORD_S, CentreWord, LevelKey
+from bronzekeel.core.routing.moving_load import REPORT_VALID_S, CentreReport, LevelKey
 from bronzekeel.core.routing.peers import Peer
 from bronzekeel.core.routing.relays import QUEUEING_RELAY_S
 from bronzekeel.core.routing.state import RoutingState
 
 
-_NOTHING_ASKED = ServiceDemand(0, 0)
+_NO_DEMAND = ServiceDemand(0, 0)
 
-#: Marks a share among levels, which counts as so many flows: a tenth of all is told early.
+#: Marks a share among the levels. It counts as so many flows that a change by a tenth of all is
+#: reported early.
 _SHARE = 'share'
-_FLOWS = 10
+_SHARE_SCALE = 10
 
 
-def look_at_load(state: RoutingState, now: float) -> list[Effect]:
-    """Count what is asked, and notice what others should hear at once."""
+def update_load(state: RoutingState, now: float) -> list[Effect]:
+    """Sample the demand, and detect changes that peers should receive at once."""
     moving = state.demand.moving
     services = controlled_services(state)
     if not services:
         return []
     requests_by_service = state.flows.requests_by_service
-    if moving.asked.look(services, requests_by_service, state.directory, now):
-        moving.load_by_service = _loads_at_home(state, services)
-        moving.far_news.note(moving.full_services(), now)
-        moving.unheard.note(centres_heard(state, now), now)
-    moving.near_news.note(_near_levels(state, services), now)
+    if moving.asked.sample(services, requests_by_service, state.directory, now):
+        moving.load_by_service = _local_loads(state, services)
+        moving.remote_changes.note(moving.full_services(), now)
+        moving.unheard.note(centres_reporting(state, now), now)
+    moving.local_changes.note(_levels_for_peers(state, services), now)
     return moving.departures.poll(now)
 
 
-def hasten_room(state: RoutingState, heartbeat: Heartbeat) -> None:
-    """Reckon room at the next tick if a heartbeat may have told of another."""
-    told = heartbeat.allowances is not None
-    far = heartbeat.sender.data_centre != state.peers.me.data_centre
-    if state.controls_demand and heartbeat.demand_by_service and (told or far):
+def expedite_allowances(state: RoutingState, heartbeat: Heartbeat) -> None:
+    """Recompute allowances at the next tick if a heartbeat may have changed them."""
+    has_allowances = heartbeat.allowances is not None
+    is_remote = heartbeat.sender.data_centre != state.peers.me.data_centre
+    if state.controls_demand and heartbeat.demand_by_service and (has_allowances or is_remote):
         state.room.reckon_at = 0
 
 
-def is_hurried(state: RoutingState, now: float) -> bool:
-    """Whether other data centres are to be told more often than in calm."""
+def needs_frequent_reports(state: RoutingState, now: float) -> bool:
+    """Whether other data centres get reports more often than in calm periods."""
     if state.directory.is_queueing(state.peers.me.data_centre, now):
         return True
     if not state.demand.moving.asked.by_service:
         return False
-    hurried_until = state.demand.moving.far_news.changed_at + QUEUEING_RELAY_S
-    return now < hurried_until or is_centre_lacking(state, now)
+    frequent_until = state.demand.moving.remote_changes.changed_at + QUEUEING_RELAY_S
+    return now < frequent_until or has_unserved_demand(state, now)
 
 
 def adopt_shares(state: RoutingState, shares: tuple[FlowShare, ...]) -> None:
-    """Put shares in force, unless they are reckoned by the newest second.
+    """Apply shares, unless ``update_moving_shares`` computes them from the newest demand.
 
-    Where operators ask for equal work, all shares count.
+    Where operators set equal work, all shares are applied.
     """
     if not state.balance.min_sharing_load or not state.controls_demand:
         state.balance.adopt(shares)
 
 
-def reckon_moving_shares(state: RoutingState, now: float) -> None:
-    """Settle which flows leave that home could not serve in time, by the newest word.
+def update_moving_shares(state: RoutingState, now: float) -> None:
+    """Set the shares of flows that leave because they could not be served in time locally.
 
-    A host that hears all data centres that its neighbours hear reckons the shares itself; the
-    others take them from one that does.
+    A host that receives reports of all data centres that its neighbours receive computes the shares
+    itself; the others adopt those of a neighbour that does.
     """
     moving = state.demand.moving
     services = controlled_services(state)
     if not services or not state.balance.min_sharing_load:
         return
-    words = state.relays.remote_reports(now, ROOM_WORD_S)
-    complete = bool(words) and set(words) >= set(centres_heard(state, now))
-    moving.reckoned_shares = _shares_of(state, services, words, now) if complete else ()
-    shares = moving.reckoned_shares if complete else _shares_near(state, now)
+    heartbeat_by_centre = state.relays.remote_reports(now, REPORT_VALID_S)
+    complete = bool(heartbeat_by_centre) and set(heartbeat_by_centre) >= set(
+        centres_reporting(state, now)
+    )
+    moving.computed_shares = (
+        _shares_of(state, services, heartbeat_by_centre, now) if complete else ()
+    )
+    shares = moving.computed_shares if complete else _shares_from_peers(state, now)
     state.balance.adopt(shares)
 
 
-def told_shares(state: RoutingState) -> tuple[FlowShare, ...] | None:
-    """Return the shares that were reckoned here, None if this host hears too little for it.
+def shares_to_report(state: RoutingState) -> tuple[FlowShare, ...] | None:
+    """Return the shares that were computed here, None if this host receives too little for it.
 
-    What goes wrong with shares that neighbours told: hosts repeat each other's for ever.
+    Shares that neighbours reported are left out; otherwise hosts would repeat each other's shares
+    endlessly.
     """
     if not state.balance.computes_shares:
         return None
     if not state.balance.min_sharing_load or not state.controls_demand:
         return state.balance.shares
-    return state.demand.moving.reckoned_shares
+    return state.demand.moving.computed_shares
 
 
-def _shares_near(state: RoutingState, now: float) -> tuple[FlowShare, ...]:
-    """Return the shares of the neighbour that hears most, unless its word is old."""
-    told: tuple[FlowShare, ...] = ()
+def _shares_from_peers(state: RoutingState, now: float) -> tuple[FlowShare, ...]:
+    """Return the shares of the neighbour that receives most, unless its report is old."""
+    shares: tuple[FlowShare, ...] = ()
     most: tuple[int, float] = (0, 0)
-    for peer in _told_lately(state, now):
+    for peer in _recent_peers(state, now):
         if peer.heartbeat is None or peer.heartbeat.shares is None:
             continue
-        heard = (len(peer.heartbeat.hears), peer.last_seen_at)
-        if heard > most:
-            most = heard
-            told = peer.heartbeat.shares
-    return told
-
-
-def _told_lately(state: RoutingState, now: float) -> list[Peer]:
-    """Return the neighbours whose word of room is still believed, the newest last."""
-    lately = [
-        peer for peer in state.peers.live_neighbours(now) if now < peer.last_seen_at + ROOM_WORD_S
+        received = (len(peer.heartbeat.hears), peer.last_seen_at)
+        if received > most:
+            most = received
+            shares = peer.heartbeat.shares
+    return shares
+
+
+def _recent_peers(state: RoutingState, now: float) -> list[Peer]:
+    """Return the neighbours whose reports are still valid, the newest last."""
+    recent = [
+        peer
+        for peer in state.peers.live_neighbours(now)
+        if now < peer.last_seen_at + REPORT_VALID_S
     ]
-    return sorted(lately, key=lambda peer: peer.last_seen_at)
+    return sorted(recent, key=lambda peer: peer.last_seen_at)
 
 
 def _shares_of(
     state: RoutingState,
     services: list[str],
-    words: dict[str, Heartbeat],
+    heartbeat_by_centre: dict[str, Heartbeat],
     now: float,
 ) -> tuple[FlowShare, ...]:
-    home = state.peers.me.data_centre
-    asked = asked_of_centre(state, now) or {}
+    local_centre = state.peers.me.data_centre
+    demand_by_service = centre_demand(state, now) or {}
     shares: list[FlowShare] = []
     for service in services:
-        rate_by_centre = _rates_of(service, home, words)
-        rate_by_centre[home] = asked.get(service, _NOTHING_ASKED).rate
+        rate_by_centre = _rates_of(service, local_centre, heartbeat_by_centre)
+        rate_by_centre[local_centre] = demand_by_service.get(service, _NO_DEMAND).rate
         capacity_by_centre = state.directory.pool_members.capacity_by_centre(service)
-        load = load_at(state.directory, home, service)
+        load = load_at(state.directory, local_centre, service)
         by_centre = state.demand.moving.shares.shares_of(
-            service, home, capacity_by_centre, rate_by_centre, load, now
+            service, local_centre, capacity_by_centre, rate_by_centre, load, now
         )
         shares.extend(FlowShare(service, centre, share) for centre, share in by_centre.items())
     return tuple(shares)
 
 
-def _rates_of(service: str, home: str, words: dict[str, Heartbeat]) -> dict[str, float]:
-    """Return what is asked in the data centres that hear this one."""
+def _rates_of(
+    service: str, local_centre: str, heartbeat_by_centre: dict[str, Heartbeat]
+) -> dict[str, float]:
+    """Return the demand in the data centres that receive reports of this one."""
     rate_by_centre: dict[str, float] = {}
-    for centre, heartbeat in words.items():
-        asked = heartbeat.demand_by_service or {}
-        if home not in heartbeat.unheard and service in asked:
-            rate_by_centre[centre] = asked[service].rate
+    for centre, heartbeat in heartbeat_by_centre.items():
+        demand_by_service = heartbeat.demand_by_service or {}
+        if local_centre not in heartbeat.unheard and service in demand_by_service:
+            rate_by_centre[centre] = demand_by_service[service].rate
     return rate_by_centre
 
 
-def moved_allowances(
+def recompute_allowances(
     state: RoutingState,
     allowances: tuple[Allowance, ...],
     now: float,
 ) -> tuple[Allowance, ...]:
-    """Reckon those of the `allowances` anew whose services' demand is controlled.
+    """Recompute those of the `allowances` that belong to services whose demand is controlled.
 
-    Data centres whose hosts are of a former version tell nothing of it; theirs stay as they are.
+    Data centres whose hosts run an older version report no demand; their allowances stay.
     """
     services = controlled_services(state)
     if not services:
         return allowances
-    words = state.relays.remote_reports(now, ROOM_WORD_S)
+    heartbeat_by_centre = state.relays.remote_reports(now, REPORT_VALID_S)
     relays = state.relays
     former = {one for one in relays.remote_loads(now) if not relays.reports_demand(one)}
-    kept = [
+    recomputed = [
         allowance
         for allowance in allowances
         if allowance.service not in services or allowance.data_centre in former
     ]
     for service in services:
-        kept.extend(_allowances_of(state, service, words, now))
-    return tuple(kept)
+        recomputed.extend(_allowances_of(state, service, heartbeat_by_centre, now))
+    return tuple(recomputed)
 
 
 def allowances_in_force(state: RoutingState, now: float) -> tuple[Allowance, ...]:
-    """Return what is reckoned here, and what only neighbours lately had word for.
+    """Return the allowances computed here, and recent ones that only neighbours could compute.
 
-    Where demand is not controlled it is only the one or the other.
+    Where demand is not controlled, they are all from one source.
     """
     if not state.controls_demand:
         return state.room.allowances
     by_target: dict[tuple[str, str], Allowance] = {}
-    for peer in _told_lately(state, now):
-        for told in (peer.heartbeat and peer.heartbeat.allowances) or ():
-            by_target[(told.service, told.data_centre)] = told
+    for peer in _recent_peers(state, now):
+        for reported in (peer.heartbeat and peer.heartbeat.allowances) or ():
+            by_target[(reported.service, reported.data_centre)] = reported
     for own in state.room.allowances if state.room.reckons else ():
         by_target[(own.service, own.data_centre)] = own
     return tuple(by_target.values())
@@ -193,34 +203,38 @@
     heartbeat_by_centre: dict[str, Heartbeat],
     now: float,
 ) -> list[Allowance]:
-    home = state.peers.me.data_centre
-    word_by_centre = {
-        centre: _word_of(heartbeat, service, home)
+    local_centre = state.peers.me.data_centre
+    report_by_centre = {
+        centre: _report_of(heartbeat, service, local_centre)
         for centre, heartbeat in heartbeat_by_centre.items()
         if heartbeat.demand_by_service and service in heartbeat.demand_by_service
     }
-    own = (asked_of_centre(state, now) or {}).get(service, _NOTHING_ASKED)
+    own = (centre_demand(state, now) or {}).get(service, _NO_DEMAND)
     capacity_by_centre = state.directory.pool_members.capacity_by_centre(service)
     room = state.demand.moving.room
-    return room.allowances_of(service, home, own.rate, word_by_centre, capacity_by_centre, now)
+    return room.allowances_of(
+        service, local_centre, own.rate, report_by_centre, capacity_by_centre, now
+    )
 
 
-def _word_of(heartbeat: Heartbeat, service: str, home: str) -> CentreWord:
-    asked = (heartbeat.demand_by_service or {}).get(service, _NOTHING_ASKED)
+def _report_of(heartbeat: Heartbeat, service: str, local_centre: str) -> CentreReport:
+    demand = (heartbeat.demand_by_service or {}).get(service, _NO_DEMAND)
     load = heartbeat.load_by_service.get(service, 0)
-    return CentreWord(load, asked.rate, asked.unserved, hears=home not in heartbeat.unheard)
+    return CentreReport(
+        load, demand.rate, demand.unserved, hears=local_centre not in heartbeat.unheard
+    )
 
 
-def _loads_at_home(state: RoutingState, services: list[str]) -> dict[str, float]:
-    home = state.peers.me.data_centre
-    return {service: load_at(state.directory, home, service) for service in services}
+def _local_loads(state: RoutingState, services: list[str]) -> dict[str, float]:
+    local_centre = state.peers.me.data_centre
+    return {service: load_at(state.directory, local_centre, service) for service in services}
 
 
-def _near_levels(
+def _levels_for_peers(
     state: RoutingState,
     services: list[str],
 ) -> dict[LevelKey, float]:
-    """Return how many requests wait here, and the room elsewhere if it is reckoned here."""
+    """Return the waiting requests, and the allowances and shares if they are computed here."""
     levels: dict[LevelKey, float] = {
         service: sum(pool.waiting for pool in state.directory.pools_by_service[service].values())
         for service in services
@@ -228,6 +242,6 @@
     if state.room.reckons:
         for allowance in state.room.allowances:
             levels[(allowance.service, allowance.data_centre)] = allowance.requests
-    for share in state.demand.moving.reckoned_shares:
-        levels[(share.service, share.data_centre, _SHARE)] = share.share * _FLOWS
+    for share in state.demand.moving.computed_shares:
+        levels[(share.service, share.data_centre, _SHARE)] = share.share * _SHARE_SCALE
     return levels
--- a/src/bronzekeel/core/routing/messages.py
+++ b/src/bronzekeel/core/routing/messages.py
@@ -4,13 +4,13 @@
 from types import MappingProxyType
 
 from bronzekeel.core.routing.answer_counts import ReportedCounts
-from bronzekeel.core.routing.caller_words import CallersWord
+from bronzekeel.core.routing.caller_reports import CallersReport
 from bronzekeel.core.routing.model import RoutingText, UpstreamEntry
 
 
 _NO_RATES: Mapping[str, float] = MappingProxyType({})
 _NO_COUNTS: Mapping[int, int] = MappingProxyType({})
-_NO_REPORTS: Mapping[str, CallersWord] = MappingProxyType({})
+_NO_REPORTS: Mapping[str, CallersReport] = MappingProxyType({})
 
 
 class FlowShare:
@@ -136,7 +136,7 @@
         allowances: tuple[Allowance, ...] | None = None,
         evacuated: Evacuated = NOTHING_EVACUATED,
         unanswered_by_number: Mapping[int, int] = _NO_COUNTS,
-        callers_by_service: Mapping[str, CallersWord] = _NO_REPORTS,
+        callers_by_service: Mapping[str, CallersReport] = _NO_REPORTS,
         counts: ReportedCounts | None = None,
         demand_by_service: Mapping[str, ServiceDemand] | None = None,
         hears: tuple[str, ...] = (),
--- a/src/bronzekeel/core/routing/reducer.py
+++ b/src/bronzekeel/core/routing/reducer.py
@@ -30,17 +30,17 @@
     ViewFetched,
 )
 from bronzekeel.core.routing.learning import learn_capacities
-from bronzekeel.core.routing.load_moves import look_at_load
+from bronzekeel.core.routing.load_moves import update_load
 from bronzekeel.core.routing.object_updates import (
     apply_confirmed,
 )
-from bronzekeel.core.routing.sharing import (
+from bronzekeel.core.routing.peer_exchange import (
     announce_change,
-    ask_elsewhere,
-    beat,
-    note_refusal,
+    apply_view,
+    fetch_remote,
     on_heartbeat,
-    take_view,
+    on_view_failed,
+    send_due_heartbeats,
 )
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.store_answers import (
@@ -76,7 +76,7 @@
 def _on_started(state: RoutingState, event: Started, now: float) -> list[Effect]:
     state.started_at = now
     state.eligibility.begin(now)
-    effects = beat(state, now)
+    effects = send_due_heartbeats(state, now)
     for follower in state.follower_by_collection.values():
         effects.append(follower.begin_listing())
     return effects
@@ -131,8 +131,8 @@
     state.shared_loads.note(state.directory, state.peers.busy_at_peers(now))
     effects.extend(_update_load(state, now))
     effects.extend(make_due_calls(state, now))
-    effects.extend(ask_elsewhere(state, now))
-    effects.extend(beat(state, now))
+    effects.extend(fetch_remote(state, now))
+    effects.extend(send_due_heartbeats(state, now))
     if state.stopping.is_done(now):
         effects.append(WriteLine(LogNumber.STOPPED, refusals=state.stopping.refusals))
         effects.append(End())
@@ -144,12 +144,12 @@
     effects = learn_capacities(state, now)
     update_balance(state, now)
     update_free_capacity(state, now)
-    effects.extend(look_at_load(state, now))
-    state.admission.reckon(now)
+    effects.extend(update_load(state, now))
+    state.admission.update_limits(now)
     pools = state.directory.pools_of(state.peers.me.data_centre)
-    effects.extend(state.overloads.look(pools, now))
+    effects.extend(state.overloads.check(pools, now))
     callers = state.demand.callers
-    effects.extend(callers.look(pools, state.peers, now, controlled=state.controls_demand))
+    effects.extend(callers.update(pools, state.peers, now, controlled=state.controls_demand))
     return effects
 
 
@@ -166,7 +166,7 @@
         Paused: _on_pause,
         SettingsChanged: _on_settings,
         HeartbeatHeard: on_heartbeat,
-        ViewFetched: take_view,
-        ViewFailed: note_refusal,
+        ViewFetched: apply_view,
+        ViewFailed: on_view_failed,
     },
 )
--- a/src/bronzekeel/core/routing/relays.py
+++ b/src/bronzekeel/core/routing/relays.py
@@ -17,8 +17,8 @@
 RELAYS = 2
 
 #: Interval in seconds between these heartbeats.  Together with the wait before another data centre
-#: is asked (``PATIENCE_S``) and one fetch, a third of the shortest bound on a change (3 s) remains.
-#: It costs 24 datagrams of 150 bytes a second among three data centres.
+#: is asked (``REMOTE_GRACE_S``) and one fetch, a third of the shortest bound on a change (3 s)
+#: remains.  It costs 24 datagrams of 150 bytes a second among three data centres.
 RELAY_S = 1.0
 
 #: The same interval while requests wait in the local data centre.  With the longer interval, in a
--- a/src/bronzekeel/core/routing/steering.py
+++ b/src/bronzekeel/core/routing/steering.py
@@ -82,18 +82,18 @@
         """
         self._state.flows.expire_openings(now)
         waiting = self._state.waiting
-        request = waiting.take_ended(now)
+        request = waiting.pop_expired(now)
         while request is not None:
-            if request.goes_on(now):
+            if request.must_be_sent(now):
                 yield from self._resume_above_limit(request, now)
             else:
                 for refused in request.packets:
                     yield refused, self._end_wait(refused, request, now)
-            request = waiting.take_ended(now)
-        request = waiting.take_ready(now)
+            request = waiting.pop_expired(now)
+        request = waiting.pop_ready(now)
         while request is not None:
             yield from self._resume_request(request, now)
-            request = waiting.take_ready(now)
+            request = waiting.pop_ready(now)
 
     def _resume_above_limit(
         self,
@@ -101,10 +101,10 @@
         now: float,
     ) -> Iterator[tuple[FlowPacket, Verdict]]:
         """Send a request on without free capacity for it, after all more urgent ones."""
-        urgent = self._state.waiting.take_more_urgent(request, now)
+        urgent = self._state.waiting.pop_more_urgent(request, now)
         while urgent is not None:
             yield from self._resume_request(urgent, now)
-            urgent = self._state.waiting.take_more_urgent(request, now)
+            urgent = self._state.waiting.pop_more_urgent(request, now)
         yield from self._resume_request(request, now)
 
     def _resume_request(
@@ -137,7 +137,7 @@
         """Refuse a flow because its pool lacks free capacity."""
         pool.refused += 1
         if pool.callers is not None:
-            pool.callers.note(packet.flow, now, given=False)
+            pool.callers.note(packet.flow, now, admitted=False)
         self._decisions.note(Decision('refused', packet, reason, pool=pool), now)
         return Reset(reason)
 
--- a/src/bronzekeel/core/routing/store_answers.py
+++ b/src/bronzekeel/core/routing/store_answers.py
@@ -22,6 +22,7 @@
     handle_unreadable,
     note_restore,
 )
+from bronzekeel.core.routing.peer_exchange import announce_change
 from bronzekeel.core.routing.readiness import become_ready
 from bronzekeel.core.routing.revisions import (
     format_revision,
@@ -29,7 +30,6 @@
     is_same_incarnation,
     revision_of,
 )
-from bronzekeel.core.routing.sharing import announce_change
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.store_calls import continue_watch
 
--- a/src/bronzekeel/core/steering/owners.py
+++ b/src/bronzekeel/core/steering/owners.py
@@ -19,10 +19,10 @@
     ShardOfferAck,
 )
 from bronzekeel.core.steering.journal import off_base
-from bronzekeel.core.steering.replicas import successor
 from bronzekeel.core.steering.keeper import announce, load_records
 from bronzekeel.core.steering.records import RecordEntry, pack, unpack
 from bronzekeel.core.steering.registers import NO_RECORDS, FlowRecord, Register
+from bronzekeel.core.steering.replicas import successor
 from bronzekeel.core.steering.state import Move, Ownership, Retained, Steering
 
 
--- a/src/bronzekeel/demo/site.py
+++ b/src/bronzekeel/demo/site.py
@@ -6,10 +6,10 @@
 
 from msgspec.json import encode
 
-from bronzekeel.platform.client import HOSTS_KEY, PlatformClient
 from bronzekeel.balancer.daemon import Balancer
 from bronzekeel.balancer.settings import Settings
 from bronzekeel.core.messages import HostEntry
+from bronzekeel.platform.client import HOSTS_KEY, PlatformClient
 from bronzekeel.standins.caller import CallerStandIn
 from bronzekeel.standins.fabric import FabricStandIn
 from bronzekeel.standins.platform import PlatformStandIn
--- a/src/bronzekeel/entry/caller_fields.py
+++ b/src/bronzekeel/entry/caller_fields.py
@@ -4,33 +4,34 @@
 from collections.abc import Mapping
 from typing import Any
 
-from bronzekeel.core.routing.caller_words import (
-    MOST_SERVICES,
-    CallersWord,
-    pack_word,
-    unpack_word,
+from bronzekeel.core.routing.caller_reports import (
+    MAX_REPORTED_SERVICES,
+    CallersReport,
+    pack_callers_report,
+    unpack_callers_report,
 )
 
 
 def encode_callers(
-    report_by_service: Mapping[str, CallersWord],
+    report_by_service: Mapping[str, CallersReport],
 ) -> dict[str, list[tuple[str, str]]]:
     """Return the heartbeat field with reports on callers; no field if there are no reports."""
     if not report_by_service:
         return {}
     encoded = [
-        (service, b64encode(pack_word(report)).decode())
+        (service, b64encode(pack_callers_report(report)).decode())
         for service, report in report_by_service.items()
     ]
     return {'callers': encoded}
 
 
-def decode_callers(fields: list[Any]) -> dict[str, CallersWord]:
+def decode_callers(fields: list[Any]) -> dict[str, CallersReport]:
     """Return the reports on callers by service.
 
-    Entries beyond ``MOST_SERVICES`` are ignored.  Raises ValueError if a report is malformed.
+    Entries beyond ``MAX_REPORTED_SERVICES`` are ignored.  Raises ValueError if a report is
+    malformed.
     """
     return {
-        str(service): unpack_word(b64decode(report, validate=True))
-        for service, report in fields[:MOST_SERVICES]
+        str(service): unpack_callers_report(b64decode(report, validate=True))
+        for service, report in fields[:MAX_REPORTED_SERVICES]
     }
--- a/src/bronzekeel/entry/daemon.py
+++ b/src/bronzekeel/entry/daemon.py
@@ -31,9 +31,9 @@
 )
 from bronzekeel.core.routing.link_queue import link_queue_for
 from bronzekeel.core.routing.messages import KnownVersions, PeerAddress, View
+from bronzekeel.core.routing.peer_exchange import view_since
 from bronzekeel.core.routing.placement import EqualWork, LeastBusy, Placement
 from bronzekeel.core.routing.reducer import TICK_S, reduce
-from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.steering import ConnectionIdSteering
 from bronzekeel.core.store_waits import ANSWER_S
 from bronzekeel.entry.decision_log import LineDecisionLog
--- a/src/bronzekeel/entry/metrics.py
+++ b/src/bronzekeel/entry/metrics.py
@@ -29,7 +29,7 @@
         'callers_above_share',
         'gauge',
         'Callers above their share, whose opening packets are refused immediately.',
-        lambda pool: pool.callers.above if pool.callers else 0,
+        lambda pool: pool.callers.above_share if pool.callers else 0,
     ),
     (
         'requests_limit',
--- a/src/bronzekeel/entry/packets.py
+++ b/src/bronzekeel/entry/packets.py
@@ -122,7 +122,7 @@
             return
         for packet, verdict in self._steering.resume(self._clock()):
             self._carry_out(packet, verdict)
-        deadline_at = self._state.waiting.next_end
+        deadline_at = self._state.waiting.next_expiry
         if deadline_at is not None and deadline_at != self._resume_at:
             self._resume_at = deadline_at
             self._loop.call_at(deadline_at, self.resume)
--- a/src/bronzekeel/soak/site.py
+++ b/src/bronzekeel/soak/site.py
@@ -7,8 +7,8 @@
 from socket import AF_INET, SOCK_DGRAM, SOCK_STREAM, socket
 from time import monotonic
 
-from bronzekeel.platform.calls import EVACUATIONS_KIND, UPSTREAMS_KIND
 from bronzekeel.platform.answers import upstream_name
+from bronzekeel.platform.calls import EVACUATIONS_KIND, UPSTREAMS_KIND
 from bronzekeel.soak.callers import Callers
 from bronzekeel.soak.checks import Checks
 from bronzekeel.soak.contact import Contact
--- a/tests/routing_cases.py
+++ b/tests/routing_cases.py
@@ -3,9 +3,9 @@
 from bronzekeel.bench.admission_policies import AdmitAll
 from bronzekeel.core.routing.admission import Admission, RequestsPerSlot
 from bronzekeel.core.routing.connection_ids import seal_of
+from bronzekeel.core.routing.decisions import NoDecisionLog
 from bronzekeel.core.routing.events import PageRead, StoredObject
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.decisions import NoDecisionLog
 from bronzekeel.core.routing.messages import PeerAddress
 from bronzekeel.core.routing.model import (
     FlowPacket,
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -12,11 +12,11 @@
 
 from msgspec.json import decode, encode
 
-from bronzekeel.platform.client import PlatformClient
 from bronzekeel.balancer.settings import SettingsError, read_settings
 from bronzekeel.commands import output
 from bronzekeel.commands.main import main
 from bronzekeel.core.log_numbers import LogNumber
+from bronzekeel.platform.client import PlatformClient
 from bronzekeel.report.outcomes import OutcomeLine
 from bronzekeel.standins.platform import PlatformStandIn
 from bronzekeel.standins.store_copy import copy_of, restore
--- a/tests/test_connection_ids.py
+++ b/tests/test_connection_ids.py
@@ -8,7 +8,7 @@
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.messages import Allowance
 from bronzekeel.core.routing.model import UpstreamEntry
-from bronzekeel.core.routing.overflow import put_in_force
+from bronzekeel.core.routing.overflow import apply_allowances
 from bronzekeel.core.routing.pools import REQUESTS_PER_SLOT
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.state import RoutingState
@@ -184,7 +184,7 @@
         balancer = steering(state)
         balancer.decide(opening(0), 0)
         allowance = Allowance(PORTAL, 'dc-b', 20)
-        put_in_force(state.directory, LOCAL_CENTRE, [allowance], {PORTAL: 1}, ())
+        apply_allowances(state.directory, LOCAL_CENTRE, [allowance], {PORTAL: 1}, ())
         names = [delivered_to(balancer.decide(opening(number), 0)) for number in range(1, 20)]
         local = 1 + names.count(entry(1).name)
         self.assertEqual(REQUESTS_PER_SLOT * entry(1).slots, local)
--- a/tests/test_demand_control.py
+++ b/tests/test_demand_control.py
@@ -1,10 +1,10 @@
-"""Test whether demand is controlled: by the objectives of a text, or as a setting says."""
+"""Test when demand is controlled: by the objectives of a text, or by a setting."""
 
 from unittest import TestCase
 
 from bronzekeel.core.routing.connection_ids import seal_of
 from bronzekeel.core.routing.demand_control import (
-    LEAST_OBJECTIVE_S,
+    MIN_OBJECTIVE_S,
     DemandControl,
     DemandControlMode,
 )
@@ -27,23 +27,23 @@
 
 
 class DemandControlTest(TestCase):
-    """Decide by objectives, always, or never."""
+    """Control by objectives, always, or never."""
 
     def test_patient_callers(self) -> None:
-        """A text all of whose callers can wait is covered."""
-        text = _text(_route(_KEY, LEAST_OBJECTIVE_S, 'portal'), _route(_OTHER_KEY, 2, 'archive'))
+        """Demand is controlled if all callers of a text can wait."""
+        text = _text(_route(_KEY, MIN_OBJECTIVE_S, 'portal'), _route(_OTHER_KEY, 2, 'archive'))
         self.assertTrue(DemandControl().covers(text))
 
     def test_the_least_patient_route_decides(self) -> None:
-        """Guards against requests of an impatient route that wait behind those of a patient one."""
+        """Guards against requests of an impatient route queued behind those of a patient one."""
         text = _text(
-            _route(_KEY, LEAST_OBJECTIVE_S, 'archive'),
-            _route(_OTHER_KEY, LEAST_OBJECTIVE_S / 2, 'portal'),
+            _route(_KEY, MIN_OBJECTIVE_S, 'archive'),
+            _route(_OTHER_KEY, MIN_OBJECTIVE_S / 2, 'portal'),
         )
         self.assertFalse(DemandControl().covers(text))
 
     def test_no_objective(self) -> None:
-        """Guards against waiting for callers of whom nothing is known."""
+        """Guards against making callers wait whose objective is unknown."""
         text = _text(_route(_KEY, 0, 'portal'), _route(_OTHER_KEY, 1, 'portal'))
         self.assertFalse(DemandControl().covers(text))
         self.assertFalse(DemandControl().covers(_text()))
@@ -55,9 +55,9 @@
         patient = _text(_route(_KEY, 1, 'portal'))
         self.assertFalse(DemandControl(DemandControlMode.NEVER).covers(patient))
 
-    def test_told_to_peers(self) -> None:
-        """Guards against hosts that got the text from a peer and serve it in another way."""
+    def test_peers_receive_the_objective(self) -> None:
+        """Guards against hosts that got the text from a peer and serve it differently."""
         text = _text(_route(_KEY, 0.552, 'portal'), _route(_OTHER_KEY, 0.7, 'archive'))
-        told = decode_view(encode_view(View(text, 1, [], [], 1))).text
-        assert told is not None
-        self.assertEqual(0.552, told.min_objective_s)
+        received = decode_view(encode_view(View(text, 1, [], [], 1))).text
+        assert received is not None
+        self.assertEqual(0.552, received.min_objective_s)
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -189,7 +189,7 @@
         state = balancer.state
         super().__init__('dc-a', state.directory, state.peers, state.balance.meter)
 
-    def reckon(self, now: float) -> None:
+    def update_limits(self, now: float) -> None:
         for pool in self._directory.pools_of('dc-a'):
             pool.limit = 0
 
--- a/tests/test_fault_pairs.py
+++ b/tests/test_fault_pairs.py
@@ -12,9 +12,9 @@
 
 from bronzekeel.core.routing.events import Paused
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.store_waits import WATCH_S
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.verdicts import Reset
+from bronzekeel.core.store_waits import WATCH_S
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from bronzekeel.replay.routing_store import StoreCopy
 from tests.routing_cases import asking, entry, fleet_of, id_given, opening, put_text, put_upstream
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -19,7 +19,18 @@
     PageRead,
     Unreadable,
 )
+from bronzekeel.core.routing.messages import (
+    Allowance,
+    Evacuated,
+    FlowShare,
+    Heartbeat,
+    KnownVersions,
+    MissingEntry,
+    PeerAddress,
+    View,
+)
 from bronzekeel.core.routing.model import FlowPacket, RoutingText, Upstream, UpstreamEntry
+from bronzekeel.core.routing.peer_exchange import view_since
 from bronzekeel.core.routing.revisions import incarnation_of, revision_of, text_order_of
 from bronzekeel.entry.peer_messages import (
     MessageError,
@@ -33,17 +44,6 @@
 from bronzekeel.platform.objects import PlatformStore
 from bronzekeel.platform.packets import PlatformPackets
 from tests.routing_cases import INTAKE_KEY, PORTAL_KEY, entry, ready_state, route, text
-from bronzekeel.core.routing.messages import (
-    Allowance,
-    Evacuated,
-    FlowShare,
-    Heartbeat,
-    KnownVersions,
-    MissingEntry,
-    PeerAddress,
-    View,
-)
-from bronzekeel.core.routing.sharing import view_since
 
 
 _DERANDOMIZED = settings(derandomize=True, database=None, deadline=None, max_examples=300)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -15,9 +15,9 @@
 from bronzekeel.core.routing.reducer import STALE_PAUSE_S, reduce
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.entry.early_port import bind_early
+from bronzekeel.entry.loop import Loop
 from bronzekeel.entry.packet_port import bind_packet_port
 from bronzekeel.entry.packets import PacketSocket
-from bronzekeel.entry.loop import Loop
 from bronzekeel.platform.packets import PlatformPackets
 from tests.routing_cases import (
     PORTAL,
