--- a/src/bronzekeel/bench/forward.py
+++ b/src/bronzekeel/bench/forward.py
@@ -251,7 +251,7 @@
             register.stage = Stage.ACTING
         else:
             register.stage = Stage.ANNOUNCED
-    steering.self_until = float('inf')
+    steering.self_valid_until = float('inf')
     for link in steering.links_by_host.values():
         link.lease_until = float('inf')
     for member in state.members.by_name.values():
--- a/src/bronzekeel/bench/slopes.py
+++ b/src/bronzekeel/bench/slopes.py
@@ -22,9 +22,9 @@
 from bronzekeel.core.state import BalancerState
 from bronzekeel.core.steering.keeper import adopt_targets
 from bronzekeel.core.steering.owners import claim_orphans
-from bronzekeel.core.steering.packs import entries_of, part_of
+from bronzekeel.core.steering.packs import pack_part, unpack_part
 from bronzekeel.core.steering.records import RecordEntry, pack
-from bronzekeel.core.steering.registers import FlowRecord, FlowSet
+from bronzekeel.core.steering.registers import FlowMap, FlowRecord
 from bronzekeel.replay.traffic import FlowTraffic
 from bronzekeel.wire import decode, encode
 
@@ -181,7 +181,7 @@
 def exception_bytes(flows: int) -> float:
     """Return the bytes of published exceptions."""
     return _traced(
-        lambda: FlowSet((number * 7919, f'10.0.0.{number % 7}:5555') for number in range(flows)),
+        lambda: FlowMap((number * 7919, f'10.0.0.{number % 7}:5555') for number in range(flows)),
     )
 
 
@@ -202,10 +202,10 @@
     return _traced(lambda: [_bucket_state(flows // 512, bucket) for bucket in range(512)])
 
 
-def _bucket_state(flows: int, bucket: int) -> FlowSet | dict[int, FlowRecord]:
+def _bucket_state(flows: int, bucket: int) -> FlowMap | dict[int, FlowRecord]:
     fingerprints = range(bucket << 30, (bucket << 30) + flows * 7919, 7919)
     if bucket % 8:
-        return FlowSet((fingerprint, '10.0.0.1:5555') for fingerprint in fingerprints)
+        return FlowMap((fingerprint, '10.0.0.1:5555') for fingerprint in fingerprints)
     return {fingerprint: FlowRecord('10.0.0.1:5555', 1.5, 2.5) for fingerprint in fingerprints}
 
 
@@ -242,15 +242,15 @@
     table = steering.tables_by_name['summons-portal']
     known = [register for register in table.registers if register is not None]
     listed = tuple(known[number % len(known)].entry() for number in range(buckets))
-    raw = encode(part_of('b1', 1, 0, 1, (), listed))
+    raw = encode(pack_part('b1', 1, 0, 1, (), listed))
     begun = process_time()
     for _ in range(5):
         part = decode(raw)
         if isinstance(part, JournalPart):
-            for entry in entries_of(part):
+            for entry in unpack_part(part):
                 register = table.registers[entry.bucket]
                 if register is not None:
-                    register.take(entry)
+                    register.apply(entry)
     return (process_time() - begun) / 5 * _MICRO
 
 
--- a/src/bronzekeel/core/duties.py
+++ b/src/bronzekeel/core/duties.py
@@ -15,9 +15,9 @@
 def beats(state: BalancerState, now: float) -> list[Effect]:
     """Return the heartbeats that are due, each with its part for every domain."""
     members = state.members
-    silent = membership.unheard(members, now)
+    silent = membership.silent_members(members, now)
     effects: list[Effect] = []
-    for member in membership.due_for_beat(members, now):
+    for member in membership.due_for_heartbeat(members, now):
         name = member.host.name
         link = state.steering.link(name)
         beat = Heartbeat(
@@ -26,11 +26,11 @@
             stamp=int(now * membership.MILLISECONDS),
             echo=member.stamp,
             seq=state.steering.seq,
-            ack=link.known_seq,
+            ack=link.applied_seq,
             generation=state.rollout.generation,
             ready=state.ready,
             leaving=members.leaving,
-            grants=journal.grants(state.steering, name, now),
+            grants=journal.try_renew_lease(state.steering, name, now),
             unheard=silent,
             host=None if now < member.contact_until else members.me,
         )
@@ -41,13 +41,13 @@
 def keep_shards(state: BalancerState, now: float) -> list[Effect]:
     """Do a keeper's duties: claim, change, settle, copy, hand over."""
     steering = state.steering
-    steering.self_until = state.members.valid_until()
+    steering.self_valid_until = state.members.valid_until()
     replicas.prune_retained(steering, now)
     if not state.rollout.confirmed or now < state.started_at + SETTLE_IN_S:
         return []
     names = owners.candidates(state.members, now, ready=state.ready)
     effects = owners.claim_orphans(steering, state.members, names, now)
-    if now < steering.self_until:
+    if now < steering.self_valid_until:
         keeper.adopt_targets(steering, now)
         keeper.advance(steering, now, may_settle=_all_present(state))
         keeper.recount(steering, now)
@@ -72,7 +72,7 @@
     links = state.steering.links_by_host
     for member in state.members.contacts(now):
         link = links.get(member.host.name)
-        if link is None or link.known_seq < link.heard_seq:
+        if link is None or link.applied_seq < link.announced_seq:
             return []
     for ownership in state.steering.owners:
         if not ownership.owner or not state.members.is_alive(ownership.owner):
@@ -89,7 +89,7 @@
     effects: list[Effect] = []
     if not state.rollout.confirmed and not state.stopping:
         effects.append(Log(LogNumber.WAITING_FOR_TEXT, str(state.rollout.generation)))
-    late = keeper.overdue(state.steering, now)
+    late = keeper.count_overdue(state.steering, now)
     if late:
         effects.append(Log(LogNumber.BUCKETS_UNSETTLED, str(late)))
     return effects
@@ -100,7 +100,7 @@
     if not state.stopping or state.stopped:
         return []
     steering = state.steering
-    if steering.moves_by_shard:
+    if steering.handoffs_by_shard:
         return []
     kept = any(ownership.owner == steering.me for ownership in steering.owners)
     if kept and state.members.alive:
--- a/src/bronzekeel/core/health/reducer.py
+++ b/src/bronzekeel/core/health/reducer.py
@@ -14,8 +14,8 @@
 
 _FAILURES_TO_EJECT = 3
 _EJECT_S = 2.0
-_EJECT_MOST_S = 30.0
-_BELIEVED_S = 10.0
+_MAX_EJECT_S = 30.0
+_SUCCESS_VALID_S = 10.0
 _SHED_FACTOR = 0.5
 
 
@@ -29,34 +29,34 @@
     """Take one attempt's end into the upstream's limit and ejection."""
     upstream = health.of(endpoint)
     was_ejected = upstream.ejections > 0
-    _learn(upstream, ended, slots, now)
+    _apply_outcome(upstream, ended, slots, now)
     if was_ejected == (upstream.ejections > 0):
         return []
     number = LogNumber.UPSTREAM_UP if was_ejected else LogNumber.UPSTREAM_DOWN
     return [Log(number, endpoint)]
 
 
-def _learn(upstream: UpstreamHealth, ended: str, slots: int, now: float) -> None:
+def _apply_outcome(upstream: UpstreamHealth, ended: str, slots: int, now: float) -> None:
     if ended == AttemptEnd.ANSWERED:
         upstream.failures = 0
         upstream.ejections = 0
         upstream.ejected_until = 0
-        upstream.succeeded_until = now + _BELIEVED_S
+        upstream.succeeded_until = now + _SUCCESS_VALID_S
         upstream.limit = min(slots, upstream.limit + 1 / upstream.limit)
         return
     if ended == AttemptEnd.SHED:
         upstream.limit = max(1, upstream.limit * _SHED_FACTOR)
         return
     if ended in {AttemptEnd.UNREACHED, AttemptEnd.LOST, AttemptEnd.CUT}:
-        _fail(upstream, now)
+        _record_failure(upstream, now)
 
 
-def _fail(upstream: UpstreamHealth, now: float) -> None:
+def _record_failure(upstream: UpstreamHealth, now: float) -> None:
     upstream.failures += 1
     upstream.succeeded_until = 0
     if upstream.failures < _FAILURES_TO_EJECT:
         return
-    wait_s = min(_EJECT_MOST_S, _EJECT_S * 2**upstream.ejections)
+    wait_s = min(_MAX_EJECT_S, _EJECT_S * 2**upstream.ejections)
     upstream.ejections += 1
     upstream.ejected_until = now + wait_s
     upstream.limit = 1
@@ -85,21 +85,21 @@
     whether it is right.  When more than half are called down the signal is
     distrusted, and not the upstreams.
     """
-    open_to = usable(health, endpoints, now)
-    doubted = {endpoint for endpoint in open_to if _doubted(health, endpoint, now)}
-    if len(doubted) * 2 > len(open_to) and not health.trusting:
-        doubted = set()
+    candidates = usable(health, endpoints, now)
+    suspects = {endpoint for endpoint in candidates if _is_suspect(health, endpoint, now)}
+    if len(suspects) * 2 > len(candidates) and not health.trusts_hints:
+        suspects = set()
     result = {}
-    for endpoint in open_to:
+    for endpoint in candidates:
         limit = int(min(health.of(endpoint).limit, slots))
-        if endpoint in doubted:
-            limit = 0 if health.trusting else 1
+        if endpoint in suspects:
+            limit = 0 if health.trusts_hints else 1
         result[endpoint] = limit
     return result
 
 
-def _doubted(health: Health, endpoint: str, now: float) -> bool:
+def _is_suspect(health: Health, endpoint: str, now: float) -> bool:
     upstream = health.of(endpoint)
-    if health.trusting:
+    if health.trusts_hints:
         return upstream.hinted_down
     return upstream.hinted_down and now >= upstream.succeeded_until
--- a/src/bronzekeel/core/health/state.py
+++ b/src/bronzekeel/core/health/state.py
@@ -23,12 +23,12 @@
 class Health:
     """Hold all upstreams by endpoint.
 
-    `trusting` believes health endpoints; it is off but where a test or a
+    `trusts_hints` believes health endpoints; it is off but where a test or a
     benchmark shows what that costs.
     """
 
     by_endpoint: dict[str, UpstreamHealth] = field(default_factory=dict)
-    trusting: bool = False
+    trusts_hints: bool = False
 
     def of(self, endpoint: str) -> UpstreamHealth:
         """Return an upstream's health, made if it is new."""
--- a/src/bronzekeel/core/membership/reducer.py
+++ b/src/bronzekeel/core/membership/reducer.py
@@ -23,7 +23,7 @@
 
 MILLISECONDS = 1000
 _SUSPECT_BEFORE_DEAD_S = 1.0
-_DEAD_BEAT_FACTOR = 4
+_DEAD_HEARTBEAT_FACTOR = 4
 
 
 def on_hosts(members: Membership, event: HostsListed, now: float) -> list[Effect]:
@@ -42,57 +42,57 @@
     return []
 
 
-def on_heartbeat(members: Membership, beat: Heartbeat, now: float) -> list[Effect]:
+def on_heartbeat(members: Membership, heartbeat: Heartbeat, now: float) -> list[Effect]:
     """Note that the sender lives and what it says of itself."""
-    member = members.by_name.get(beat.sender)
+    member = members.by_name.get(heartbeat.sender)
     if member is None:
-        if beat.host is None:
+        if heartbeat.host is None:
             return []
-        member = members.add(beat.host, now)
+        member = members.add(heartbeat.host, now)
         member.stable_at = now + SETTLE_IN_S
-    if beat.incarnation < member.incarnation:
+    if heartbeat.incarnation < member.incarnation:
         return []
     effects: list[Effect] = []
-    if beat.incarnation > member.incarnation or member.dead:
-        effects.append(Log(LogNumber.MEMBER_JOINED, beat.sender))
-        _welcome(member, beat, now)
-    member.stamp = max(member.stamp, beat.stamp)
-    member.generation = beat.generation
-    member.ready = beat.ready
-    member.leaving = beat.leaving
-    member.unheard = frozenset(beat.unheard)
-    member.heard_until = now + DEAD_S
-    if beat.echo:
-        echoed_until = beat.echo / MILLISECONDS + LEASE_S
+    if heartbeat.incarnation > member.incarnation or member.dead:
+        effects.append(Log(LogNumber.MEMBER_JOINED, heartbeat.sender))
+        _reset_member(member, heartbeat, now)
+    member.stamp = max(member.stamp, heartbeat.stamp)
+    member.generation = heartbeat.generation
+    member.ready = heartbeat.ready
+    member.leaving = heartbeat.leaving
+    member.unheard = frozenset(heartbeat.unheard)
+    member.heartbeat_deadline = now + DEAD_S
+    if heartbeat.echo:
+        echoed_until = heartbeat.echo / MILLISECONDS + LEASE_S
         member.contact_until = max(member.contact_until, echoed_until)
     return effects
 
 
-def _welcome(member: Member, beat: Heartbeat, now: float) -> None:
-    if beat.host is not None:
-        member.host = beat.host
-    member.incarnation = beat.incarnation
+def _reset_member(member: Member, heartbeat: Heartbeat, now: float) -> None:
+    if heartbeat.host is not None:
+        member.host = heartbeat.host
+    member.incarnation = heartbeat.incarnation
     member.dead = False
     member.stamp = 0
     member.contact_until = 0
-    member.next_beat_at = now
+    member.next_heartbeat_at = now
     member.stable_at = now + SETTLE_IN_S
 
 
 def on_tick(members: Membership, now: float) -> list[Effect]:
     """Declare the silent dead and forget those that nobody lists."""
     effects: list[Effect] = []
-    passed_s = now - members.ticked_at if members.ticked_at else 0
-    if passed_s > PAUSE_S:
-        _excuse_all(members, now)
-        effects.append(Log(LogNumber.PAUSED, f'{passed_s:.1f} s'))
+    elapsed_s = now - members.ticked_at if members.ticked_at else 0
+    if elapsed_s > PAUSE_S:
+        _extend_deadlines(members, now)
+        effects.append(Log(LogNumber.PAUSED, f'{elapsed_s:.1f} s'))
     members.ticked_at = now
     contacts = members.contacts(now)
     _forget(members, now)
     for name, member in members.by_name.items():
-        if member.dead or now <= member.heard_until:
+        if member.dead or now <= member.heartbeat_deadline:
             continue
-        if not member.leaving and _vouched(name, contacts):
+        if not member.leaving and _is_vouched_for(name, contacts):
             continue
         member.dead = True
         member.forget_at = now + FORGET_S
@@ -107,7 +107,7 @@
             members.by_name.pop(name)
 
 
-def _excuse_all(members: Membership, now: float) -> None:
+def _extend_deadlines(members: Membership, now: float) -> None:
     """Give every member a new chance after a pause of this process.
 
     What goes wrong otherwise: a process that wakes up finds that it has heard
@@ -115,35 +115,35 @@
     """
     members.pauses += 1
     for member in members.alive:
-        member.heard_until = now + DEAD_S
-        member.next_beat_at = now
+        member.heartbeat_deadline = now + DEAD_S
+        member.next_heartbeat_at = now
 
 
-def _vouched(name: str, contacts: list[Member]) -> bool:
+def _is_vouched_for(name: str, contacts: list[Member]) -> bool:
     """Return whether most contacts still hear `name`."""
     if not contacts:
         return False
-    hearing = sum(name not in member.unheard for member in contacts)
-    return hearing * 2 >= len(contacts)
+    receiving = sum(name not in member.unheard for member in contacts)
+    return receiving * 2 >= len(contacts)
 
 
-def unheard(members: Membership, now: float) -> tuple[str, ...]:
+def silent_members(members: Membership, now: float) -> tuple[str, ...]:
     """Return the members that have been silent long enough to be suspected."""
     suspect_at = now + _SUSPECT_BEFORE_DEAD_S
     return tuple(
         name
         for name, member in members.by_name.items()
-        if member.dead or member.heard_until < suspect_at
+        if member.dead or member.heartbeat_deadline < suspect_at
     )
 
 
-def due_for_beat(members: Membership, now: float) -> list[Member]:
+def due_for_heartbeat(members: Membership, now: float) -> list[Member]:
     """Return the members to send a heartbeat to, and plan the next one."""
     due = []
     for member in members.by_name.values():
-        if now < member.next_beat_at:
+        if now < member.next_heartbeat_at:
             continue
-        factor = _DEAD_BEAT_FACTOR if member.dead else 1
-        member.next_beat_at = now + HEARTBEAT_S * factor
+        factor = _DEAD_HEARTBEAT_FACTOR if member.dead else 1
+        member.next_heartbeat_at = now + HEARTBEAT_S * factor
         due.append(member)
     return due
--- a/src/bronzekeel/core/membership/state.py
+++ b/src/bronzekeel/core/membership/state.py
@@ -10,15 +10,15 @@
 class Member:
     """Hold what is known of one other balancer; all times are deadlines.
 
-    `heard_until` passes when it has been silent too long, `contact_until`
+    `heartbeat_deadline` passes when it has been silent too long, `contact_until`
     when its echo of one of our own stamps is too old: only the latter shows
     that the link works in both directions.
     """
 
     host: HostEntry
-    heard_until: float
+    heartbeat_deadline: float
     stable_at: float
-    next_beat_at: float = 0
+    next_heartbeat_at: float = 0
     contact_until: float = 0
     forget_at: float = 0
     incarnation: int = 0
@@ -52,7 +52,7 @@
 
     @property
     def alive_names(self) -> list[str]:
-        """Names of the living members."""
+        """Names of the live members."""
         return [name for name, member in self.by_name.items() if not member.dead]
 
     def contacts(self, now: float) -> list[Member]:
@@ -65,7 +65,7 @@
         return member is not None and now < member.contact_until
 
     def is_alive(self, name: str) -> bool:
-        """Return whether `name` is this balancer or a living member."""
+        """Return whether `name` is this balancer or a live member."""
         if name == self.me.name:
             return True
         member = self.by_name.get(name)
@@ -74,12 +74,12 @@
     def valid_until(self) -> float:
         """Return until when a majority of peers vouches for this balancer.
 
-        The living members have to agree, and so has one of two larger groups:
+        The live members have to agree, and so has one of two larger groups:
         all known members, or all of the own data centre.  A host that was
         paused or is cut off alone fails both; a data centre that is cut off
         passes once it has given the rest up for dead.
         """
-        living = [member.contact_until for member in self.alive]
+        live = [member.contact_until for member in self.alive]
         known = [member for member in self.by_name.values() if member.listed or not member.dead]
         everyone = [member.contact_until for member in known]
         local = [
@@ -88,13 +88,13 @@
             if member.host.data_centre == self.me.data_centre
         ]
         larger = max(_majority_until(local), _majority_until(everyone))
-        return min(_majority_until(living), larger)
+        return min(_majority_until(live), larger)
 
     def add(self, host: HostEntry, now: float) -> Member:
         """Return the member for `host`, made if it is new."""
         member = self.by_name.get(host.name)
         if member is None:
-            member = Member(host, heard_until=now + DEAD_S, stable_at=now)
+            member = Member(host, heartbeat_deadline=now + DEAD_S, stable_at=now)
             self.by_name[host.name] = member
         return member
 
--- a/src/bronzekeel/core/reducer.py
+++ b/src/bronzekeel/core/reducer.py
@@ -146,7 +146,7 @@
     if member is None:
         return []
     behind = member.generation > state.rollout.generation or not state.rollout.generation
-    return journal.follow(state.steering, part, text_behind=behind)
+    return journal.apply_part(state.steering, part, text_outdated=behind)
 
 
 def _on_text(state: BalancerState, event: TextAccepted, now: float) -> list[Effect]:
@@ -159,7 +159,7 @@
     if moved:
         effects.append(Log(LogNumber.BUCKETS_MOVING, str(moved)))
     for member in state.members.alive:
-        member.next_beat_at = now
+        member.next_heartbeat_at = now
     effects.extend(beats(state, now))
     return effects
 
@@ -193,7 +193,7 @@
     state.stopping = True
     state.members.leaving = True
     for member in state.members.alive:
-        member.next_beat_at = now
+        member.next_heartbeat_at = now
     return [Log(LogNumber.STOPPING), *beats(state, now)]
 
 
--- a/src/bronzekeel/core/requests/keepers.py
+++ b/src/bronzekeel/core/requests/keepers.py
@@ -33,7 +33,7 @@
     shard = text_hash(service) % SHARDS
     owner = state.steering.owners[shard].owner
     if owner == state.members.me.name:
-        return owner if now < state.steering.self_until else ''
+        return owner if now < state.steering.self_valid_until else ''
     if state.members.in_contact(owner, now + _CONTACT_LEFT_S):
         return owner
     return ''
--- a/src/bronzekeel/core/steering/journal.py
+++ b/src/bronzekeel/core/steering/journal.py
@@ -20,7 +20,7 @@
     RegisterEntry,
     ShardOffer,
 )
-from bronzekeel.core.steering.packs import entries_of, part_of
+from bronzekeel.core.steering.packs import pack_part, unpack_part
 from bronzekeel.core.steering.records import RecordEntry, pack
 from bronzekeel.core.steering.registers import NO_RECORDS, Register, Stage
 from bronzekeel.core.steering.state import Link, Ownership, ServiceTable, Steering
@@ -29,43 +29,43 @@
 def on_heartbeat(
     steering: Steering,
     members: Membership,
-    beat: Heartbeat,
+    heartbeat: Heartbeat,
     now: float,
 ) -> list[Effect]:
     """Take a renewed lease, or ask for the entries that are missing."""
-    link = steering.link(beat.sender)
-    if beat.incarnation < link.incarnation:
+    link = steering.link(heartbeat.sender)
+    if heartbeat.incarnation < link.incarnation:
         return []
-    if beat.incarnation > link.incarnation:
-        _forget_journal(steering, beat, link)
-    link.acked_seq = max(link.acked_seq, beat.ack)
-    link.heard_seq = max(link.heard_seq, beat.seq)
-    if beat.grants and beat.echo and beat.seq == link.known_seq:
-        until = beat.echo / MILLISECONDS + LEASE_S
+    if heartbeat.incarnation > link.incarnation:
+        _reset_journal(steering, heartbeat, link)
+    link.acked_seq = max(link.acked_seq, heartbeat.ack)
+    link.announced_seq = max(link.announced_seq, heartbeat.seq)
+    if heartbeat.grants and heartbeat.echo and heartbeat.seq == link.applied_seq:
+        until = heartbeat.echo / MILLISECONDS + LEASE_S
         link.lease_until = max(link.lease_until, until)
-    steering.self_until = members.valid_until()
-    if link.known_seq >= beat.seq or now < link.pull_at:
+    steering.self_valid_until = members.valid_until()
+    if link.applied_seq >= heartbeat.seq or now < link.pull_at:
         return []
     link.pull_at = now + RESEND_S
-    return [Say(beat.sender, JournalPull(steering.me, link.incarnation, link.known_seq))]
+    return [Say(heartbeat.sender, JournalPull(steering.me, link.incarnation, link.applied_seq))]
 
 
-def _forget_journal(steering: Steering, beat: Heartbeat, link: Link) -> None:
+def _reset_journal(steering: Steering, heartbeat: Heartbeat, link: Link) -> None:
     """Start a restarted keeper's journal anew; its shards are orphans now."""
     restarted = link.incarnation != 0
-    link.incarnation = beat.incarnation
-    link.known_seq = 0
-    link.heard_seq = 0
+    link.incarnation = heartbeat.incarnation
+    link.applied_seq = 0
+    link.announced_seq = 0
     link.lease_until = 0
     link.acked_seq = 0
     if not restarted:
         return
     for ownership in steering.owners:
-        if ownership.owner == beat.sender:
+        if ownership.owner == heartbeat.sender:
             ownership.orphaned = True
 
 
-def grants(steering: Steering, host: str, now: float) -> bool:
+def try_renew_lease(steering: Steering, host: str, now: float) -> bool:
     """Return whether a heartbeat to `host` may renew its lease, and note it.
 
     A holder that has not confirmed the newest entry gets none: else a lease
@@ -95,7 +95,7 @@
         for register in steering.registers_of(shard):
             if register.seq > since:
                 registers.append(register.entry())
-    return part_of(steering.me, incarnation, since, steering.seq, owners, registers)
+    return pack_part(steering.me, incarnation, since, steering.seq, owners, registers)
 
 
 def on_pull(
@@ -131,7 +131,7 @@
     )
     steering.changed_shards.clear()
     steering.changed.clear()
-    part = part_of(
+    part = pack_part(
         steering.me,
         members.incarnation,
         since,
@@ -142,37 +142,37 @@
     return [Say(name, part) for name in members.alive_names]
 
 
-def follow(
+def apply_part(
     steering: Steering,
     part: JournalPart,
     *,
-    text_behind: bool,
+    text_outdated: bool,
 ) -> list[Effect]:
     """Apply a keeper's entries and confirm them.
 
-    With a text older than the keeper's (`text_behind`) entries of services
+    With a text older than the keeper's (`text_outdated`) entries of services
     not known yet would be lost, so the part waits to be pulled again.
     """
     link = steering.link(part.sender)
     if part.incarnation != link.incarnation:
         return []
-    entries = list(entries_of(part))
-    if text_behind and any(entry.service not in steering.tables_by_name for entry in entries):
+    entries = list(unpack_part(part))
+    if text_outdated and any(entry.service not in steering.tables_by_name for entry in entries):
         return []
     effects: list[Effect] = []
-    if part.after > link.known_seq:
-        return [Say(part.sender, JournalPull(steering.me, link.incarnation, link.known_seq))]
+    if part.after > link.applied_seq:
+        return [Say(part.sender, JournalPull(steering.me, link.incarnation, link.applied_seq))]
     for owner in part.owners:
-        effects.extend(_take_owner(steering, owner))
+        effects.extend(_apply_owner(steering, owner))
     for entry in entries:
-        _take_register(steering, part.sender, entry)
-    link.known_seq = max(link.known_seq, part.seq)
-    link.heard_seq = max(link.heard_seq, part.seq)
-    effects.append(Say(part.sender, JournalAck(steering.me, link.incarnation, link.known_seq)))
+        _apply_register(steering, part.sender, entry)
+    link.applied_seq = max(link.applied_seq, part.seq)
+    link.announced_seq = max(link.announced_seq, part.seq)
+    effects.append(Say(part.sender, JournalAck(steering.me, link.incarnation, link.applied_seq)))
     return effects
 
 
-def _take_owner(steering: Steering, entry: OwnerEntry) -> list[Effect]:
+def _apply_owner(steering: Steering, entry: OwnerEntry) -> list[Effect]:
     """Accept a keeper of a higher term; give up what it takes from us.
 
     Word that this balancer itself is the heir may overtake the hand-over; it
@@ -183,11 +183,11 @@
         return []
     if (entry.term, entry.owner) <= (ownership.term, ownership.owner):
         if ownership.owner == steering.me and entry.term >= ownership.rival_term:
-            _repeat(steering, entry)
+            _republish(steering, entry)
         return []
     effects: list[Effect] = []
     if ownership.owner == steering.me:
-        effects.append(_surrender(steering, entry, ownership))
+        effects.append(_relinquish(steering, entry, ownership))
         effects.append(Log(LogNumber.SHARD_LOST, entry.owner))
     ownership.term = entry.term
     ownership.owner = entry.owner
@@ -195,19 +195,19 @@
     return effects
 
 
-def _repeat(steering: Steering, entry: OwnerEntry) -> None:
+def _republish(steering: Steering, entry: OwnerEntry) -> None:
     """Say again what this keeper's registers are, since another claimed them.
 
     What goes wrong otherwise: peers that followed the rival keep its registers,
     and hand over for ever what is settled here.
     """
     steering.owners[entry.shard].rival_term = entry.term + 1
-    steering.mark_shard(entry.shard)
+    steering.mark_shard_changed(entry.shard)
     for register in steering.registers_of(entry.shard):
-        steering.mark(register)
+        steering.mark_changed(register)
 
 
-def _surrender(
+def _relinquish(
     steering: Steering,
     entry: OwnerEntry,
     ownership: Ownership,
@@ -219,16 +219,16 @@
     """
     records = []
     for register in steering.registers_of(entry.shard):
-        records.extend(off_base(register))
+        records.extend(records_off_base(register))
         register.records = NO_RECORDS
         steering.unsettled.discard((register.service, register.bucket))
-    steering.moves_by_shard.pop(entry.shard, None)
+    steering.handoffs_by_shard.pop(entry.shard, None)
     ownership.seq = 0
     offer = ShardOffer(steering.me, entry.shard, entry.term, pack(records))
     return Say(entry.owner, offer)
 
 
-def off_base(register: Register) -> list[RecordEntry]:
+def records_off_base(register: Register) -> list[RecordEntry]:
     """Return the records of an unsettled bucket that are not on its base."""
     return [
         RecordEntry(register.service, register.bucket, fingerprint, record.upstream)
@@ -237,7 +237,7 @@
     ]
 
 
-def _take_register(steering: Steering, sender: str, entry: RegisterEntry) -> None:
+def _apply_register(steering: Steering, sender: str, entry: RegisterEntry) -> None:
     """Apply one register unless a keeper of a higher term has the shard."""
     table = steering.tables_by_name.get(entry.service)
     if table is None or entry.bucket > table.mask:
@@ -258,7 +258,7 @@
             entry.current,
         )
         table.registers[entry.bucket] = register
-    register.take(entry)
+    register.apply(entry)
     ban_reused(steering, table, register)
     if register.settled:
         _drop_copies(steering, register)
--- a/src/bronzekeel/core/steering/keeper.py
+++ b/src/bronzekeel/core/steering/keeper.py
@@ -14,12 +14,12 @@
     SHARDS,
     SYN_REPEAT_S,
 )
-from bronzekeel.core.steering.registers import NO_RECORDS, FlowRecord, FlowSet, Register, Stage
+from bronzekeel.core.steering.registers import NO_RECORDS, FlowMap, FlowRecord, Register, Stage
 from bronzekeel.core.steering.state import ServiceTable, Steering
 
 
 #: Interval at which old exceptions are looked for.
-_LOOK_S = 30.0
+_RECOUNT_CHECK_S = 30.0
 
 
 def adopt_targets(steering: Steering, now: float) -> int:
@@ -51,7 +51,7 @@
         shard = table.shard_of(bucket)
         if not steering.owns(shard):
             continue
-        if shard in steering.moves_by_shard:
+        if shard in steering.handoffs_by_shard:
             steering.due_shards.add(shard)
             continue
         moved += _adopt_one(steering, table, bucket, now)
@@ -66,14 +66,14 @@
         term = steering.owners[shard].term
         register = Register(table.name, bucket, shard, term, Stage.SETTLED, target, target)
         table.registers[bucket] = register
-        steering.mark(register)
+        steering.mark_changed(register)
         return 0
     if register.current == target:
         return 0
     if register.settled:
         announce(steering, table, register, now)
     register.current = target
-    steering.mark(register)
+    steering.mark_changed(register)
     return 1
 
 
@@ -87,7 +87,7 @@
     register.stage = Stage.ANNOUNCED
     register.announced = steering.seq + 1
     load_records(register, table.idle_s, now)
-    steering.mark(register)
+    steering.mark_changed(register)
     steering.unsettled.add((register.service, register.bucket))
 
 
@@ -110,7 +110,7 @@
         if register is None or not steering.owns(register.shard):
             steering.unsettled.discard((service, bucket))
             continue
-        if register.shard in steering.moves_by_shard:
+        if register.shard in steering.handoffs_by_shard:
             continue
         changed += _advance_one(steering, register, now, may_settle=may_settle)
     return changed
@@ -129,7 +129,7 @@
             return 0
         register.stage = Stage.ACTING
         register.counted_at = now + steering.tables_by_name[register.service].idle_s
-        steering.mark(register)
+        steering.mark_changed(register)
         return 1
     if may_settle and now >= register.counted_at:
         return _settle(steering, register, now)
@@ -164,11 +164,11 @@
     if len(exceptions) > MAX_EXCEPTIONS:
         return 0
     register.base = register.current
-    register.exceptions = FlowSet(exceptions) if exceptions else None
+    register.exceptions = FlowMap(exceptions) if exceptions else None
     register.stage = Stage.SETTLED
     register.records = NO_RECORDS
     register.recount_at = now + RECOUNT_S
-    steering.mark(register)
+    steering.mark_changed(register)
     steering.unsettled.discard((register.service, register.bucket))
     return 1
 
@@ -181,25 +181,25 @@
     """
     if now < steering.recount_at:
         return 0
-    steering.recount_at = now + _LOOK_S
-    old = [
+    steering.recount_at = now + _RECOUNT_CHECK_S
+    due = [
         (table, register)
         for table in steering.tables_by_name.values()
         for register in table.registers
         if register is not None and _recountable(steering, register, now)
     ]
-    for table, register in old:
+    for table, register in due:
         announce(steering, table, register, now)
-    return len(old)
+    return len(due)
 
 
 def _recountable(steering: Steering, register: Register, now: float) -> bool:
     if not register.settled or not register.exceptions or now < register.recount_at:
         return False
-    return steering.owns(register.shard) and register.shard not in steering.moves_by_shard
+    return steering.owns(register.shard) and register.shard not in steering.handoffs_by_shard
 
 
-def overdue(steering: Steering, now: float) -> int:
+def count_overdue(steering: Steering, now: float) -> int:
     """Return how many buckets stay unsettled past the time they were counted."""
     late = 0
     for service, bucket in steering.unsettled:
--- a/src/bronzekeel/core/steering/owners.py
+++ b/src/bronzekeel/core/steering/owners.py
@@ -18,12 +18,12 @@
     ShardOffer,
     ShardOfferAck,
 )
-from bronzekeel.core.steering.journal import off_base
+from bronzekeel.core.steering.journal import records_off_base
 from bronzekeel.core.steering.replicas import successor
 from bronzekeel.core.steering.keeper import announce, load_records
 from bronzekeel.core.steering.records import RecordEntry, pack, unpack
 from bronzekeel.core.steering.registers import NO_RECORDS, FlowRecord, Register
-from bronzekeel.core.steering.state import Move, Ownership, Retained, Steering
+from bronzekeel.core.steering.state import Ownership, Retained, ShardHandoff, Steering
 
 
 _FENCE_S = LEASE_S + LEASE_MARGIN_S
@@ -39,19 +39,19 @@
 
     While nobody is ready, a whole fleet is starting: then all in contact may.
     """
-    living = [member for member in members.alive if not member.leaving]
-    names = [member.host.name for member in living if _fit(member, now)]
+    live = [member for member in members.alive if not member.leaving]
+    names = [member.host.name for member in live if _is_eligible(member, now)]
     if ready and not members.leaving:
         names.append(members.me.name)
     if names:
         return names
-    names = [member.host.name for member in living if now < member.contact_until]
+    names = [member.host.name for member in live if now < member.contact_until]
     if not members.leaving:
         names.append(members.me.name)
     return names
 
 
-def _fit(member: Member, now: float) -> bool:
+def _is_eligible(member: Member, now: float) -> bool:
     return member.ready and now < member.contact_until and now >= member.stable_at
 
 
@@ -71,52 +71,52 @@
     mine = [
         shard
         for shard, ownership in enumerate(steering.owners)
-        if not _in_office(ownership, members)
+        if not _has_live_keeper(ownership, members)
         and successor(ownership.owner or str(shard), names) == steering.me
     ]
-    inherited = sum(_inherit(steering, shard, now) for shard in mine)
+    restored = sum(_take_over(steering, shard, now) for shard in mine)
     if not mine:
         return []
-    if inherited:
-        detail = f'{len(mine)} shards with {inherited} records'
+    if restored:
+        detail = f'{len(mine)} shards with {restored} records'
         return [Log(LogNumber.SHARD_TAKEN_OVER, detail)]
     return [Log(LogNumber.SHARD_CLAIMED, str(len(mine)))]
 
 
-def _in_office(ownership: Ownership, members: Membership) -> bool:
-    """Return whether a shard has a living keeper."""
+def _has_live_keeper(ownership: Ownership, members: Membership) -> bool:
+    """Return whether a shard has a live keeper."""
     if not ownership.owner or ownership.orphaned:
         return False
     return members.is_alive(ownership.owner)
 
 
-def _inherit(steering: Steering, shard: int, now: float) -> int:
-    """Enter office for a shard without a keeper; return the records inherited.
+def _take_over(steering: Steering, shard: int, now: float) -> int:
+    """Enter office for a shard without a keeper; return the records restored.
 
     A dead keeper's leases are waited out before anything is started.
     """
     ownership = steering.owners[shard]
     ownership.fence_until = now + _FENCE_S if ownership.owner else now
-    _take(steering, shard, ownership.term + 1, now)
+    _become_keeper(steering, shard, ownership.term + 1, now)
     copies = steering.replicas_by_shard.pop(shard, {})
-    copies.update(_flows(steering.offered_by_shard.pop(shard, ())))
+    copies.update(_unpack_flows(steering.offered_by_shard.pop(shard, ())))
     _restore(steering, shard, copies, now)
     return len(copies)
 
 
-def _take(steering: Steering, shard: int, term: int, now: float) -> None:
+def _become_keeper(steering: Steering, shard: int, term: int, now: float) -> None:
     """Enter office: all registers of the shard go into this keeper's journal."""
     ownership = steering.owners[shard]
     ownership.owner = steering.me
     ownership.term = term
     ownership.orphaned = False
-    steering.mark_shard(shard)
+    steering.mark_shard_changed(shard)
     steering.due_shards.add(shard)
     steering.standby_by_shard.pop(shard, None)
     steering.retained_by_shard.pop(shard, None)
     for register in steering.registers_of(shard):
         register.term = term
-        steering.mark(register)
+        steering.mark_changed(register)
         if register.settled:
             continue
         table = steering.tables_by_name[register.service]
@@ -137,10 +137,10 @@
         register = steering.register(service, bucket)
         if register is None or register.shard != shard:
             continue
-        _enter(steering, register, fingerprint, upstream, now)
+        _restore_record(steering, register, fingerprint, upstream, now)
 
 
-def _enter(
+def _restore_record(
     steering: Steering,
     register: Register,
     fingerprint: int,
@@ -149,14 +149,14 @@
 ) -> None:
     table = steering.tables_by_name[register.service]
     if register.settled:
-        if _direct_upstream(register, fingerprint) == upstream:
+        if _settled_upstream(register, fingerprint) == upstream:
             return
         announce(steering, table, register, now)
     deadline = now + table.idle_s
     register.records.setdefault(fingerprint, FlowRecord(upstream, deadline, now))
 
 
-def _direct_upstream(register: Register, fingerprint: int) -> str:
+def _settled_upstream(register: Register, fingerprint: int) -> str:
     if register.exceptions is None:
         return register.base
     return register.exceptions.get(fingerprint) or register.base
@@ -171,67 +171,67 @@
     """Offer shards that belong to another host by now; repeat what is unconfirmed."""
     effects: list[Effect] = []
     for shard, ownership in enumerate(steering.owners):
-        move = steering.moves_by_shard.get(shard)
-        if move is not None:
-            effects.extend(_press(steering, members, shard, move, now))
+        handoff = steering.handoffs_by_shard.get(shard)
+        if handoff is not None:
+            effects.extend(_retry_handoff(steering, members, shard, handoff, now))
             continue
         if ownership.owner != steering.me:
             continue
-        heir = _heir(steering, shard, names)
-        if heir is None:
+        new_keeper = _find_new_keeper(steering, shard, names)
+        if new_keeper is None:
             continue
-        move = Move(heir, ownership.term + 1, now + RESEND_S)
-        steering.moves_by_shard[shard] = move
-        effects.append(_offer(steering, shard, move))
+        handoff = ShardHandoff(new_keeper, ownership.term + 1, now + RESEND_S)
+        steering.handoffs_by_shard[shard] = handoff
+        effects.append(_offer(steering, shard, handoff))
     return effects
 
 
-def _heir(steering: Steering, shard: int, names: list[str]) -> str | None:
+def _find_new_keeper(steering: Steering, shard: int, names: list[str]) -> str | None:
     """Return another host that should keep the shard and knows its registers."""
-    heir = rendezvous_first(str(shard), names)
-    if heir is None or heir == steering.me:
+    new_keeper = rendezvous_first(str(shard), names)
+    if new_keeper is None or new_keeper == steering.me:
         return None
-    return heir if steering.link(heir).acked_seq == steering.seq else None
+    return new_keeper if steering.link(new_keeper).acked_seq == steering.seq else None
 
 
-def _offer(steering: Steering, shard: int, move: Move) -> Say:
+def _offer(steering: Steering, shard: int, handoff: ShardHandoff) -> Say:
     records: list[RecordEntry] = []
     for register in steering.registers_of(shard):
-        records.extend(off_base(register))
-    move.records.clear()
-    offer = ShardOffer(steering.me, shard, move.term, pack(records))
-    return Say(move.heir, offer)
+        records.extend(records_off_base(register))
+    handoff.records.clear()
+    offer = ShardOffer(steering.me, shard, handoff.term, pack(records))
+    return Say(handoff.new_keeper, offer)
 
 
-def _press(
+def _retry_handoff(
     steering: Steering,
     members: Membership,
     shard: int,
-    move: Move,
+    handoff: ShardHandoff,
     now: float,
 ) -> list[Effect]:
     """Repeat the step of a hand-over that was not confirmed, or call it off."""
-    if not members.is_alive(move.heir):
-        steering.moves_by_shard.pop(shard)
+    if not members.is_alive(handoff.new_keeper):
+        steering.handoffs_by_shard.pop(shard)
         steering.due_shards.add(shard)
         return []
-    if now < move.resend_at:
+    if now < handoff.resend_at:
         return []
-    move.resend_at = now + RESEND_S
-    if move.given:
-        return [_go(steering, shard, move)]
-    return [_offer(steering, shard, move)]
+    handoff.resend_at = now + RESEND_S
+    if handoff.given:
+        return [_send_records(steering, shard, handoff)]
+    return [_offer(steering, shard, handoff)]
 
 
-def _go(steering: Steering, shard: int, move: Move) -> Say:
-    return Say(move.heir, ShardGo(steering.me, shard, move.term, pack(move.records)))
+def _send_records(steering: Steering, shard: int, handoff: ShardHandoff) -> Say:
+    return Say(handoff.new_keeper, ShardGo(steering.me, shard, handoff.term, pack(handoff.records)))
 
 
 def on_offer(steering: Steering, offer: ShardOffer, now: float) -> list[Effect]:
     """Hold an offered shard's records; merge them if the shard is kept already."""
     ownership = steering.owners[offer.shard]
     if ownership.owner == steering.me:
-        _restore(steering, offer.shard, _flows(offer.records), now)
+        _restore(steering, offer.shard, _unpack_flows(offer.records), now)
         return []
     if offer.term <= ownership.term:
         return []
@@ -239,7 +239,7 @@
     return [Say(offer.sender, ShardOfferAck(steering.me, offer.shard, offer.term))]
 
 
-def _flows(packs: tuple[RecordPack, ...]) -> dict[tuple[str, int, int], str]:
+def _unpack_flows(packs: tuple[RecordPack, ...]) -> dict[tuple[str, int, int], str]:
     return {
         (record.service, record.bucket, record.fingerprint): record.upstream
         for record in unpack(packs)
@@ -256,13 +256,13 @@
     The owner entry goes into the journal, so that no lease of this keeper
     covers the shard any longer once the present ones have lapsed.
     """
-    move = steering.moves_by_shard.get(ack.shard)
-    if move is None or move.given or move.term != ack.term:
+    handoff = steering.handoffs_by_shard.get(ack.shard)
+    if handoff is None or handoff.given or handoff.term != ack.term:
         return []
     if not steering.owns(ack.shard):
         return []
-    move.given = True
-    move.resend_at = now + RESEND_S
+    handoff.given = True
+    handoff.resend_at = now + RESEND_S
     retained = Retained(now + RETAIN_S)
     for register in steering.registers_of(ack.shard):
         _retain(retained, register)
@@ -270,10 +270,13 @@
         steering.unsettled.discard((register.service, register.bucket))
     steering.retained_by_shard[ack.shard] = retained
     ownership = steering.owners[ack.shard]
-    ownership.owner = move.heir
-    ownership.term = move.term
-    steering.mark_shard(ack.shard)
-    return [_go(steering, ack.shard, move), Log(LogNumber.SHARD_GIVEN, move.heir)]
+    ownership.owner = handoff.new_keeper
+    ownership.term = handoff.term
+    steering.mark_shard_changed(ack.shard)
+    return [
+        _send_records(steering, ack.shard, handoff),
+        Log(LogNumber.SHARD_GIVEN, handoff.new_keeper),
+    ]
 
 
 def _retain(retained: Retained, register: Register) -> None:
@@ -290,19 +293,19 @@
     """Enter office after a planned hand-over."""
     ack = Say(go.sender, ShardGoAck(steering.me, go.shard, go.term))
     ownership = steering.owners[go.shard]
-    held = ownership.owner == steering.me and ownership.term >= go.term
-    if held or ownership.term > go.term:
+    is_keeper = ownership.owner == steering.me and ownership.term >= go.term
+    if is_keeper or ownership.term > go.term:
         return [ack]
     offered = steering.offered_by_shard.pop(go.shard, ())
     ownership.fence_until = now + _FENCE_S
-    _take(steering, go.shard, go.term, now)
-    _restore(steering, go.shard, _flows(offered + go.records), now)
+    _become_keeper(steering, go.shard, go.term, now)
+    _restore(steering, go.shard, _unpack_flows(offered + go.records), now)
     return [ack]
 
 
 def on_go_ack(steering: Steering, ack: ShardGoAck) -> list[Effect]:
     """Close a hand-over."""
-    move = steering.moves_by_shard.get(ack.shard)
-    if move is not None and move.term == ack.term:
-        steering.moves_by_shard.pop(ack.shard)
+    handoff = steering.handoffs_by_shard.get(ack.shard)
+    if handoff is not None and handoff.term == ack.term:
+        steering.handoffs_by_shard.pop(ack.shard)
     return []
--- a/src/bronzekeel/core/steering/packets.py
+++ b/src/bronzekeel/core/steering/packets.py
@@ -48,20 +48,20 @@
         return Drop(DropReason.UNKNOWN_SERVICE)
     register = table.registers[packet.hashed & table.mask]
     if register is None:
-        return _hand_over(steering, members, table, packet, now)
+        return _hand_to_keeper(steering, members, table, packet, now)
     owner = steering.owners[register.shard].owner
     if owner == steering.me:
-        if now >= steering.self_until:
-            return _without_word(steering, members, table, packet, now)
-        return _direct(table, register, packet) if register.stage is _SETTLED else None
+        if now >= steering.self_valid_until:
+            return _steer_unconfirmed(steering, members, table, packet, now)
+        return _forward_settled(table, register, packet) if register.stage is _SETTLED else None
     if register.stage is _SETTLED:
         link = steering.links_by_host.get(owner)
         if link is not None and now < link.lease_until:
-            return _direct(table, register, packet)
-    return _hand_over(steering, members, table, packet, now)
+            return _forward_settled(table, register, packet)
+    return _hand_to_keeper(steering, members, table, packet, now)
 
 
-def _direct(table: ServiceTable, register: Register, packet: Packet) -> Verdict:
+def _forward_settled(table: ServiceTable, register: Register, packet: Packet) -> Verdict:
     """Forward by a settled register: an exception, or the base."""
     upstream = register.base
     if register.exceptions is not None and not packet.opens:
@@ -72,7 +72,7 @@
     return Forward(upstream, packet.raw)
 
 
-def _hand_over(
+def _hand_to_keeper(
     steering: Steering,
     members: Membership,
     table: ServiceTable,
@@ -82,12 +82,12 @@
     """Send the packet to the keeper of its bucket, by a third host if need be."""
     bucket = packet.hashed & table.mask
     shard = table.shard_of(bucket)
-    kept = _retained(steering, table, packet, now)
-    if kept is not None:
-        return kept
+    verdict = _forward_retained(steering, table, packet, now)
+    if verdict is not None:
+        return verdict
     owner = steering.owners[shard].owner
     if not owner or not members.is_alive(owner):
-        return _last_known(steering, table, packet)
+        return _forward_last_known(steering, table, packet)
     if packet.hops >= HOP_LIMIT:
         return Drop(DropReason.HOP_LIMIT)
     if members.in_contact(owner, now):
@@ -97,7 +97,7 @@
     return Hand(relay or owner, packet.raw, packet.hops + 1)
 
 
-def _retained(
+def _forward_retained(
     steering: Steering,
     table: ServiceTable,
     packet: Packet,
@@ -116,10 +116,10 @@
     upstream = retained.upstream_by_flow.get(flow)
     if upstream is None:
         return None
-    return _allowed(table, upstream, packet)
+    return _forward_unless_banned(table, upstream, packet)
 
 
-def _without_word(
+def _steer_unconfirmed(
     steering: Steering,
     members: Membership,
     table: ServiceTable,
@@ -135,30 +135,30 @@
     """
     peers = members.alive_names
     if not peers or members.contacts(now):
-        return _last_known(steering, table, packet)
+        return _forward_last_known(steering, table, packet)
     if packet.hops >= HOP_LIMIT:
         return Drop(DropReason.NO_KEEPER)
     shard = table.shard_of(packet.hashed & table.mask)
-    heir = rendezvous_first(str(shard), peers)
-    return Hand(heir or '', packet.raw, packet.hops + 1)
+    new_keeper = rendezvous_first(str(shard), peers)
+    return Hand(new_keeper or '', packet.raw, packet.hops + 1)
 
 
-def _last_known(steering: Steering, table: ServiceTable, packet: Packet) -> Verdict:
+def _forward_last_known(steering: Steering, table: ServiceTable, packet: Packet) -> Verdict:
     """Forward by what was last known: dropping would stall at least as many."""
     bucket = packet.hashed & table.mask
     register = table.registers[bucket]
     if register is None:
         return Drop(DropReason.NO_KEEPER)
-    upstream = _last_record(steering, register, packet)
+    upstream = _last_known_upstream(steering, register, packet)
     if upstream is not None:
-        return _allowed(table, upstream, packet, stale=True)
-    verdict = _direct(table, register, packet)
+        return _forward_unless_banned(table, upstream, packet, stale=True)
+    verdict = _forward_settled(table, register, packet)
     if isinstance(verdict, Forward):
         return Forward(verdict.upstream, packet.raw, stale=True)
     return verdict
 
 
-def _last_record(
+def _last_known_upstream(
     steering: Steering,
     register: Register,
     packet: Packet,
@@ -176,7 +176,7 @@
     return copies.get((register.service, register.bucket, fingerprint))
 
 
-def _allowed(
+def _forward_unless_banned(
     table: ServiceTable,
     upstream: str,
     packet: Packet,
@@ -200,12 +200,12 @@
     if register is None or not steering.owns(register.shard):
         return Drop(DropReason.NO_KEEPER)
     if register.settled:
-        return _direct(table, register, packet)
-    upstream = _record(steering, table, register, packet, now)
-    return _allowed(table, upstream, packet)
+        return _forward_settled(table, register, packet)
+    upstream = _record_flow(steering, table, register, packet, now)
+    return _forward_unless_banned(table, upstream, packet)
 
 
-def _record(
+def _record_flow(
     steering: Steering,
     table: ServiceTable,
     register: Register,
@@ -248,6 +248,6 @@
     """Queue the record for the standby and for a hand-over under way."""
     entry = RecordEntry(register.service, register.bucket, fingerprint, upstream)
     steering.fresh_records.append(entry)
-    move = steering.moves_by_shard.get(register.shard)
-    if move is not None:
-        move.records.append(entry)
+    handoff = steering.handoffs_by_shard.get(register.shard)
+    if handoff is not None:
+        handoff.records.append(entry)
--- a/src/bronzekeel/core/steering/packs.py
+++ b/src/bronzekeel/core/steering/packs.py
@@ -10,10 +10,10 @@
 
 from bronzekeel.core.messages import JournalPart, OwnerEntry, RegisterEntry, RegisterPack
 
-_WIDTH = 2
+_BUCKET_BYTES = 2
 
 
-def part_of(
+def pack_part(
     sender: str,
     incarnation: int,
     after: int,
@@ -22,22 +22,24 @@
     entries: Iterable[RegisterEntry],
 ) -> JournalPart:
     """Return the part of a journal that holds these entries."""
-    buckets_by_likeness: dict[tuple[str, int, int, str, str], list[int]] = {}
-    single = []
+    buckets_by_fields: dict[tuple[str, int, int, str, str], list[int]] = {}
+    with_exceptions = []
     for entry in entries:
         if entry.flows:
-            single.append(entry)
+            with_exceptions.append(entry)
             continue
-        likeness = (entry.service, entry.term, entry.stage, entry.base, entry.current)
-        buckets_by_likeness.setdefault(likeness, []).append(entry.bucket)
+        shared_fields = (entry.service, entry.term, entry.stage, entry.base, entry.current)
+        buckets_by_fields.setdefault(shared_fields, []).append(entry.bucket)
     packs = tuple(
-        RegisterPack(*likeness, _to_bytes(buckets))
-        for likeness, buckets in buckets_by_likeness.items()
+        RegisterPack(*shared_fields, _to_bytes(buckets))
+        for shared_fields, buckets in buckets_by_fields.items()
+    )
+    return JournalPart(
+        sender, incarnation, after, seq, tuple(owners), packs, tuple(with_exceptions)
     )
-    return JournalPart(sender, incarnation, after, seq, tuple(owners), packs, tuple(single))
 
 
-def entries_of(part: JournalPart) -> Iterator[RegisterEntry]:
+def unpack_part(part: JournalPart) -> Iterator[RegisterEntry]:
     """Yield every register that a part of a journal states."""
     yield from part.registers
     for pack in part.packs:
@@ -62,7 +64,7 @@
 def _from_bytes(raw: bytes) -> Sequence[int]:
     """Return bucket numbers; a byte left over at the end is passed over."""
     numbers = array('H')
-    numbers.frombytes(raw[: len(raw) - len(raw) % _WIDTH])
+    numbers.frombytes(raw[: len(raw) - len(raw) % _BUCKET_BYTES])
     if byteorder == 'little':
         numbers.byteswap()
     return numbers
--- a/src/bronzekeel/core/steering/records.py
+++ b/src/bronzekeel/core/steering/records.py
@@ -37,21 +37,21 @@
 
 def pack(records: Iterable[RecordEntry]) -> tuple[RecordPack, ...]:
     """Return records grouped by service and upstream."""
-    flows_by_place: dict[tuple[str, str], bytearray] = {}
+    flows_by_upstream: dict[tuple[str, str], bytearray] = {}
     for record in records:
-        flows = flows_by_place.setdefault((record.service, record.upstream), bytearray())
+        flows = flows_by_upstream.setdefault((record.service, record.upstream), bytearray())
         high, low = divmod(record.fingerprint, 1 << _LOW_BITS)
         flows += _LAYOUT.pack(record.bucket, high, low)
     return tuple(
         RecordPack(service, upstream, bytes(flows))
-        for (service, upstream), flows in flows_by_place.items()
+        for (service, upstream), flows in flows_by_upstream.items()
     )
 
 
 def unpack(packs: Iterable[RecordPack]) -> Iterator[RecordEntry]:
     """Yield the records of packs; bytes left over at an end are passed over."""
-    for listed in packs:
-        whole = len(listed.flows) - len(listed.flows) % _LAYOUT.size
-        for bucket, high, low in _LAYOUT.iter_unpack(listed.flows[:whole]):
+    for packed in packs:
+        whole = len(packed.flows) - len(packed.flows) % _LAYOUT.size
+        for bucket, high, low in _LAYOUT.iter_unpack(packed.flows[:whole]):
             fingerprint = high << _LOW_BITS | low
-            yield RecordEntry(listed.service, bucket, fingerprint, listed.upstream)
+            yield RecordEntry(packed.service, bucket, fingerprint, packed.upstream)
--- a/src/bronzekeel/core/steering/registers.py
+++ b/src/bronzekeel/core/steering/registers.py
@@ -24,7 +24,7 @@
     ACTING = 2
 
 
-class FlowSet:
+class FlowMap:
     """Map fingerprints of flows to upstreams in nine bytes a flow.
 
     A dictionary of integers would take about eighty; a season of changes
@@ -63,12 +63,12 @@
 
     def get(self, fingerprint: int) -> str | None:
         """Return the upstream of a flow, None when it is no exception."""
-        place = bisect_left(self._fingerprints, fingerprint)
-        if place == len(self._fingerprints):
+        index = bisect_left(self._fingerprints, fingerprint)
+        if index == len(self._fingerprints):
             return None
-        if self._fingerprints[place] != fingerprint:
+        if self._fingerprints[index] != fingerprint:
             return None
-        return self._upstreams[self._indices[place]]
+        return self._upstreams[self._indices[index]]
 
 
 @dataclass(slots=True)
@@ -106,7 +106,7 @@
     stage: Stage
     base: str
     current: str
-    exceptions: FlowSet | None = None
+    exceptions: FlowMap | None = None
     seq: int = 0
     announced: int = 0
     counted_at: float = 0
@@ -132,7 +132,7 @@
             flows=flows.pairs if flows else (),
         )
 
-    def take(self, entry: RegisterEntry) -> None:
+    def apply(self, entry: RegisterEntry) -> None:
         """Become what a keeper's journal entry says."""
         self.term = entry.term
         self.stage = Stage(entry.stage)
@@ -140,6 +140,6 @@
         self.current = entry.current
         self.exceptions = None
         if entry.flows:
-            self.exceptions = FlowSet(
+            self.exceptions = FlowMap(
                 (fingerprint, entry.others[index]) for fingerprint, index in entry.flows
             )
--- a/src/bronzekeel/core/steering/replicas.py
+++ b/src/bronzekeel/core/steering/replicas.py
@@ -8,7 +8,7 @@
 from bronzekeel.core.effects import Effect, Say
 from bronzekeel.core.hashing import rendezvous_first
 from bronzekeel.core.messages import Replicate
-from bronzekeel.core.steering.journal import off_base
+from bronzekeel.core.steering.journal import records_off_base
 from bronzekeel.core.steering.records import RecordEntry, pack, unpack
 from bronzekeel.core.steering.state import Steering
 
@@ -38,7 +38,7 @@
             continue
         steering.standby_by_shard[shard] = standby
         for register in steering.registers_of(shard):
-            batch.extend(off_base(register))
+            batch.extend(records_off_base(register))
     return [Say(standby, Replicate(steering.me, pack(batch)))] if batch else []
 
 
@@ -71,8 +71,8 @@
         shard = _shard_of(steering, entry)
         if shard < 0 or steering.owners[shard].owner != copies.sender:
             continue
-        held = steering.replicas_by_shard.setdefault(shard, {})
-        held[entry.service, entry.bucket, entry.fingerprint] = entry.upstream
+        copies_of_shard = steering.replicas_by_shard.setdefault(shard, {})
+        copies_of_shard[entry.service, entry.bucket, entry.fingerprint] = entry.upstream
     return []
 
 
--- a/src/bronzekeel/core/steering/state.py
+++ b/src/bronzekeel/core/steering/state.py
@@ -58,13 +58,13 @@
 class Link:
     """Hold the two journals between this balancer and another.
 
-    As a holder: `known_seq` and `lease_until` of the other's word.  As a
+    As a holder: `applied_seq` and `lease_until` of the other's word.  As a
     keeper: `acked_seq` and `granted_until` of the word given to the other.
     """
 
     incarnation: int = 0
-    known_seq: int = 0
-    heard_seq: int = 0
+    applied_seq: int = 0
+    announced_seq: int = 0
     lease_until: float = 0
     acked_seq: int = 0
     granted_until: float = 0
@@ -72,10 +72,10 @@
 
 
 @dataclass(slots=True)
-class Move:
+class ShardHandoff:
     """Hold a shard's planned hand-over to another keeper."""
 
-    heir: str
+    new_keeper: str
     term: int
     resend_at: float
     records: list[RecordEntry] = field(default_factory=list)
@@ -100,7 +100,7 @@
 
     me: str
     seq: int = 0
-    self_until: float = 0
+    self_valid_until: float = 0
     fenced: bool = True
     replicating: bool = True
     dirty: bool = False
@@ -109,7 +109,7 @@
     tables_by_name: dict[str, ServiceTable] = field(default_factory=dict)
     owners: list[Ownership] = field(default_factory=lambda: [Ownership() for _ in range(SHARDS)])
     links_by_host: dict[str, Link] = field(default_factory=dict)
-    moves_by_shard: dict[int, Move] = field(default_factory=dict)
+    handoffs_by_shard: dict[int, ShardHandoff] = field(default_factory=dict)
     retained_by_shard: dict[int, Retained] = field(default_factory=dict)
     offered_by_shard: dict[int, tuple[RecordPack, ...]] = field(default_factory=dict)
     replicas_by_shard: dict[int, dict[tuple[str, int, int], str]] = field(default_factory=dict)
@@ -127,13 +127,13 @@
         """Return the link to `host`, made if it is new."""
         return self.links_by_host.setdefault(host, Link())
 
-    def mark(self, register: Register) -> None:
+    def mark_changed(self, register: Register) -> None:
         """Give a register the next number of the journal, to be published."""
         self.dirty = True
         register.seq = self.seq + 1
         self.changed.append(register)
 
-    def mark_shard(self, shard: int) -> None:
+    def mark_shard_changed(self, shard: int) -> None:
         """Give a shard's ownership the next number of the journal."""
         self.dirty = True
         self.owners[shard].seq = self.seq + 1
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -63,10 +63,10 @@
     return fleet, traffic
 
 
-def lag_views(fleet: Fleet, most_s: float = 2.0) -> None:
+def lag_views(fleet: Fleet, max_s: float = 2.0) -> None:
     """Let texts and journals reach each balancer late, each by a different time."""
     for node in fleet.running:
-        node.view_lag_s = fleet.random.random() * most_s
+        node.view_lag_s = fleet.random.random() * max_s
 
 
 def differing_views(fleet: Fleet) -> list[tuple[str, int]]:
@@ -78,12 +78,12 @@
             found.extend(
                 (node.name, register.bucket)
                 for register in known
-                if register.entry() != _kept(fleet, node, register).entry()
+                if register.entry() != _keeper_copy(fleet, node, register).entry()
             )
     return found
 
 
-def _kept(fleet: Fleet, node: Node, register: Register) -> Register:
+def _keeper_copy(fleet: Fleet, node: Node, register: Register) -> Register:
     """Return the register as the keeper has it that `node` believes in."""
     owner = node.state.steering.owners[register.shard].owner
     steering = fleet.by_name[owner].state.steering
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -109,7 +109,7 @@
         fleet.run(10)
         for node in fleet.running:
             self.assertEqual(8, len(node.state.members.alive))
-            self.assertLess(node.state.steering.self_until, float('inf'))
+            self.assertLess(node.state.steering.self_valid_until, float('inf'))
 
     def test_control_stays_under_its_byte_budget(self) -> None:
         """A balancer of nine sends less than 3 KB/s when nothing changes."""
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -140,15 +140,15 @@
         Cause: believing the endpoint over what attempts show.
         """
         waits = {}
-        for trusting in (True, False):
+        for trusts_hints in (True, False):
             trial = RequestTrial(seed=5)
             for node in trial.fleet.running:
-                node.state.health.trusting = trusting
+                node.state.health.trusts_hints = trusts_hints
             for endpoint in trial.endpoints[:3]:
                 trial.traffic.hint(endpoint, serving=False)
             trial.load(0.7, 10)
             trial.run(20)
-            waits[trusting] = max(call.waited_s for call in trial.traffic.calls)
+            waits[trusts_hints] = max(call.waited_s for call in trial.traffic.calls)
         self.assertLess(waits[False], 1)
         self.assertGreater(waits[True], 2 * waits[False])
 
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -7,14 +7,14 @@
 
 from bronzekeel.core.catalogue import UpstreamSpec
 from bronzekeel.core.steering.assignment import assign
-from bronzekeel.core.steering.registers import FlowSet, Stage
+from bronzekeel.core.steering.registers import FlowMap, Stage
 from tests.fleets import catalogue, endpoint, portal, started_fleet
 
 _CHANGES = 12
-_APART_S = 8.0
+_CHANGE_INTERVAL_S = 8.0
 
 
-class SeasonTest(TestCase):
+class RepeatedChangeTest(TestCase):
     """Change the text again and again while feeds stay open."""
 
     def test_unsettled_buckets_do_not_pile_up(self) -> None:
@@ -31,7 +31,7 @@
         for number in range(_CHANGES):
             leaving = (number % 7,) if number % 2 else ()
             fleet.submit(catalogue(2 + number, portal(7, leaving, 6, 128)))
-            fleet.run(_APART_S)
+            fleet.run(_CHANGE_INTERVAL_S)
             unsettled.append(sum(len(node.state.steering.unsettled) for node in fleet.running))
         fleet.run(15)
         self.assertEqual(0, traffic.broken)
@@ -70,17 +70,17 @@
         self.assertEqual(0, left)
 
 
-class FlowSetTest(TestCase):
+class FlowMapTest(TestCase):
     """Look flows up in the compact set."""
 
     def test_finds_what_was_put_in(self) -> None:
         """Every flow has its upstream, any other has none."""
         flows = [(number * 7919, f'10.0.0.{number % 5}:1') for number in range(500)]
-        held = FlowSet(reversed(flows))
-        self.assertEqual(sorted(flows), list(held))
+        flow_map = FlowMap(reversed(flows))
+        self.assertEqual(sorted(flows), list(flow_map))
         for fingerprint, upstream in flows:
-            self.assertEqual(upstream, held.get(fingerprint))
-            self.assertIsNone(held.get(fingerprint + 1))
+            self.assertEqual(upstream, flow_map.get(fingerprint))
+            self.assertIsNone(flow_map.get(fingerprint + 1))
 
 
 class CloseTest(TestCase):
--- a/tests/test_unplanned_failure.py
+++ b/tests/test_unplanned_failure.py
@@ -57,7 +57,7 @@
                 for link in paused.steering.links_by_host.values():
                     link.lease_until = float('inf')
                     link.pull_at = float('inf')
-                paused.steering.self_until = float('inf')
+                paused.steering.self_valid_until = float('inf')
             fleet.run(30)
             broken[checked] = traffic.broken
         self.assertEqual(0, broken[True])
