--- a/src/bronzekeel/core/health/__init__.py
+++ b/src/bronzekeel/core/health/__init__.py
@@ -1,1 +1,1 @@
-"""Judge upstreams by what is observed, with endpoints as a hint."""
+"""Health of upstreams from the outcomes of requests, with health endpoints as a hint."""
--- a/src/bronzekeel/core/health/reducer.py
+++ b/src/bronzekeel/core/health/reducer.py
@@ -1,9 +1,10 @@
-"""Move the limits of upstreams by what attempts show.
+"""Adjust the limits of upstreams by the outcomes of attempts.
 
-What goes wrong when endpoints are believed: one that is stuck on healthy keeps
-a dead upstream in use, one that is stuck on unhealthy empties a good one, and
-a broken check that calls everything dead stops the service.  An observed
-outcome overrules the endpoint, and "nearly all dead" counts as a broken signal.
+Health endpoints alone are unreliable: one that always reports healthy keeps a
+dead upstream in use, one that always reports unhealthy takes a working upstream
+out of use, and a broken check that reports every upstream as down stops the
+service.  Therefore observed outcomes take precedence over the endpoint, and
+reports that most upstreams are down are ignored.
 """
 
 from bronzekeel.core.effects import Effect, Log
@@ -26,7 +27,10 @@
     slots: int,
     now: float,
 ) -> list[Effect]:
-    """Take one attempt's end into the upstream's limit and ejection."""
+    """Update the upstream's limit and ejection by the outcome of an attempt.
+
+    Returns a log effect if the upstream was ejected or became usable again.
+    """
     upstream = health.of(endpoint)
     was_ejected = upstream.ejections > 0
     _apply_outcome(upstream, ended, slots, now)
@@ -64,12 +68,12 @@
 
 
 def on_hint(health: Health, endpoint: str, *, serving: bool) -> None:
-    """Note what the health endpoint says; ``allowances`` weighs it."""
+    """Record the state that the health endpoint reports, for use by ``allowances``."""
     health.of(endpoint).hinted_down = not serving
 
 
 def usable(health: Health, endpoints: list[str], now: float) -> list[str]:
-    """Return the upstreams that observed failures have not ejected."""
+    """Return the upstreams that are not ejected at present."""
     return [endpoint for endpoint in endpoints if now >= health.of(endpoint).ejected_until]
 
 
@@ -81,9 +85,9 @@
 ) -> dict[str, int]:
     """Return how many slots of each usable upstream may be in use.
 
-    A health endpoint that says "down" leaves one slot, whose outcome shows
-    whether it is right.  When more than half are called down the signal is
-    distrusted, and not the upstreams.
+    An upstream whose health endpoint reports "down" keeps one slot, whose
+    outcome shows whether the report is right.  If more than half of the
+    upstreams are reported as down, the reports are ignored.
     """
     candidates = usable(health, endpoints, now)
     suspects = {endpoint for endpoint in candidates if _is_suspect(health, endpoint, now)}
--- a/src/bronzekeel/core/health/state.py
+++ b/src/bronzekeel/core/health/state.py
@@ -1,14 +1,15 @@
-"""Hold what a slot keeper has observed of upstreams."""
+"""Health of upstreams as observed by a slot keeper."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True)
 class UpstreamHealth:
-    """Hold one upstream's observed health; `limit` is its slots in use at most.
+    """Observed health of one upstream.
 
-    It is ejected until `ejected_until`; after that one attempt at a time
-    probes it, and `limit` grows from one as attempts succeed.
+    `limit` is the maximum number of its slots in use.  The upstream is ejected
+    until `ejected_until`.  After that it is probed by one attempt at a time, and
+    `limit` grows from one as attempts succeed.
     """
 
     limit: float = 1
@@ -21,15 +22,16 @@
 
 @dataclass(slots=True)
 class Health:
-    """Hold all upstreams by endpoint.
+    """Health of all upstreams by endpoint.
 
-    `trusts_hints` believes health endpoints; it is off but where a test or a
-    benchmark shows what that costs.
+    `trusts_hints` makes health endpoints take precedence over observed
+    outcomes.  It is off in production; tests and benchmarks enable it to show
+    the effect.
     """
 
     by_endpoint: dict[str, UpstreamHealth] = field(default_factory=dict)
     trusts_hints: bool = False
 
     def of(self, endpoint: str) -> UpstreamHealth:
-        """Return an upstream's health, made if it is new."""
+        """Return an upstream's health; create it if it does not exist."""
         return self.by_endpoint.setdefault(endpoint, UpstreamHealth())
--- a/src/bronzekeel/core/membership/__init__.py
+++ b/src/bronzekeel/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which balancers live, from heartbeats and the platform's list."""
+"""Detect which balancers are live, from heartbeats and the platform's list of hosts."""
--- a/src/bronzekeel/core/membership/reducer.py
+++ b/src/bronzekeel/core/membership/reducer.py
@@ -1,9 +1,11 @@
-"""Decide who lives: heartbeats, silence, votes and the platform's list.
-
-What goes wrong without it: a list that lags 30 s keeps dead keepers in office,
-and a single slow link makes a balancer remove a healthy one.  A member is dead
-here only when this balancer does not hear it and most of its contacts do not
-either, so one bad link or one slow host flaps nobody.
+"""Detect live members by heartbeats, votes of peers and the platform's list of hosts.
+
+The platform's list alone is not enough, since it may lag by 30 s, during
+which dead hosts would remain keepers.  This balancer's own links are not
+enough either, since it would declare a healthy member dead because of a single
+slow link.  A member is considered dead only if neither this balancer nor most
+of its contacts receive its heartbeats, so one bad link or one slow host does
+not make members flap.
 """
 
 from bronzekeel.core.constants import (
@@ -27,7 +29,10 @@
 
 
 def on_hosts(members: Membership, event: HostsListed, now: float) -> list[Effect]:
-    """Take the platform's list as a seed; absence from it removes nobody."""
+    """Add the hosts of the platform's list as members.
+
+    The list is only a seed: a member that is missing from it is not removed.
+    """
     if event.version < members.hosts_version:
         return []
     members.hosts_version = event.version
@@ -43,7 +48,7 @@
 
 
 def on_heartbeat(members: Membership, heartbeat: Heartbeat, now: float) -> list[Effect]:
-    """Note that the sender lives and what it says of itself."""
+    """Record that the sender is live, and the state that it reports of itself."""
     member = members.by_name.get(heartbeat.sender)
     if member is None:
         if heartbeat.host is None:
@@ -80,7 +85,7 @@
 
 
 def on_tick(members: Membership, now: float) -> list[Effect]:
-    """Declare the silent dead and forget those that nobody lists."""
+    """Declare silent members dead, and remove dead members that are not listed."""
     effects: list[Effect] = []
     elapsed_s = now - members.ticked_at if members.ticked_at else 0
     if elapsed_s > PAUSE_S:
@@ -108,10 +113,10 @@
 
 
 def _extend_deadlines(members: Membership, now: float) -> None:
-    """Give every member a new chance after a pause of this process.
+    """Extend the deadlines of all live members after a pause of this process.
 
-    What goes wrong otherwise: a process that wakes up finds that it has heard
-    nobody for a while and declares the whole fleet dead.
+    Without this, a process that resumes after a pause would have received no
+    heartbeats in the meantime and would declare the whole fleet dead.
     """
     members.pauses += 1
     for member in members.alive:
@@ -120,7 +125,7 @@
 
 
 def _is_vouched_for(name: str, contacts: list[Member]) -> bool:
-    """Return whether most contacts still hear `name`."""
+    """Return whether at least half of the contacts still receive heartbeats of `name`."""
     if not contacts:
         return False
     receiving = sum(name not in member.unheard for member in contacts)
@@ -128,7 +133,7 @@
 
 
 def silent_members(members: Membership, now: float) -> tuple[str, ...]:
-    """Return the members that have been silent long enough to be suspected."""
+    """Return the members that are dead or about to miss their heartbeat deadline."""
     suspect_at = now + _SUSPECT_BEFORE_DEAD_S
     return tuple(
         name
@@ -138,7 +143,7 @@
 
 
 def due_for_heartbeat(members: Membership, now: float) -> list[Member]:
-    """Return the members to send a heartbeat to, and plan the next one."""
+    """Return the members to send a heartbeat to now, and schedule the next one."""
     due = []
     for member in members.by_name.values():
         if now < member.next_heartbeat_at:
--- a/src/bronzekeel/core/membership/state.py
+++ b/src/bronzekeel/core/membership/state.py
@@ -1,4 +1,4 @@
-"""Hold what one balancer knows of the others."""
+"""State that one balancer has of the other balancers."""
 
 from dataclasses import dataclass, field
 
@@ -8,11 +8,11 @@
 
 @dataclass(slots=True)
 class Member:
-    """Hold what is known of one other balancer; all times are deadlines.
+    """Known state of one other balancer; all times are deadlines.
 
-    `heartbeat_deadline` passes when it has been silent too long, `contact_until`
-    when its echo of one of our own stamps is too old: only the latter shows
-    that the link works in both directions.
+    After `heartbeat_deadline` it has been silent for too long.  After
+    `contact_until` the newest time stamp of this balancer that it has echoed is
+    too old.  Only an echo shows that the link works in both directions.
     """
 
     host: HostEntry
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Membership:
-    """Hold all members by name, without the balancer itself."""
+    """All members by name, without this balancer itself."""
 
     me: HostEntry
     incarnation: int
@@ -72,12 +72,12 @@
         return member is not None and not member.dead
 
     def valid_until(self) -> float:
-        """Return until when a majority of peers vouches for this balancer.
+        """Return until when this balancer has recent contact to a majority of its peers.
 
-        The live members have to agree, and so has one of two larger groups:
-        all known members, or all of the own data centre.  A host that was
-        paused or is cut off alone fails both; a data centre that is cut off
-        passes once it has given the rest up for dead.
+        This takes a majority of the live members, and a majority of one of two
+        larger groups: all known members, or those of the local data centre.  A
+        host that was paused, or that is isolated, fails both.  An isolated data
+        centre passes once it has declared the other members dead.
         """
         live = [member.contact_until for member in self.alive]
         known = [member for member in self.by_name.values() if member.listed or not member.dead]
@@ -91,7 +91,7 @@
         return min(_majority_until(live), larger)
 
     def add(self, host: HostEntry, now: float) -> Member:
-        """Return the member for `host`, made if it is new."""
+        """Return the member for `host`; create it if it does not exist."""
         member = self.by_name.get(host.name)
         if member is None:
             member = Member(host, heartbeat_deadline=now + DEAD_S, stable_at=now)
@@ -100,7 +100,10 @@
 
 
 def _majority_until(deadlines: list[float]) -> float:
-    """Return when contact with a majority, the balancer itself counted, ends."""
+    """Return when contact with a majority ends, counting the balancer itself.
+
+    Returns infinity if there are no other members.
+    """
     needed = (len(deadlines) + 1) // 2
     if needed <= 0:
         return float('inf')
--- a/src/bronzekeel/core/steering/__init__.py
+++ b/src/bronzekeel/core/steering/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which upstream each packet belongs to."""
+"""Choose the upstream that each packet is forwarded to."""
--- a/src/bronzekeel/core/steering/assignment.py
+++ b/src/bronzekeel/core/steering/assignment.py
@@ -1,15 +1,16 @@
-"""Assign the buckets of a service to its upstreams, by weight."""
+"""Assign the buckets of a service to its upstreams in proportion to their weights."""
 
 from bronzekeel.core.catalogue import ServiceSpec, UpstreamSpec
 from bronzekeel.core.hashing import weighted_score
 
 
 def assign(service: ServiceSpec) -> list[str]:
-    """Return the endpoint for each bucket, empty when nothing may get work.
+    """Return the endpoint of each bucket, an empty list if no upstream is active.
 
-    A pure function of the text, so every balancer finds the same one.  Scores
-    are weighted rendezvous; quotas in proportion to the weights keep the
-    counts within one bucket of fair, which plain rendezvous does not.
+    The result depends on the text alone, so every balancer computes the same
+    assignment.  Buckets are assigned by weighted rendezvous hashing.  Quotas
+    in proportion to the weights keep each upstream within one bucket of its
+    fair share, which rendezvous hashing alone does not guarantee.
     """
     active = service.active
     if not active:
@@ -36,7 +37,7 @@
 
 
 def _quotas(active: list[UpstreamSpec], buckets: int) -> dict[str, int]:
-    """Share `buckets` out by weight, the remainder to the largest fractions."""
+    """Return the number of buckets per endpoint, by the largest remainder method."""
     total = sum(spec.weight for spec in active)
     quotas = {}
     fractions = []
--- a/src/bronzekeel/core/steering/by_keepers.py
+++ b/src/bronzekeel/core/steering/by_keepers.py
@@ -1,4 +1,4 @@
-"""Steer by registers that keepers own."""
+"""Steer packets by the registers that keepers publish."""
 
 from collections.abc import Callable
 
@@ -11,15 +11,18 @@
 
 
 class KeeperSteering(SteeringStrategy[Packet, Verdict]):
-    """Steer by what the keepers of buckets say, over one balancer's state."""
+    """Steer packets by the state of one balancer, which follows the keepers of buckets."""
 
     def __init__(self, state: BalancerState, emit: Callable[[Effect], None]) -> None:
-        """Decide on `state`; effects beside the verdict go to `emit`."""
+        """Use `state` for decisions; pass effects other than the verdict to `emit`."""
         self._state = state
         self._emit = emit
 
     def decide(self, packet: Packet, now: float) -> Verdict:
-        """Give the verdict on a packet; only one that changes state is an event."""
+        """Return the verdict on a packet.
+
+        The reducer runs only for packets whose verdict changes the state.
+        """
         verdict = packet_verdict(self._state, packet, now)
         if verdict is not None:
             return verdict
--- a/src/bronzekeel/core/steering/catalogue.py
+++ b/src/bronzekeel/core/steering/catalogue.py
@@ -1,4 +1,4 @@
-"""Bring a new text into the steering tables."""
+"""Apply a new text to the steering tables."""
 
 from bronzekeel.core.catalogue import Catalogue, ServiceKind, ServiceSpec
 from bronzekeel.core.hashing import service_key
@@ -8,10 +8,10 @@
 
 
 def install(steering: Steering, catalogue: Catalogue) -> None:
-    """Set the targets of every flow service; forget services that are gone.
+    """Set the targets of every flow service and drop the tables of removed services.
 
-    Registers stay as they are: what a register says changes only through its
-    keeper, however new the text is that this balancer knows.
+    Registers do not change here.  Only a register's keeper may change it,
+    even if this balancer has a newer text than the keeper.
     """
     former = steering.tables_by_name
     steering.tables_by_name = {}
@@ -29,7 +29,10 @@
 
 
 def _ban(steering: Steering, catalogue: Catalogue) -> None:
-    """Ban endpoints that changed hands; nothing is done when none did."""
+    """Ban endpoints that now belong to another service.
+
+    Does nothing if every endpoint still belongs to the same service as before.
+    """
     holders = {
         upstream.endpoint: service.name
         for service in catalogue.services_by_name.values()
--- a/src/bronzekeel/core/steering/journal.py
+++ b/src/bronzekeel/core/steering/journal.py
@@ -1,9 +1,10 @@
-"""Tell peers what a keeper's registers say, and follow what theirs say.
+"""Replicate the registers of keepers to their peers through a journal.
 
-A keeper numbers its changes.  A follower that has not applied the newest
-number gets no lease, so a lease always means "nothing has changed since".
-Entries are states and not steps: a pull gives all that changed after a
-number, in any order, and applying one twice changes nothing.
+A keeper numbers its changes.  It renews the lease of a follower only if the
+follower has applied the newest number, so a valid lease means that nothing
+has changed since.  Entries hold states rather than operations: a pull returns
+everything that changed after a given number, in any order, and applying an
+entry twice has no further effect.
 """
 
 from bronzekeel.core.constants import LEASE_S, RESEND_S
@@ -32,7 +33,7 @@
     heartbeat: Heartbeat,
     now: float,
 ) -> list[Effect]:
-    """Take a renewed lease, or ask for the entries that are missing."""
+    """Extend the lease on the sender's registers, or pull missing journal entries."""
     link = steering.link(heartbeat.sender)
     if heartbeat.incarnation < link.incarnation:
         return []
@@ -51,7 +52,11 @@
 
 
 def _reset_journal(steering: Steering, heartbeat: Heartbeat, link: Link) -> None:
-    """Start a restarted keeper's journal anew; its shards are orphans now."""
+    """Reset the link to a keeper with a new incarnation.
+
+    If the keeper was known under an earlier incarnation it has restarted and
+    lost its registers, so its shards are marked as orphaned.
+    """
     restarted = link.incarnation != 0
     link.incarnation = heartbeat.incarnation
     link.applied_seq = 0
@@ -66,11 +71,11 @@
 
 
 def try_renew_lease(steering: Steering, host: str, now: float) -> bool:
-    """Return whether a heartbeat to `host` may renew its lease, and note it.
+    """Return whether a heartbeat to `host` may renew its lease, and record the grant.
 
-    A holder that has not confirmed the newest entry gets none: else a lease
-    would outlive an announcement the holder never saw.  The same goes while
-    something changed here that has no number yet.
+    The lease is not renewed if the host has not confirmed the newest entry, or
+    while there are changes that are not published yet.  Otherwise the lease
+    could outlive an announcement that the host never received.
     """
     link = steering.link(host)
     if link.acked_seq != steering.seq or steering.dirty:
@@ -84,7 +89,7 @@
     incarnation: int,
     since: int,
 ) -> JournalPart:
-    """Return all of this keeper's entries that changed after `since`."""
+    """Return all entries of this keeper that changed after number `since`."""
     owners = []
     registers: list[RegisterEntry] = []
     for shard, ownership in enumerate(steering.owners):
@@ -103,14 +108,17 @@
     pull: JournalPull,
     incarnation: int,
 ) -> list[Effect]:
-    """Answer a follower that is behind."""
+    """Send a follower the entries that it lacks.
+
+    A pull for another incarnation of this balancer is ignored.
+    """
     if pull.incarnation != incarnation:
         return []
     return [Say(pull.sender, part_since(steering, incarnation, pull.since))]
 
 
 def on_ack(steering: Steering, ack: JournalAck, incarnation: int) -> list[Effect]:
-    """Note how far a follower has come."""
+    """Record the newest entry that a follower has applied."""
     if ack.incarnation == incarnation:
         link = steering.link(ack.sender)
         link.acked_seq = max(link.acked_seq, ack.seq)
@@ -118,7 +126,7 @@
 
 
 def publish(steering: Steering, members: Membership) -> list[Effect]:
-    """Number what has changed and push it to every living member."""
+    """Assign the next number to all pending changes and send them to every live member."""
     since = steering.seq
     steering.seq += 1
     steering.dirty = False
@@ -150,8 +158,9 @@
 ) -> list[Effect]:
     """Apply a keeper's entries and confirm them.
 
-    With a text older than the keeper's (`text_outdated`) entries of services
-    not known yet would be lost, so the part waits to be pulled again.
+    `text_outdated` states that this balancer's text is older than the keeper's.
+    Entries of services that it does not know yet would then be lost, so such a
+    part is left unconfirmed and pulled again later.
     """
     link = steering.link(part.sender)
     if part.incarnation != link.incarnation:
@@ -173,10 +182,11 @@
 
 
 def _apply_owner(steering: Steering, entry: OwnerEntry) -> list[Effect]:
-    """Accept a keeper of a higher term; give up what it takes from us.
+    """Accept a keeper with a higher term, and give up the shard if it was kept here.
 
-    Word that this balancer itself is the heir may overtake the hand-over; it
-    enters office with the records only, so such word is passed over.
+    An entry that names this balancer as the new keeper may arrive before the
+    hand-off itself.  It is ignored, since this balancer becomes keeper only
+    when it has the records.
     """
     ownership = steering.owners[entry.shard]
     if entry.owner == steering.me:
@@ -196,10 +206,10 @@
 
 
 def _republish(steering: Steering, entry: OwnerEntry) -> None:
-    """Say again what this keeper's registers are, since another claimed them.
+    """Publish the shard's registers again after a claim by an outranked keeper.
 
-    What goes wrong otherwise: peers that followed the rival keep its registers,
-    and hand over for ever what is settled here.
+    Without this, peers that accepted the rival would retain its registers, and
+    would hand packets of buckets that are settled here to the keeper for ever.
     """
     steering.owners[entry.shard].rival_term = entry.term + 1
     steering.mark_shard_changed(entry.shard)
@@ -212,10 +222,11 @@
     entry: OwnerEntry,
     ownership: Ownership,
 ) -> Say:
-    """Give the records of a shard to the keeper that outranks this one.
+    """Clear the records of a shard and return an offer of them to its new keeper.
 
-    What goes wrong otherwise: two halves of a fleet that were cut off each
-    placed flows; at healing those of the losing half would be forgotten.
+    Both sides of a partitioned fleet may have placed flows.  Without this, the
+    flows of the side that loses the shard would be lost when the partition
+    heals.
     """
     records = []
     for register in steering.registers_of(entry.shard):
@@ -229,7 +240,7 @@
 
 
 def records_off_base(register: Register) -> list[RecordEntry]:
-    """Return the records of an unsettled bucket that are not on its base."""
+    """Return the records of a bucket whose upstream is not the base."""
     return [
         RecordEntry(register.service, register.bucket, fingerprint, record.upstream)
         for fingerprint, record in register.records.items()
@@ -238,7 +249,7 @@
 
 
 def _apply_register(steering: Steering, sender: str, entry: RegisterEntry) -> None:
-    """Apply one register unless a keeper of a higher term has the shard."""
+    """Apply a register entry if the sender is the shard's keeper and its term is not outdated."""
     table = steering.tables_by_name.get(entry.service)
     if table is None or entry.bucket > table.mask:
         return
@@ -265,10 +276,10 @@
 
 
 def ban_reused(steering: Steering, table: ServiceTable, register: Register) -> None:
-    """Ban endpoints in a register that belong to another service by now.
+    """Ban endpoints in a register that now belong to another service.
 
-    What goes wrong otherwise: an address is given to another service while a
-    register still names it, and packets reach the wrong service.
+    Without this, packets would reach the wrong service when an address is
+    reassigned while a register still refers to it.
     """
     used = {register.base, register.current}
     used.update(register.exceptions.upstreams if register.exceptions else ())
@@ -282,7 +293,7 @@
 
 
 def _drop_copies(steering: Steering, register: Register) -> None:
-    """Free the copied records of a bucket that is settled."""
+    """Discard the replicated records of a settled bucket."""
     copies = steering.replicas_by_shard.get(register.shard)
     if not copies:
         return
--- a/src/bronzekeel/core/steering/keeper.py
+++ b/src/bronzekeel/core/steering/keeper.py
@@ -1,10 +1,14 @@
-"""Change registers as their keeper: announce, act, count, settle.
+"""Change registers as their keeper.
 
-What goes wrong without the fence: a keeper places a new flow on the new
-upstream while another balancer still forwards that bucket's packets to the
-old one; the flow breaks at its next packet.  It shows as resets from the old
-upstream.  So a change is announced first, and acted on only when every
-balancer has confirmed it or has lost the lease it would need to forward.
+A change of a bucket goes through three steps: the keeper announces it, acts on
+it by placing new flows on the new upstream, and settles it once every live
+flow of the bucket has been counted.
+
+Between the first two steps stands the fence: the keeper acts only when every
+balancer has confirmed the announcement or has lost the lease that it needs to
+forward by itself.  Without the fence, the keeper could place a new flow on the
+new upstream while another balancer still forwards packets of the bucket to the
+old one, which resets the flow at its next packet.
 """
 
 from bronzekeel.core.constants import (
@@ -18,14 +22,15 @@
 from bronzekeel.core.steering.state import ServiceTable, Steering
 
 
-#: Interval at which old exceptions are looked for.
+#: Interval between searches for buckets whose exceptions are due for a recount.
 _RECOUNT_CHECK_S = 30.0
 
 
 def adopt_targets(steering: Steering, now: float) -> int:
-    """Start the changes that the text asks for; return how many buckets move.
+    """Start the changes that the text requires; return how many buckets move.
 
-    Only services with a new text and shards that are newly kept are looked at.
+    Checks only services whose specification changed, and shards that this
+    balancer has begun to keep or whose hand-off postponed the change.
     """
     moved = 0
     if not steering.due_services and not steering.due_shards:
@@ -45,7 +50,7 @@
 
 
 def _adopt(steering: Steering, table: ServiceTable, buckets: range, now: float) -> int:
-    """Return how many of the buckets start to move or change where they move to."""
+    """Set the targets of `buckets`; return how many of them got another upstream."""
     moved = 0
     for bucket in buckets:
         shard = table.shard_of(bucket)
@@ -83,7 +88,10 @@
     register: Register,
     now: float,
 ) -> None:
-    """Take a settled bucket's packets to the keeper; its exceptions become records."""
+    """Announce a change of a settled bucket and turn its exceptions into records.
+
+    From then on other balancers hand the bucket's packets to the keeper.
+    """
     register.stage = Stage.ANNOUNCED
     register.announced = steering.seq + 1
     load_records(register, table.idle_s, now)
@@ -92,7 +100,7 @@
 
 
 def load_records(register: Register, idle_s: float, now: float) -> None:
-    """Turn published exceptions into records with fresh deadlines."""
+    """Add published exceptions to the records, with new deadlines."""
     if register.records is NO_RECORDS:
         register.records = {}
     for fingerprint, upstream in register.exceptions or ():
@@ -103,7 +111,11 @@
 
 
 def advance(steering: Steering, now: float, *, may_settle: bool) -> int:
-    """Move unsettled buckets on; return how many registers changed."""
+    """Advance unsettled buckets to their next stage; return how many registers changed.
+
+    Buckets are settled only if `may_settle` is true.  Buckets in a hand-off
+    stay as they are.
+    """
     changed = 0
     for service, bucket in sorted(steering.unsettled):
         register = steering.register(service, bucket)
@@ -123,7 +135,7 @@
     *,
     may_settle: bool,
 ) -> int:
-    """Act on an announced change, or settle one that has been counted out."""
+    """Act on an announced change, or settle a bucket whose flows have all been counted."""
     if register.stage is Stage.ANNOUNCED:
         if not _fence_open(steering, register, now):
             return 0
@@ -137,7 +149,7 @@
 
 
 def _fence_open(steering: Steering, register: Register, now: float) -> bool:
-    """Return whether nobody can still forward by the settled register."""
+    """Return whether no other balancer can still forward by the former register."""
     if not steering.fenced:
         return True
     if now < steering.owners[register.shard].fence_until:
@@ -151,10 +163,11 @@
 
 
 def _settle(steering: Steering, register: Register, now: float) -> int:
-    """Publish the flows that stay elsewhere as exceptions of a settled bucket.
+    """Settle a bucket, with the flows on other upstreams as exceptions.
 
-    By now every flow of the base that lives has been seen, since its packets
-    came to the keeper for as long as a flow may be silent.
+    Every live flow of the base has a record by now, since all packets have
+    gone to the keeper for the idle timeout of the service.  A bucket with more
+    than `MAX_EXCEPTIONS` such flows stays unsettled.
     """
     exceptions = [
         (fingerprint, record.upstream)
@@ -174,10 +187,10 @@
 
 
 def recount(steering: Steering, now: float) -> int:
-    """Reopen buckets whose exceptions are old, so that closed flows are dropped.
+    """Reopen buckets whose exceptions are old; return how many were reopened.
 
-    What goes wrong otherwise: nobody sees the end of a flow that a settled
-    bucket excepts, and a season of closed flows stays in memory.
+    No balancer tracks the end of a flow that is an exception of a settled
+    bucket.  Without a recount, exceptions of closed flows would accumulate.
     """
     if now < steering.recount_at:
         return 0
@@ -200,7 +213,7 @@
 
 
 def count_overdue(steering: Steering, now: float) -> int:
-    """Return how many buckets stay unsettled past the time they were counted."""
+    """Return how many buckets are still unsettled an idle timeout after their count ended."""
     late = 0
     for service, bucket in steering.unsettled:
         register = steering.register(service, bucket)
--- a/src/bronzekeel/core/steering/owners.py
+++ b/src/bronzekeel/core/steering/owners.py
@@ -1,9 +1,10 @@
-"""Decide who keeps each shard: claims, take-over, planned hand-over.
+"""Choose the keeper of each shard: claims, take-over and planned hand-off.
 
-The keeper of a shard is part of the agreed state and not computed from each
-balancer's own view: views differ, and two balancers that computed two keepers
-would place one flow twice.  A shard moves by a planned hand-over, or when its
-keeper is dead; the higher term wins where two claim it.
+The keeper of a shard is replicated state.  Balancers do not compute it from
+their own views, since views differ, and two balancers that computed different
+keepers would place the same flow on two upstreams.  A shard moves by a planned
+hand-off or when its keeper is dead.  If two balancers claim a shard, the
+higher term wins.
 """
 
 from bronzekeel.core.constants import LEASE_MARGIN_S, LEASE_S, RESEND_S, RETAIN_S
@@ -37,7 +38,8 @@
 ) -> list[str]:
     """Return the hosts that may keep shards, in this balancer's view.
 
-    While nobody is ready, a whole fleet is starting: then all in contact may.
+    If no host is ready, the whole fleet is starting, and all hosts in contact
+    are candidates.
     """
     live = [member for member in members.alive if not member.leaving]
     names = [member.host.name for member in live if _is_eligible(member, now)]
@@ -61,10 +63,10 @@
     names: list[str],
     now: float,
 ) -> list[Effect]:
-    """Take the shards whose keeper is dead and that fall to this balancer.
+    """Take over the shards without a live keeper whose successor is this balancer.
 
-    All shards of a dead keeper fall to the one host that holds its copies;
-    from there they move to their places in the planned way.
+    All shards of a dead keeper go to the one host that holds the copies of its
+    records.  From there they move to their assigned hosts by planned hand-off.
     """
     if now >= members.valid_until():
         return []
@@ -91,9 +93,9 @@
 
 
 def _take_over(steering: Steering, shard: int, now: float) -> int:
-    """Enter office for a shard without a keeper; return the records restored.
+    """Become keeper of a shard without a live one; return the number of records restored.
 
-    A dead keeper's leases are waited out before anything is started.
+    Changes are fenced until all leases that a dead keeper granted have expired.
     """
     ownership = steering.owners[shard]
     ownership.fence_until = now + _FENCE_S if ownership.owner else now
@@ -105,7 +107,7 @@
 
 
 def _become_keeper(steering: Steering, shard: int, term: int, now: float) -> None:
-    """Enter office: all registers of the shard go into this keeper's journal."""
+    """Become keeper of a shard and publish all its registers in this keeper's journal."""
     ownership = steering.owners[shard]
     ownership.owner = steering.me
     ownership.term = term
@@ -132,7 +134,7 @@
     copies: dict[tuple[str, int, int], str],
     now: float,
 ) -> None:
-    """Enter the copied records of a shard into its registers."""
+    """Add copied records of a shard to its registers."""
     for (service, bucket, fingerprint), upstream in copies.items():
         register = steering.register(service, bucket)
         if register is None or register.shard != shard:
@@ -168,7 +170,7 @@
     names: list[str],
     now: float,
 ) -> list[Effect]:
-    """Offer shards that belong to another host by now; repeat what is unconfirmed."""
+    """Offer shards to the hosts that should keep them, and repeat unconfirmed steps."""
     effects: list[Effect] = []
     for shard, ownership in enumerate(steering.owners):
         handoff = steering.handoffs_by_shard.get(shard)
@@ -187,7 +189,11 @@
 
 
 def _find_new_keeper(steering: Steering, shard: int, names: list[str]) -> str | None:
-    """Return another host that should keep the shard and knows its registers."""
+    """Return the host that should keep the shard.
+
+    None if that is this balancer, or if the host has not yet applied the newest
+    entry of this keeper's journal.
+    """
     new_keeper = rendezvous_first(str(shard), names)
     if new_keeper is None or new_keeper == steering.me:
         return None
@@ -210,7 +216,7 @@
     handoff: ShardHandoff,
     now: float,
 ) -> list[Effect]:
-    """Repeat the step of a hand-over that was not confirmed, or call it off."""
+    """Repeat the unconfirmed step of a hand-off, or cancel it if the new keeper is dead."""
     if not members.is_alive(handoff.new_keeper):
         steering.handoffs_by_shard.pop(shard)
         steering.due_shards.add(shard)
@@ -228,7 +234,11 @@
 
 
 def on_offer(steering: Steering, offer: ShardOffer, now: float) -> list[Effect]:
-    """Hold an offered shard's records; merge them if the shard is kept already."""
+    """Store the records of an offered shard.
+
+    If this balancer is the shard's keeper already, it adds them to the
+    registers.  An offer with an outdated term is ignored.
+    """
     ownership = steering.owners[offer.shard]
     if ownership.owner == steering.me:
         _restore(steering, offer.shard, _unpack_flows(offer.records), now)
@@ -251,10 +261,10 @@
     ack: ShardOfferAck,
     now: float,
 ) -> list[Effect]:
-    """Give the shard away: from here on this balancer records nothing for it.
+    """Transfer the shard; this balancer adds no more records to it.
 
-    The owner entry goes into the journal, so that no lease of this keeper
-    covers the shard any longer once the present ones have lapsed.
+    The new owner is published in the journal, so that leases of this keeper no
+    longer cover the shard once the current ones have expired.
     """
     handoff = steering.handoffs_by_shard.get(ack.shard)
     if handoff is None or handoff.given or handoff.term != ack.term:
@@ -290,7 +300,11 @@
     go: ShardGo,
     now: float,
 ) -> list[Effect]:
-    """Enter office after a planned hand-over."""
+    """Become keeper of a shard at the end of a planned hand-off.
+
+    If this balancer is keeper already, or the term is outdated, the message is
+    only confirmed.
+    """
     ack = Say(go.sender, ShardGoAck(steering.me, go.shard, go.term))
     ownership = steering.owners[go.shard]
     is_keeper = ownership.owner == steering.me and ownership.term >= go.term
@@ -304,7 +318,7 @@
 
 
 def on_go_ack(steering: Steering, ack: ShardGoAck) -> list[Effect]:
-    """Close a hand-over."""
+    """Remove a completed hand-off."""
     handoff = steering.handoffs_by_shard.get(ack.shard)
     if handoff is not None and handoff.term == ack.term:
         steering.handoffs_by_shard.pop(ack.shard)
--- a/src/bronzekeel/core/steering/packets.py
+++ b/src/bronzekeel/core/steering/packets.py
@@ -1,7 +1,7 @@
-"""Give the verdict on one packet: forward, hand over, drop, or decide.
+"""Choose the verdict on a packet: forward it, hand it to its keeper, or drop it.
 
-``steer`` only reads.  Where a verdict would change state it returns None, and
-the packet becomes a ``PacketArrived`` event of the reducer.
+``steer`` does not change the state.  It returns None if the decision would,
+and the packet then becomes a ``PacketArrived`` event of the reducer.
 """
 
 from enum import StrEnum
@@ -18,12 +18,12 @@
 
 Verdict = Forward | Hand | Drop
 
-# Read once: the path of every packet compares with it.
+# A module variable saves an attribute lookup on the path of every packet.
 _SETTLED = Stage.SETTLED
 
 
 class DropReason(StrEnum):
-    """Name why a packet was dropped."""
+    """Reason for which a packet was dropped."""
 
     UNKNOWN_SERVICE = 'unknown_service'
     ADDRESS_REUSED = 'address_reused'
@@ -42,7 +42,7 @@
     packet: Packet,
     now: float,
 ) -> Verdict | None:
-    """Return the verdict on `packet`, None when a keeper has to decide."""
+    """Return the verdict on `packet`, or None if this balancer must decide as keeper."""
     table = steering.tables_by_key.get(packet.service)
     if table is None:
         return Drop(DropReason.UNKNOWN_SERVICE)
@@ -62,7 +62,7 @@
 
 
 def _forward_settled(table: ServiceTable, register: Register, packet: Packet) -> Verdict:
-    """Forward by a settled register: an exception, or the base."""
+    """Forward by a settled register: to the flow's exception if any, else to the base."""
     upstream = register.base
     if register.exceptions is not None and not packet.opens:
         fingerprint = fingerprint_of(packet.hashed)
@@ -79,7 +79,11 @@
     packet: Packet,
     now: float,
 ) -> Verdict:
-    """Send the packet to the keeper of its bucket, by a third host if need be."""
+    """Hand the packet to the keeper of its bucket, through a relay if there is no contact.
+
+    Retained flows are forwarded here.  Without a live keeper, the packet is
+    forwarded by the last known register.
+    """
     bucket = packet.hashed & table.mask
     shard = table.shard_of(bucket)
     verdict = _forward_retained(steering, table, packet, now)
@@ -103,10 +107,10 @@
     packet: Packet,
     now: float,
 ) -> Verdict | None:
-    """Forward a flow that this balancer recorded before it gave the shard away.
+    """Forward a packet of a flow recorded here before the shard was handed off.
 
-    What goes wrong otherwise: a packet that arrives while the last records are
-    on their way to the new keeper is taken for a flow of the base and breaks.
+    Without this, a packet that arrives while the last records are in transit to
+    the new keeper would be treated as a flow of the base, which resets it.
     """
     bucket = packet.hashed & table.mask
     retained = steering.retained_by_shard.get(table.shard_of(bucket))
@@ -126,12 +130,13 @@
     packet: Packet,
     now: float,
 ) -> Verdict:
-    """Treat a packet whose keeper is this balancer, but without fresh proof.
+    """Return the verdict of a keeper without recent contact to a majority of its peers.
 
-    What goes wrong otherwise: a keeper that was paused wakes up, still
-    believes itself in office and forwards by a register that its successor has
-    changed meanwhile.  When no peer is left alive there is no successor, and
-    the last known register is all there is.
+    Without this, a keeper that resumes after a pause would still consider
+    itself keeper, and would forward by a register that its successor has
+    changed in the meantime.  If no peer is live there is no successor, and the
+    packet is forwarded by the last known record or register.  The same applies
+    while the keeper has contact to some peers.
     """
     peers = members.alive_names
     if not peers or members.contacts(now):
@@ -144,7 +149,10 @@
 
 
 def _forward_last_known(steering: Steering, table: ServiceTable, packet: Packet) -> Verdict:
-    """Forward by what was last known: dropping would stall at least as many."""
+    """Forward by the last known record or register.
+
+    Dropping the packet instead would stall at least as many flows.
+    """
     bucket = packet.hashed & table.mask
     register = table.registers[bucket]
     if register is None:
@@ -163,7 +171,7 @@
     register: Register,
     packet: Packet,
 ) -> str | None:
-    """Return the flow's upstream from own records or copies of a keeper's."""
+    """Return the flow's upstream from this balancer's records or copies, None if unknown."""
     if packet.opens:
         return None
     fingerprint = fingerprint_of(packet.hashed)
@@ -189,9 +197,9 @@
 
 
 def place(steering: Steering, packet: Packet, now: float) -> Verdict | None:
-    """Decide a packet of an unsettled bucket as its keeper, and record it.
+    """Return a keeper's verdict on a packet; record the flow if its bucket is unsettled.
 
-    None when the bucket is not this balancer's or is settled by now.
+    The packet is dropped if this balancer is not the keeper of its bucket.
     """
     table = steering.tables_by_key.get(packet.service)
     if table is None:
@@ -212,7 +220,7 @@
     packet: Packet,
     now: float,
 ) -> str:
-    """Return the flow's upstream, and keep or renew its record."""
+    """Return the flow's upstream, and create or renew its record."""
     fingerprint = fingerprint_of(packet.hashed)
     record = register.records.get(fingerprint)
     if record is not None and packet.opens and now > record.repeat_until:
@@ -245,7 +253,7 @@
     fingerprint: int,
     upstream: str,
 ) -> None:
-    """Queue the record for the standby and for a hand-over under way."""
+    """Queue the record for the standby and for a hand-off in progress."""
     entry = RecordEntry(register.service, register.bucket, fingerprint, upstream)
     steering.fresh_records.append(entry)
     handoff = steering.handoffs_by_shard.get(register.shard)
--- a/src/bronzekeel/core/steering/packs.py
+++ b/src/bronzekeel/core/steering/packs.py
@@ -1,7 +1,8 @@
-"""Pack registers for the wire: equal ones of a service share one entry.
+"""Encode journal parts compactly: equal registers of a service share one entry.
 
-Most registers of a shard differ in their bucket alone.  Named one by one they
-take about sixty bytes each, which a fleet that heals from a cut would feel.
+Most registers of a shard differ only in their bucket.  Encoded one by one they
+take about 60 bytes each, a considerable load when many are sent at once after
+a partition heals.
 """
 
 from array import array
@@ -21,7 +22,10 @@
     owners: Iterable[OwnerEntry],
     entries: Iterable[RegisterEntry],
 ) -> JournalPart:
-    """Return the part of a journal that holds these entries."""
+    """Return a journal part with `entries`, grouped where they differ only in the bucket.
+
+    Registers with exceptions are not grouped.
+    """
     buckets_by_fields: dict[tuple[str, int, int, str, str], list[int]] = {}
     with_exceptions = []
     for entry in entries:
@@ -40,7 +44,7 @@
 
 
 def unpack_part(part: JournalPart) -> Iterator[RegisterEntry]:
-    """Yield every register that a part of a journal states."""
+    """Yield every register entry of a journal part."""
     yield from part.registers
     for pack in part.packs:
         for bucket in _from_bytes(pack.buckets):
@@ -62,7 +66,7 @@
 
 
 def _from_bytes(raw: bytes) -> Sequence[int]:
-    """Return bucket numbers; a byte left over at the end is passed over."""
+    """Return the bucket numbers in `raw`; an odd byte at the end is ignored."""
     numbers = array('H')
     numbers.frombytes(raw[: len(raw) - len(raw) % _BUCKET_BYTES])
     if byteorder == 'little':
--- a/src/bronzekeel/core/steering/records.py
+++ b/src/bronzekeel/core/steering/records.py
@@ -1,4 +1,4 @@
-"""Pack flow records for the wire: seven bytes a flow beside its upstream's name."""
+"""Encode flow records in seven bytes per flow, grouped by service and upstream."""
 
 from collections.abc import Iterable, Iterator
 from struct import Struct as ByteLayout
@@ -7,7 +7,7 @@
 
 from bronzekeel.core.messages import RecordPack
 
-#: Bits of a flow's hash that choose its bucket, and those that tell it apart there.
+#: Bits of a flow's hash that select its bucket, and that identify it within the bucket.
 BUCKET_BITS = 16
 FINGERPRINT_BITS = 40
 
@@ -18,7 +18,7 @@
 
 
 class RecordEntry(Struct, frozen=True):
-    """State which upstream one flow of an unsettled bucket is on."""
+    """The upstream of one flow of an unsettled bucket."""
 
     service: str
     bucket: int
@@ -27,16 +27,16 @@
 
 
 def fingerprint_of(hashed: int) -> int:
-    """Return the bits of a flow's hash that tell it from its bucket's others.
+    """Return the bits of a flow's hash that identify it within its bucket.
 
-    With 40 bits and 512 exceptions a bucket, one flow in two billion is taken
-    for another.
+    With 40 bits and 512 exceptions per bucket, one flow in two billion is
+    mistaken for another.
     """
     return hashed >> BUCKET_BITS & _FINGERPRINT_MASK
 
 
 def pack(records: Iterable[RecordEntry]) -> tuple[RecordPack, ...]:
-    """Return records grouped by service and upstream."""
+    """Encode records, grouped by service and upstream."""
     flows_by_upstream: dict[tuple[str, str], bytearray] = {}
     for record in records:
         flows = flows_by_upstream.setdefault((record.service, record.upstream), bytearray())
@@ -49,7 +49,7 @@
 
 
 def unpack(packs: Iterable[RecordPack]) -> Iterator[RecordEntry]:
-    """Yield the records of packs; bytes left over at an end are passed over."""
+    """Yield the records of `packs`; incomplete records at the end of a pack are ignored."""
     for packed in packs:
         whole = len(packed.flows) - len(packed.flows) % _LAYOUT.size
         for bucket, high, low in _LAYOUT.iter_unpack(packed.flows[:whole]):
--- a/src/bronzekeel/core/steering/registers.py
+++ b/src/bronzekeel/core/steering/registers.py
@@ -1,4 +1,4 @@
-"""Hold the register of a bucket: where its flows are and where new ones go."""
+"""Registers: the upstreams of a bucket's existing flows and of its new ones."""
 
 from array import array
 from bisect import bisect_left
@@ -12,11 +12,11 @@
 
 
 class Stage(IntEnum):
-    """Tell how far a change of a bucket has come.
+    """Stage of a change of a bucket.
 
-    SETTLED: any balancer forwards.  ANNOUNCED: packets go to the keeper, which
-    still places new flows on the base.  ACTING: the keeper places new flows on
-    the current upstream.
+    SETTLED: any balancer with a lease may forward.  ANNOUNCED: packets go to
+    the keeper, which still places new flows on the base.  ACTING: packets go to
+    the keeper, which places new flows on the current upstream.
     """
 
     SETTLED = 0
@@ -25,16 +25,16 @@
 
 
 class FlowMap:
-    """Map fingerprints of flows to upstreams in nine bytes a flow.
+    """Immutable map from fingerprints of flows to upstreams, in nine bytes per flow.
 
-    A dictionary of integers would take about eighty; a season of changes
-    leaves an entry for each long feed.
+    A dictionary would take about 80 bytes per flow.  Memory matters since each
+    long-lived flow may become an exception over a series of changes.
     """
 
     __slots__ = ('_fingerprints', '_indices', '_upstreams')
 
     def __init__(self, flows: Iterable[tuple[int, str]] = ()) -> None:
-        """Sort `flows`, pairs of fingerprint and upstream, for bisection."""
+        """Build the map from pairs of fingerprint and upstream."""
         ordered = sorted(flows)
         names = sorted({upstream for _, upstream in ordered})
         index_by_name = {name: index for index, name in enumerate(names)}
@@ -53,7 +53,7 @@
 
     @property
     def upstreams(self) -> tuple[str, ...]:
-        """Upstreams that occur, without repeats."""
+        """Upstreams of the flows, sorted and without duplicates."""
         return self._upstreams
 
     @property
@@ -62,7 +62,7 @@
         return tuple(zip(self._fingerprints, self._indices, strict=True))
 
     def get(self, fingerprint: int) -> str | None:
-        """Return the upstream of a flow, None when it is no exception."""
+        """Return the upstream of a flow, or None if the map does not contain it."""
         index = bisect_left(self._fingerprints, fingerprint)
         if index == len(self._fingerprints):
             return None
@@ -73,10 +73,10 @@
 
 @dataclass(slots=True)
 class FlowRecord:
-    """Hold where one flow of an unsettled bucket is, with its deadlines.
+    """Upstream and deadlines of one flow of an unsettled bucket.
 
-    A SYN before `repeat_until` is a retransmission, a later one a new flow
-    with a key used again.
+    A SYN that arrives by `repeat_until` is a retransmission.  A later one opens
+    a new flow with the same addresses and ports.
     """
 
     upstream: str
@@ -84,7 +84,7 @@
     repeat_until: float
 
 
-#: Stands for the records of a settled bucket; writing to it is a fault.
+#: Records of a settled bucket.  It is read-only, so that an attempt to add one raises.
 NO_RECORDS: MutableMapping[int, FlowRecord] = cast(
     'MutableMapping[int, FlowRecord]',
     MappingProxyType({}),
@@ -93,10 +93,13 @@
 
 @dataclass(slots=True)
 class Register:
-    """Hold one bucket.
+    """State of one bucket.
 
-    `base` has all flows that no exception or record names.  `records`,
-    `counted_at`, `announced` and `seq` matter to the keeper alone.
+    `base` is the upstream of all flows without an exception or record, and
+    `current` the upstream of new flows once the keeper acts on a change.
+    `announced` is the journal number of the announcement, and the bucket may
+    settle no earlier than `counted_at`.  Only the keeper uses `records`,
+    `counted_at`, `recount_at`, `announced` and `seq`.
     """
 
     service: str
@@ -115,7 +118,7 @@
 
     @property
     def settled(self) -> bool:
-        """Whether any balancer may forward by this register."""
+        """Whether any balancer with a lease may forward by this register."""
         return self.stage is Stage.SETTLED
 
     def entry(self) -> RegisterEntry:
@@ -133,7 +136,7 @@
         )
 
     def apply(self, entry: RegisterEntry) -> None:
-        """Become what a keeper's journal entry says."""
+        """Replace the published state by that of a keeper's journal entry."""
         self.term = entry.term
         self.stage = Stage(entry.stage)
         self.base = entry.base
--- a/src/bronzekeel/core/steering/replicas.py
+++ b/src/bronzekeel/core/steering/replicas.py
@@ -1,8 +1,8 @@
-"""Copy the records of unsettled buckets to the keeper's successor.
+"""Replicate the records of unsettled buckets to the keeper's successor.
 
-What goes wrong without it: a keeper dies and its successor takes the flows
-that were placed on a new upstream for flows of the base.  A copy costs a few
-bytes a new flow of an unsettled bucket, and nothing for settled ones.
+Without this, the successor of a dead keeper would treat flows that were placed
+on a new upstream as flows of the base.  Replication costs a few bytes per new
+flow of an unsettled bucket, and nothing for settled buckets.
 """
 
 from bronzekeel.core.effects import Effect, Say
@@ -13,12 +13,12 @@
 from bronzekeel.core.steering.state import Steering
 
 
-#: Interval of copies; what a keeper recorded since the last one dies with it.
+#: Interval of replication; records made since the last one are lost if the keeper dies.
 REPLICATE_S = 0.5
 
 
 def replicate(steering: Steering, names: list[str], now: float) -> list[Effect]:
-    """Send new records to the standby, all of a shard's to a new one."""
+    """Send new records to the standby, and all records of a shard to a new standby."""
     if now < steering.replicate_at:
         return []
     steering.replicate_at = now + REPLICATE_S
@@ -57,16 +57,16 @@
 
 
 def successor(keeper: str, names: list[str]) -> str | None:
-    """Return who takes over from a keeper: the holder of its copies.
+    """Return the host that takes over from a keeper and holds the copies of its records.
 
-    One host for all its shards, since each further one would cost a message
-    at every interval.
+    It is one host for all shards of the keeper, since each further host would
+    cost another message per interval.
     """
     return rendezvous_first(keeper, [name for name in names if name != keeper])
 
 
 def on_replicate(steering: Steering, copies: Replicate) -> list[Effect]:
-    """Hold the copies that a keeper sends."""
+    """Store the copies of records of shards that the sender keeps."""
     for entry in unpack(copies.records):
         shard = _shard_of(steering, entry)
         if shard < 0 or steering.owners[shard].owner != copies.sender:
@@ -77,7 +77,7 @@
 
 
 def prune_retained(steering: Steering, now: float) -> None:
-    """Free what was kept for packets that are on their way no more."""
+    """Discard retained records whose deadline has passed."""
     for shard, retained in list(steering.retained_by_shard.items()):
         if now >= retained.until:
             steering.retained_by_shard.pop(shard)
--- a/src/bronzekeel/core/steering/state.py
+++ b/src/bronzekeel/core/steering/state.py
@@ -1,4 +1,4 @@
-"""Hold the steering state of one balancer."""
+"""Steering state of one balancer."""
 
 from dataclasses import dataclass, field
 
@@ -12,10 +12,11 @@
 
 @dataclass(slots=True)
 class ServiceTable:
-    """Hold the registers of one service; `targets` is the text's assignment.
+    """Registers of one service.
 
-    `banned` holds endpoints that now belong to another service: no packet of
-    this one may reach them, whatever a register says.
+    `targets` is the assignment of buckets to endpoints by the text.  `banned`
+    contains endpoints that now belong to another service; no packet of this
+    service may reach them, even if a register still refers to them.
     """
 
     name: str
@@ -34,17 +35,23 @@
         return cls(name, buckets - 1, offset, idle_s, [None for _ in range(buckets)])
 
     def first_of(self, shard: int) -> int:
-        """Return the first bucket that falls into `shard`."""
+        """Return the first bucket of `shard`."""
         return (shard - self.offset) % SHARDS
 
     def shard_of(self, bucket: int) -> int:
-        """Return the shard that `bucket` falls into."""
+        """Return the shard of `bucket`."""
         return (self.offset + bucket) % SHARDS
 
 
 @dataclass(slots=True)
 class Ownership:
-    """Hold who keeps a shard; before `fence_until` the keeper starts nothing."""
+    """Keeper of a shard and its term.
+
+    The keeper acts on no change before `fence_until`.  `seq` is the journal
+    number of the last change of ownership.  `orphaned` marks a shard whose
+    keeper has restarted and lost its state.  Claims with a term below
+    `rival_term` have been answered already.
+    """
 
     term: int = 0
     owner: str = ''
@@ -56,10 +63,13 @@
 
 @dataclass(slots=True)
 class Link:
-    """Hold the two journals between this balancer and another.
+    """State of the journals that this balancer and a peer exchange.
 
-    As a holder: `applied_seq` and `lease_until` of the other's word.  As a
-    keeper: `acked_seq` and `granted_until` of the word given to the other.
+    For the peer's journal: `announced_seq` and `applied_seq` are the newest
+    entries announced by the peer and applied here, and `lease_until` is the end
+    of the lease that the peer granted.  For this balancer's journal:
+    `acked_seq` is the newest entry that the peer confirmed, and `granted_until`
+    the end of the lease granted to it.
     """
 
     incarnation: int = 0
@@ -73,7 +83,11 @@
 
 @dataclass(slots=True)
 class ShardHandoff:
-    """Hold a shard's planned hand-over to another keeper."""
+    """Planned hand-off of a shard to another keeper.
+
+    `records` are those added since the offer was sent.  `given` is set once the
+    new keeper has confirmed the offer and the shard has been transferred.
+    """
 
     new_keeper: str
     term: int
@@ -84,7 +98,7 @@
 
 @dataclass(slots=True)
 class Retained:
-    """Hold the records of a shard that was given away, until a deadline."""
+    """Records of a shard that was handed off, retained until a deadline."""
 
     until: float
     upstream_by_flow: dict[tuple[str, int, int], str] = field(default_factory=dict)
@@ -92,10 +106,10 @@
 
 @dataclass(slots=True)
 class Steering:
-    """Hold all steering state of one balancer.
+    """All steering state of one balancer.
 
-    `fenced` and `replicating` are on; failure tests and benchmarks switch one
-    off to show what the mechanism is for.
+    `fenced` and `replicating` are always on in production; failure tests and
+    benchmarks disable one of them to show its effect.
     """
 
     me: str
@@ -124,17 +138,17 @@
     unsettled: set[tuple[str, int]] = field(default_factory=set)
 
     def link(self, host: str) -> Link:
-        """Return the link to `host`, made if it is new."""
+        """Return the link to `host`; create it if it does not exist."""
         return self.links_by_host.setdefault(host, Link())
 
     def mark_changed(self, register: Register) -> None:
-        """Give a register the next number of the journal, to be published."""
+        """Assign the next journal number to a register and queue it for publication."""
         self.dirty = True
         register.seq = self.seq + 1
         self.changed.append(register)
 
     def mark_shard_changed(self, shard: int) -> None:
-        """Give a shard's ownership the next number of the journal."""
+        """Assign the next journal number to a shard's ownership and queue it for publication."""
         self.dirty = True
         self.owners[shard].seq = self.seq + 1
         self.changed_shards.add(shard)
@@ -144,7 +158,7 @@
         return self.owners[shard].owner == self.me
 
     def register(self, service: str, bucket: int) -> Register | None:
-        """Return a register, None when it is not known."""
+        """Return a register, or None if it is unknown."""
         table = self.tables_by_name.get(service)
         if table is None or bucket > table.mask:
             return None
--- a/src/bronzekeel/core/steering/strategy.py
+++ b/src/bronzekeel/core/steering/strategy.py
@@ -1,4 +1,4 @@
-"""Define what every way of steering packets has."""
+"""Interface of the strategies for steering packets."""
 
 from abc import ABC, abstractmethod
 from typing import Generic, TypeVar
@@ -9,15 +9,16 @@
 
 
 class SteeringStrategy(ABC, Generic[PacketT, VerdictT]):
-    """Give every packet of a flow its verdict.
+    """Strategy that returns the verdict on each packet.
 
-    Two ways exist.  Fabrics whose packets carry nothing for a balancer need
-    owners of buckets that agree with each other (`core.steering.keepers`).
-    Where both ends echo a connection id, the packet itself names its upstream
-    (`core.routing.steering`) and balancers need no agreement.  The setting
-    `steering` chooses; duties of the other way do not run.
+    There are two strategies.  If packets carry no data for the balancer,
+    buckets need keepers on which all balancers agree
+    (`core.steering.by_keepers`).  If both ends echo a connection id, the packet
+    itself identifies its upstream (`core.routing.steering`) and no agreement is
+    needed.  The setting `steering` selects one; the duties of the other do not
+    run.
     """
 
     @abstractmethod
     def decide(self, packet: PacketT, now: float) -> VerdictT:
-        """Return what becomes of `packet`; `now` is the steady clock in seconds."""
+        """Return the verdict on `packet`; `now` is the monotonic clock in seconds."""
