--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Build the fleets, texts and traffic that several tests share."""
+"""Fleets, texts and traffic that several tests share."""
 
 from bronzekeel.core.catalogue import Catalogue, ServiceKind, ServiceSpec, UpstreamSpec
 from bronzekeel.core.messages import HostEntry
@@ -31,7 +31,10 @@
     idle_s: float = IDLE_S,
     buckets: int = 512,
 ) -> ServiceSpec:
-    """Return the portal with the numbered upstreams."""
+    """Return the specification of the portal service with the given upstreams.
+
+    `upstreams` is their number, or a list of the numbers of their endpoints.
+    """
     numbers = range(upstreams) if isinstance(upstreams, int) else upstreams
     return ServiceSpec(
         PORTAL,
@@ -48,12 +51,12 @@
 
 
 def catalogue(generation: int, *services: ServiceSpec) -> Catalogue:
-    """Return a text's catalogue."""
+    """Return the catalogue of a text with the given generation and services."""
     return Catalogue(generation, {spec.name: spec for spec in services})
 
 
 def started_fleet(seed: int = 1, spec: ServiceSpec | None = None) -> tuple[Fleet, FlowTraffic]:
-    """Return a ready fleet of nine with the portal in force, and its traffic."""
+    """Return a ready fleet of nine hosts that serves the portal, and its traffic."""
     service = spec or portal()
     traffic = FlowTraffic(service)
     fleet = Fleet(hosts(), seed, traffic)
@@ -64,13 +67,13 @@
 
 
 def lag_views(fleet: Fleet, max_s: float = 2.0) -> None:
-    """Let texts and journals reach each balancer late, each by a different time."""
+    """Delay texts and journals at each balancer by a random time of up to `max_s`."""
     for node in fleet.running:
         node.view_lag_s = fleet.random.random() * max_s
 
 
 def differing_views(fleet: Fleet) -> list[tuple[str, int]]:
-    """Return the balancers and buckets whose register is not the keeper's."""
+    """Return the balancers and buckets whose register differs from the keeper's."""
     found = []
     for node in fleet.running:
         for table in node.state.steering.tables_by_name.values():
@@ -84,7 +87,7 @@
 
 
 def _keeper_copy(fleet: Fleet, node: Node, register: Register) -> Register:
-    """Return the register as the keeper has it that `node` believes in."""
+    """Return the register of the balancer that `node` considers its keeper."""
     owner = node.state.steering.owners[register.shard].owner
     steering = fleet.by_name[owner].state.steering
     return steering.register(register.service, register.bucket) or register
--- a/tests/test_fence_model.py
+++ b/tests/test_fence_model.py
@@ -1,8 +1,9 @@
-"""Explore interleavings of change, pause, stop and traffic on a small fleet.
+"""Explore interleavings of changes, pauses, stops and traffic on a small fleet.
 
-Symptom: a flow is reset by an upstream that never saw its SYN.
-Sequence: whatever hypothesis finds.
-Cause: a balancer forwards by a register that its keeper has acted against.
+Guards against flows that are reset because their packets reach an upstream that
+never received their SYN.  This happens when a balancer forwards by a register
+that its keeper has changed and acted on already.  Hypothesis searches for such
+a sequence.
 """
 
 from typing import Any
@@ -14,6 +15,8 @@
 
 from tests.fleets import catalogue, hosts, lag_views, portal, started_fleet
 
+# Hypothesis seeds the exploration with the source of the machines, so a change of
+# their names or doc strings explores other sequences.
 _EXPLORE = settings(
     max_examples=12,
     stateful_step_count=12,
@@ -95,14 +98,14 @@
 
 
 class FenceTest(TestCase):
-    """Run both machines."""
+    """Explore with and without the fence."""
 
     def test_fence_holds_in_all_interleavings(self) -> None:
         """No interleaving breaks a flow."""
         _run(FenceMachine)
 
     def test_fault_is_found_without_the_fence(self) -> None:
-        """The same exploration finds a broken flow when the fence is removed."""
+        """The same exploration finds a broken flow if the fence is disabled."""
         with self.assertRaises(AssertionError):
             _run(UnfencedMachine)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Test that the fleet finds its members and loses only the dead."""
+"""Test that balancers discover members and remove only dead ones."""
 
 from unittest import TestCase
 
@@ -14,13 +14,13 @@
 
 
 class MembershipTest(TestCase):
-    """Let hosts die, join, pause and lose packets."""
+    """Test membership while hosts die, join, pause and lose packets."""
 
     def test_dead_host_is_found_though_the_list_still_has_it(self) -> None:
-        """Symptom: packets go to a dead keeper for half a minute.
+        """Guards against packets that go to a dead keeper for half a minute.
 
-        Sequence: a host dies; the platform's list lags.
-        Cause: believing the list.
+        This happens if balancers trust the platform's list of hosts, which
+        still contains a dead host for that long.
         """
         fleet, _ = started_fleet()
         fleet.kill('c3')
@@ -29,10 +29,10 @@
             self.assertTrue(node.state.members.by_name['c3'].dead)
 
     def test_list_alone_removes_nobody(self) -> None:
-        """Symptom: a wrong list empties a healthy fleet.
+        """Guards against a wrong list that removes the members of a healthy fleet.
 
-        Sequence: the platform lists two hosts of nine for a minute.
-        Cause: taking absence from the list for death.
+        This happens if a host that is missing from the platform's list is
+        considered dead.  The list has two of nine hosts for over a minute.
         """
         fleet, _ = started_fleet()
         for name in [host.name for host in hosts()][2:]:
@@ -43,10 +43,10 @@
             self.assertEqual(8, len(node.state.members.alive))
 
     def test_watchers_pass_the_list_of_hosts_on(self) -> None:
-        """Symptom: balancers that do not watch never hear of a new list.
+        """Guards against balancers that never receive a new list of hosts.
 
-        Sequence: only watchers read the platform's newest list.
-        Cause: each balancer reading for itself would eat the platform's calls.
+        Only watchers read the list from the platform, since reads by every
+        balancer would exhaust its budget of calls.  Watchers must send it on.
         """
         fleet, _ = started_fleet()
         listed = (*hosts(), HostEntry('d1', 'dc-a', '127.0.0.1', 1, 2, 3))
@@ -57,11 +57,11 @@
         for node in fleet.running:
             self.assertIn('d1', node.state.members.by_name)
 
-    def test_lost_packets_flap_nobody(self) -> None:
-        """Symptom: members come and go under packet loss.
+    def test_lost_packets_cause_no_flapping(self) -> None:
+        """Guards against members that flap under packet loss.
 
-        Sequence: a tenth of all messages between balancers is lost.
-        Cause: judging by one lost heartbeat.
+        This happens if a single lost heartbeat makes a member dead.  A tenth of
+        all messages between balancers is lost.
         """
         fleet, _ = started_fleet()
         fleet.lost_share = 0.1
@@ -69,10 +69,10 @@
         self.assertEqual(0, sum(node.state.members.deaths for node in fleet.running))
 
     def test_slow_host_does_not_take_others_down(self) -> None:
-        """Symptom: one overloaded host removes its healthy peers.
+        """Guards against an overloaded host that declares its healthy peers dead.
 
-        Sequence: a host is paused for six seconds and wakes.
-        Cause: counting its own silence as that of others.
+        A host resumes after a pause of six seconds, during which it received
+        nothing, and mistakes its own pause for silence of the others.
         """
         fleet, _ = started_fleet()
         fleet.pause('b1', 6)
@@ -96,10 +96,10 @@
         self.assertTrue(member.ready)
 
     def test_cut_off_data_centres_find_each_other_again(self) -> None:
-        """Symptom: after a cut two fleets live side by side.
+        """Guards against a fleet that stays split after a partition.
 
-        Sequence: two data centres lose each other for a minute.
-        Cause: forgetting members that are listed.
+        Two data centres are partitioned for a minute.  If they remove dead
+        members that are still listed, they never contact each other again.
         """
         fleet, _ = started_fleet()
         names = list(fleet.by_name)
@@ -112,7 +112,7 @@
             self.assertLess(node.state.steering.self_valid_until, float('inf'))
 
     def test_control_stays_under_its_byte_budget(self) -> None:
-        """A balancer of nine sends less than 3 KB/s when nothing changes."""
+        """A balancer in a fleet of nine sends less than 3 KB/s while nothing changes."""
         fleet, _ = started_fleet()
         before = sum(fleet.by_name['a1'].bytes_by_kind.values())
         fleet.run(60)
@@ -120,24 +120,25 @@
         self.assertLess(spent / 60, 3000)
 
 
-class ListOfHostsTest(TestCase):
-    """Tell the list of hosts on."""
+class HostListTest(TestCase):
+    """Test that watchers send the list of hosts to other balancers."""
 
-    def test_a_list_of_a_restored_store_can_be_told(self) -> None:
-        """Watchers told nobody the list of hosts, and each message about it ended in an exception.
+    def test_a_list_of_a_restored_store_can_be_sent(self) -> None:
+        """Guards against lists of hosts that the codec cannot encode.
 
-        A version has the store's incarnation in its high bits and did not fit into a whole number
-        of the codec.  The log said: OverflowError, can't serialize ints < -2**63 or > 2**64 - 1.
+        A version has the store's incarnation in its high bits and exceeded the codec's integers,
+        so that no list was sent and each message about it raised an exception: OverflowError,
+        can't serialize ints < -2**63 or > 2**64 - 1.
         """
         fleet, _ = started_fleet()
         version = revision_of(3, 9)
         listed = HostsListed(tuple(hosts()), version)
-        said = []
+        sent = []
         for node in fleet.running:
             for effect in reduce(node.state, listed, fleet.now):
                 if isinstance(effect, Say) and isinstance(effect.message, HostList):
-                    said.append(decode(encode(effect.message)))
-        self.assertTrue(said)
+                    sent.append(decode(encode(effect.message)))
+        self.assertTrue(sent)
         follower = fleet.running[-1].state
-        reduce(follower, PeerSaid(said[0]), fleet.now)
+        reduce(follower, PeerSaid(sent[0]), fleet.now)
         self.assertEqual(version, follower.members.hosts_version)
--- a/tests/test_planned_change.py
+++ b/tests/test_planned_change.py
@@ -1,4 +1,4 @@
-"""Test that no planned change breaks an established flow."""
+"""Test that planned changes break no established flow."""
 
 from unittest import TestCase
 
@@ -17,14 +17,14 @@
 
 
 class UpstreamChangeTest(TestCase):
-    """Change the upstreams under flows that every balancer gets packets of."""
+    """Test changes of upstreams while every balancer receives packets of each flow."""
 
     def test_join_breaks_nothing(self) -> None:
-        """Symptom: resets seconds after an upstream joins.
+        """Guards against flows that are reset seconds after an upstream joins.
 
-        Sequence: a text adds an upstream; views of it lag up to 2 s; a keeper
-        places new flows on the newcomer while others still forward the bucket.
-        Cause: acting on a change before all have stopped to forward by the old.
+        A text adds an upstream and reaches balancers up to 2 s late.  Flows break
+        if a keeper places new flows on it while other balancers still forward
+        packets of the bucket by the former register.
         """
         broken = {}
         for fenced in (True, False):
@@ -42,11 +42,11 @@
         self.assertGreater(broken[False], 0)
 
     def test_leaving_upstream_gets_no_flow_after_five_seconds(self) -> None:
-        """Symptom: an upstream that was switched off takes new flows with it.
+        """Guards against new flows on an upstream that is about to be switched off.
 
-        Sequence: a text drains it while one balancer's view lags and the
-        platform goes down; new flows keep coming.
-        Cause: a balancer that places new flows by an old view.
+        A text drains the upstream while the views of balancers lag and the
+        platform is down.  A balancer with an old view must not place new flows
+        on it.
         """
         fleet, traffic = started_fleet()
         lag_views(fleet)
@@ -63,10 +63,10 @@
         self.assertEqual(0, traffic.broken)
 
     def test_removed_upstream_keeps_its_flows(self) -> None:
-        """Symptom: feeds end when their upstream is taken out of the text.
+        """Guards against flows that break when a text removes their upstream.
 
-        Sequence: flows open, the text drops their upstream and adds another.
-        Cause: computing a flow's upstream from the newest text.
+        A text removes the upstream of open flows and adds another.  Flows break
+        if their upstream is computed from the newest text.
         """
         fleet, traffic = started_fleet()
         lag_views(fleet)
@@ -80,14 +80,14 @@
 
 
 class BalancerChangeTest(TestCase):
-    """Replace balancers in the planned way."""
+    """Test the planned replacement of balancers."""
 
     def test_rolling_replacement_with_changes_breaks_nothing(self) -> None:
-        """Symptom: resets while the fleet is replaced host by host.
+        """Guards against flows that are reset while hosts are replaced one by one.
 
-        Sequence: upstreams join and drain, so that buckets are unsettled;
-        each balancer is stopped, unlisted and started again in turn.
-        Cause: records of new flows that are lost between two keepers.
+        Upstreams join and drain, so that buckets are unsettled, while each
+        balancer in turn is stopped, unlisted and started again.  Flows break if
+        their records are lost in a hand-off between two keepers.
         """
         fleet, traffic = started_fleet()
         lag_views(fleet)
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -1,4 +1,4 @@
-"""Test that a season of changes leaves the buckets settled."""
+"""Test that buckets settle after repeated changes, and the assignment of buckets."""
 
 from collections import Counter
 from unittest import TestCase
@@ -15,13 +15,14 @@
 
 
 class RepeatedChangeTest(TestCase):
-    """Change the text again and again while feeds stay open."""
+    """Change the text repeatedly while flows stay open."""
 
-    def test_unsettled_buckets_do_not_pile_up(self) -> None:
-        """Symptom: after months every packet is handed to a keeper.
+    def test_unsettled_buckets_do_not_accumulate(self) -> None:
+        """Guards against a fleet that hands ever more packets to keepers.
 
-        Sequence: upstreams drain and return many times; feeds stay open.
-        Cause: buckets that stay unsettled for as long as an old flow lives.
+        Upstreams drain and return many times while long-lived flows stay open.
+        After months every bucket would be unsettled if a bucket could not
+        settle as long as one of its old flows is open.
         """
         unsettled = []
         spec = portal(7, idle_s=6, buckets=128)
@@ -47,10 +48,10 @@
         self.assertGreater(excepted, 0)
 
     def test_cut_off_fleet_does_not_settle(self) -> None:
-        """Symptom: flows break when two halves of a fleet meet again.
+        """Guards against flows that break when a partition heals.
 
-        Sequence: a listed host is missing; a bucket's count is over.
-        Cause: settling changes what an unrecorded flow means on one side.
+        A bucket's count ends while a listed host is missing.  Settling it would
+        change the upstream of flows without a record on one side only.
         """
         fleet, _ = started_fleet(spec=portal(7, idle_s=6, buckets=128))
         fleet.kill('b2')
@@ -71,10 +72,10 @@
 
 
 class FlowMapTest(TestCase):
-    """Look flows up in the compact set."""
+    """Test the compact map of flows."""
 
     def test_finds_what_was_put_in(self) -> None:
-        """Every flow has its upstream, any other has none."""
+        """Every flow in the map has its upstream, and any other flow has none."""
         flows = [(number * 7919, f'10.0.0.{number % 5}:1') for number in range(500)]
         flow_map = FlowMap(reversed(flows))
         self.assertEqual(sorted(flows), list(flow_map))
@@ -83,15 +84,15 @@
             self.assertIsNone(flow_map.get(fingerprint + 1))
 
 
-class CloseTest(TestCase):
-    """Close flows and use their keys again."""
+class ReusedKeyTest(TestCase):
+    """Test flows that reuse the addresses and ports of closed ones."""
 
     def test_key_used_again_after_close_goes_to_current(self) -> None:
-        """Symptom: a leaving upstream gets a new flow long after its drain began.
+        """Guards against a draining upstream that gets new flows.
 
-        Sequence: a flow on a draining upstream closes while its bucket is
-        unsettled; a client opens a new one with the same addresses and ports.
-        Cause: taking the new SYN for a repeat of the old one.
+        A flow on a draining upstream closes while its bucket is unsettled, and a
+        client opens a new one with the same addresses and ports.  The new SYN
+        must not be mistaken for a retransmission of the old one.
         """
         fleet, traffic = started_fleet(spec=portal(7, idle_s=200))
         traffic.open(400, over_s=2, packets=0, every_s=1)
@@ -112,10 +113,10 @@
 
 
 class AssignmentTest(TestCase):
-    """Share buckets out by weight."""
+    """Test the assignment of buckets by weight."""
 
     def test_weights_are_honoured_within_one_bucket(self) -> None:
-        """An upstream of twice the weight gets twice the buckets, a draining one none."""
+        """An upstream with twice the weight gets twice the buckets, and a draining one none."""
         plain = portal(4, draining=(3,))
         heavy = UpstreamSpec(endpoint(0), 'dc-a', weight=2)
         spec = replace(plain, upstreams=(heavy, *plain.upstreams[1:]))
@@ -125,7 +126,7 @@
         self.assertLessEqual(abs(counts[endpoint(1)] - 128), 1)
 
     def test_a_join_moves_little_more_than_its_share(self) -> None:
-        """Of 512 buckets a join of one to seven moves less than a sixth."""
+        """An eighth upstream moves at least an eighth and less than a sixth of 512 buckets."""
         before = assign(portal(7))
         after = assign(portal(8))
         moved = sum(old != new for old, new in zip(before, after, strict=True))
--- a/tests/test_unplanned_failure.py
+++ b/tests/test_unplanned_failure.py
@@ -1,4 +1,4 @@
-"""Test what failures cost flows, and that none sends a packet to a wrong service."""
+"""Test how many flows failures break, and that no packet reaches a wrong service."""
 
 from unittest import TestCase
 
@@ -9,15 +9,15 @@
 
 
 class KeeperDeathTest(TestCase):
-    """Kill keepers while their buckets are unsettled."""
+    """Test keepers that fail while their buckets are unsettled."""
 
     def test_copies_save_the_flows_of_a_dead_keeper(self) -> None:
-        """Symptom: resets after a balancer dies during a change.
+        """Guards against flows that are reset when a keeper dies during a change.
 
-        Sequence: a join makes buckets unsettled; keepers record new flows; one
-        keeper dies, then another that may have taken over from it; successors
-        take recorded flows for flows of the base.
-        Cause: records that only the dead keeper had.
+        A new upstream makes buckets unsettled, and keepers record new flows.
+        One keeper dies, then another that may have taken over from it.  If only
+        the dead keeper had the records, its successor would treat these flows
+        as flows of the base.
         """
         broken = {}
         for replicating in (True, False):
@@ -36,12 +36,13 @@
         self.assertLess(broken[True] * 3, broken[False])
         self.assertEqual(0, traffic.misdelivered)
 
-    def test_paused_keeper_does_not_act_on_its_old_word(self) -> None:
-        """Symptom: resets when a stopped process goes on.
+    def test_paused_keeper_does_not_act_on_an_expired_lease(self) -> None:
+        """Guards against flows that are reset when a paused process resumes.
 
-        Sequence: a keeper is paused past its lease; a successor takes over and
-        changes its buckets; the paused one wakes with packets in its buffers.
-        Cause: forwarding by a lease that was checked when it was received.
+        A keeper is paused beyond the end of its lease.  A successor takes over
+        and changes its buckets, and the former keeper resumes with packets in
+        its buffers.  The lease must be checked for each packet, not only when
+        it is received.
         """
         broken = {}
         for checked in (True, False):
@@ -64,11 +65,11 @@
         self.assertGreater(broken[False], 0)
 
     def test_restarted_keeper_gives_up_its_shards(self) -> None:
-        """Symptom: a host that restarts under its name swallows packets.
+        """Guards against a restarted host that drops packets.
 
-        Sequence: a keeper dies and a fresh process with its name and address
-        starts before anybody misses it.
-        Cause: taking the name for the process; the fresh one knows nothing.
+        A keeper dies, and a new process with its name and address starts before
+        the failure is detected.  The new process has no registers, so peers
+        must not mistake it for the former one.
         """
         fleet, traffic = started_fleet(seed=4)
         traffic.open(_FLOWS, over_s=4, packets=20, every_s=1)
@@ -82,16 +83,16 @@
         self.assertEqual({host.name for host in hosts()}, owners)
 
 
-class CutTest(TestCase):
-    """Cut links between balancers."""
+class PartitionTest(TestCase):
+    """Test partitions between balancers."""
 
     def test_cut_off_data_centre_serves_and_joins_again(self) -> None:
-        """Symptom: a data centre that is cut off stops serving, or breaks all at healing.
+        """Guards against an isolated data centre that stops serving or breaks its flows.
 
-        Sequence: one data centre loses the others and the platform; a text is
-        accepted outside; the cut heals.
-        Cause: waiting for a majority of the whole fleet; forgetting the losing
-        side's records.
+        One data centre is partitioned from the others and from the platform,
+        which accepts a text in the meantime; then the partition heals.  The data
+        centre would stop serving if it waited for a majority of the whole fleet,
+        and flows would break if the records of the losing side were discarded.
         """
         fleet, traffic = started_fleet(seed=5)
         lag_views(fleet)
@@ -116,10 +117,10 @@
         self.assertEqual(0, sum(len(node.state.steering.unsettled) for node in fleet.running))
 
     def test_half_open_link_removes_nobody(self) -> None:
-        """Symptom: two healthy balancers keep removing each other.
+        """Guards against healthy balancers that declare each other dead.
 
-        Sequence: packets from a1 to b1 are lost, those from b1 to a1 arrive.
-        Cause: judging a member by one's own link alone.
+        Packets from a1 to b1 are lost, while those from b1 to a1 arrive.  The
+        state of a member must not depend on a single link.
         """
         fleet, traffic = started_fleet(seed=6)
         traffic.open(_FLOWS, over_s=5, packets=15, every_s=1)
@@ -131,15 +132,15 @@
         self.assertEqual(_FLOWS, traffic.opened)
 
 
-class OtherServiceTest(TestCase):
-    """Reuse an upstream's address for another service."""
+class ReusedAddressTest(TestCase):
+    """Test an upstream's address that is reassigned to another service."""
 
     def test_reused_address_gets_none_of_its_former_packets(self) -> None:
-        """Symptom: packets of one service reach another.
+        """Guards against packets of one service that reach another.
 
-        Sequence: an upstream with open flows leaves a service's text; a later
-        text gives its address to another service.
-        Cause: forwarding by a register that still names the address.
+        A text removes an upstream with open flows from a service, and a later
+        text assigns its address to another service.  Registers of the first
+        service still refer to the address.
         """
         fleet, traffic = started_fleet(seed=7, spec=portal(4, idle_s=60))
         traffic.open(_FLOWS, over_s=2, packets=40, every_s=1)
