--- a/src/bronzekeel/core/health/reducer.py
+++ b/src/bronzekeel/core/health/reducer.py
@@ -1,9 +1,10 @@
-"""Move the limits of upstreams by what attempts show.
+"""Adjust the limits of upstreams by the outcomes of attempts.
 
-What goes wrong when endpoints are believed: one that is stuck on healthy keeps
-a dead upstream in use, one that is stuck on unhealthy empties a good one, and
-a broken check that calls everything dead stops the service.  An observed
-outcome overrules the endpoint, and "nearly all dead" counts as a broken signal.
+Health endpoints alone are unreliable: one that always reports healthy keeps a
+dead upstream in use, one that always reports unhealthy takes a working upstream
+out of use, and a broken check that reports every upstream as down stops the
+service.  Therefore observed outcomes take precedence over the endpoint, and
+reports that most upstreams are down are ignored.
 """
 
 from bronzekeel.core.effects import Effect, Log
@@ -14,8 +15,8 @@
 
 _FAILURES_TO_EJECT = 3
 _EJECT_S = 2.0
-_EJECT_MOST_S = 30.0
-_BELIEVED_S = 10.0
+_MAX_EJECT_S = 30.0
+_SUCCESS_VALID_S = 10.0
 _SHED_FACTOR = 0.5
 
 
@@ -26,37 +27,40 @@
     slots: int,
     now: float,
 ) -> list[Effect]:
-    """Take one attempt's end into the upstream's limit and ejection."""
+    """Update the upstream's limit and ejection by the outcome of an attempt.
+
+    Returns a log effect if the upstream was ejected or became usable again.
+    """
     upstream = health.of(endpoint)
     was_ejected = upstream.ejections > 0
-    _learn(upstream, ended, slots, now)
+    _apply_outcome(upstream, ended, slots, now)
     if was_ejected == (upstream.ejections > 0):
         return []
     number = LogNumber.UPSTREAM_UP if was_ejected else LogNumber.UPSTREAM_DOWN
     return [Log(number, endpoint)]
 
 
-def _learn(upstream: UpstreamHealth, ended: str, slots: int, now: float) -> None:
+def _apply_outcome(upstream: UpstreamHealth, ended: str, slots: int, now: float) -> None:
     if ended == AttemptEnd.ANSWERED:
         upstream.failures = 0
         upstream.ejections = 0
         upstream.ejected_until = 0
-        upstream.succeeded_until = now + _BELIEVED_S
+        upstream.succeeded_until = now + _SUCCESS_VALID_S
         upstream.limit = min(slots, upstream.limit + 1 / upstream.limit)
         return
     if ended == AttemptEnd.SHED:
         upstream.limit = max(1, upstream.limit * _SHED_FACTOR)
         return
     if ended in {AttemptEnd.UNREACHED, AttemptEnd.LOST, AttemptEnd.CUT}:
-        _fail(upstream, now)
+        _record_failure(upstream, now)
 
 
-def _fail(upstream: UpstreamHealth, now: float) -> None:
+def _record_failure(upstream: UpstreamHealth, now: float) -> None:
     upstream.failures += 1
     upstream.succeeded_until = 0
     if upstream.failures < _FAILURES_TO_EJECT:
         return
-    wait_s = min(_EJECT_MOST_S, _EJECT_S * 2**upstream.ejections)
+    wait_s = min(_MAX_EJECT_S, _EJECT_S * 2**upstream.ejections)
     upstream.ejections += 1
     upstream.ejected_until = now + wait_s
     upstream.limit = 1
@@ -64,12 +68,12 @@
 
 
 def on_hint(health: Health, endpoint: str, *, serving: bool) -> None:
-    """Note what the health endpoint says; ``allowances`` weighs it."""
+    """Record the state that the health endpoint reports, for use by ``allowances``."""
     health.of(endpoint).hinted_down = not serving
 
 
 def usable(health: Health, endpoints: list[str], now: float) -> list[str]:
-    """Return the upstreams that observed failures have not ejected."""
+    """Return the upstreams that are not ejected at present."""
     return [endpoint for endpoint in endpoints if now >= health.of(endpoint).ejected_until]
 
 
@@ -81,25 +85,25 @@
 ) -> dict[str, int]:
     """Return how many slots of each usable upstream may be in use.
 
-    A health endpoint that says "down" leaves one slot, whose outcome shows
-    whether it is right.  When more than half are called down the signal is
-    distrusted, and not the upstreams.
+    An upstream whose health endpoint reports "down" keeps one slot, whose
+    outcome shows whether the report is right.  If more than half of the
+    upstreams are reported as down, the reports are ignored.
     """
-    open_to = usable(health, endpoints, now)
-    doubted = {endpoint for endpoint in open_to if _doubted(health, endpoint, now)}
-    if len(doubted) * 2 > len(open_to) and not health.trusting:
-        doubted = set()
+    candidates = usable(health, endpoints, now)
+    suspects = {endpoint for endpoint in candidates if _is_suspect(health, endpoint, now)}
+    if len(suspects) * 2 > len(candidates) and not health.trusts_hints:
+        suspects = set()
     result = {}
-    for endpoint in open_to:
+    for endpoint in candidates:
         limit = int(min(health.of(endpoint).limit, slots))
-        if endpoint in doubted:
-            limit = 0 if health.trusting else 1
+        if endpoint in suspects:
+            limit = 0 if health.trusts_hints else 1
         result[endpoint] = limit
     return result
 
 
-def _doubted(health: Health, endpoint: str, now: float) -> bool:
+def _is_suspect(health: Health, endpoint: str, now: float) -> bool:
     upstream = health.of(endpoint)
-    if health.trusting:
+    if health.trusts_hints:
         return upstream.hinted_down
     return upstream.hinted_down and now >= upstream.succeeded_until
--- a/src/bronzekeel/core/membership/reducer.py
+++ b/src/bronzekeel/core/membership/reducer.py
@@ -1,9 +1,11 @@
-"""Decide who lives: heartbeats, silence, votes and the platform's list.
-
-What goes wrong without it: a list that lags 30 s keeps dead keepers in office,
-and a single slow link makes a balancer remove a healthy one.  A member is dead
-here only when this balancer does not hear it and most of its contacts do not
-either, so one bad link or one slow host flaps nobody.
+"""Detect live members by heartbeats, votes of peers and the platform's list of hosts.
+
+The platform's list alone is not enough, since it may lag by 30 s, during
+which dead hosts would remain keepers.  This balancer's own links are not
+enough either, since it would declare a healthy member dead because of a single
+slow link.  A member is considered dead only if neither this balancer nor most
+of its contacts receive its heartbeats, so one bad link or one slow host does
+not make members flap.
 """
 
 from bronzekeel.core.constants import (
@@ -23,11 +25,14 @@
 
 MILLISECONDS = 1000
 _SUSPECT_BEFORE_DEAD_S = 1.0
-_DEAD_BEAT_FACTOR = 4
+_DEAD_HEARTBEAT_FACTOR = 4
 
 
 def on_hosts(members: Membership, event: HostsListed, now: float) -> list[Effect]:
-    """Take the platform's list as a seed; absence from it removes nobody."""
+    """Add the hosts of the platform's list as members.
+
+    The list is only a seed: a member that is missing from it is not removed.
+    """
     if event.version < members.hosts_version:
         return []
     members.hosts_version = event.version
@@ -42,57 +47,57 @@
     return []
 
 
-def on_heartbeat(members: Membership, beat: Heartbeat, now: float) -> list[Effect]:
-    """Note that the sender lives and what it says of itself."""
-    member = members.by_name.get(beat.sender)
+def on_heartbeat(members: Membership, heartbeat: Heartbeat, now: float) -> list[Effect]:
+    """Record that the sender is live, and the state that it reports of itself."""
+    member = members.by_name.get(heartbeat.sender)
     if member is None:
-        if beat.host is None:
+        if heartbeat.host is None:
             return []
-        member = members.add(beat.host, now)
+        member = members.add(heartbeat.host, now)
         member.stable_at = now + SETTLE_IN_S
-    if beat.incarnation < member.incarnation:
+    if heartbeat.incarnation < member.incarnation:
         return []
     effects: list[Effect] = []
-    if beat.incarnation > member.incarnation or member.dead:
-        effects.append(Log(LogNumber.MEMBER_JOINED, beat.sender))
-        _welcome(member, beat, now)
-    member.stamp = max(member.stamp, beat.stamp)
-    member.generation = beat.generation
-    member.ready = beat.ready
-    member.leaving = beat.leaving
-    member.unheard = frozenset(beat.unheard)
-    member.heard_until = now + DEAD_S
-    if beat.echo:
-        echoed_until = beat.echo / MILLISECONDS + LEASE_S
+    if heartbeat.incarnation > member.incarnation or member.dead:
+        effects.append(Log(LogNumber.MEMBER_JOINED, heartbeat.sender))
+        _reset_member(member, heartbeat, now)
+    member.stamp = max(member.stamp, heartbeat.stamp)
+    member.generation = heartbeat.generation
+    member.ready = heartbeat.ready
+    member.leaving = heartbeat.leaving
+    member.unheard = frozenset(heartbeat.unheard)
+    member.heartbeat_deadline = now + DEAD_S
+    if heartbeat.echo:
+        echoed_until = heartbeat.echo / MILLISECONDS + LEASE_S
         member.contact_until = max(member.contact_until, echoed_until)
     return effects
 
 
-def _welcome(member: Member, beat: Heartbeat, now: float) -> None:
-    if beat.host is not None:
-        member.host = beat.host
-    member.incarnation = beat.incarnation
+def _reset_member(member: Member, heartbeat: Heartbeat, now: float) -> None:
+    if heartbeat.host is not None:
+        member.host = heartbeat.host
+    member.incarnation = heartbeat.incarnation
     member.dead = False
     member.stamp = 0
     member.contact_until = 0
-    member.next_beat_at = now
+    member.next_heartbeat_at = now
     member.stable_at = now + SETTLE_IN_S
 
 
 def on_tick(members: Membership, now: float) -> list[Effect]:
-    """Declare the silent dead and forget those that nobody lists."""
+    """Declare silent members dead, and remove dead members that are not listed."""
     effects: list[Effect] = []
-    passed_s = now - members.ticked_at if members.ticked_at else 0
-    if passed_s > PAUSE_S:
-        _excuse_all(members, now)
-        effects.append(Log(LogNumber.PAUSED, f'{passed_s:.1f} s'))
+    elapsed_s = now - members.ticked_at if members.ticked_at else 0
+    if elapsed_s > PAUSE_S:
+        _extend_deadlines(members, now)
+        effects.append(Log(LogNumber.PAUSED, f'{elapsed_s:.1f} s'))
     members.ticked_at = now
     contacts = members.contacts(now)
     _forget(members, now)
     for name, member in members.by_name.items():
-        if member.dead or now <= member.heard_until:
+        if member.dead or now <= member.heartbeat_deadline:
             continue
-        if not member.leaving and _vouched(name, contacts):
+        if not member.leaving and _is_vouched_for(name, contacts):
             continue
         member.dead = True
         member.forget_at = now + FORGET_S
@@ -107,43 +112,43 @@
             members.by_name.pop(name)
 
 
-def _excuse_all(members: Membership, now: float) -> None:
-    """Give every member a new chance after a pause of this process.
+def _extend_deadlines(members: Membership, now: float) -> None:
+    """Extend the deadlines of all live members after a pause of this process.
 
-    What goes wrong otherwise: a process that wakes up finds that it has heard
-    nobody for a while and declares the whole fleet dead.
+    Without this, a process that resumes after a pause would have received no
+    heartbeats in the meantime and would declare the whole fleet dead.
     """
     members.pauses += 1
     for member in members.alive:
-        member.heard_until = now + DEAD_S
-        member.next_beat_at = now
+        member.heartbeat_deadline = now + DEAD_S
+        member.next_heartbeat_at = now
 
 
-def _vouched(name: str, contacts: list[Member]) -> bool:
-    """Return whether most contacts still hear `name`."""
+def _is_vouched_for(name: str, contacts: list[Member]) -> bool:
+    """Return whether at least half of the contacts still receive heartbeats of `name`."""
     if not contacts:
         return False
-    hearing = sum(name not in member.unheard for member in contacts)
-    return hearing * 2 >= len(contacts)
+    receiving = sum(name not in member.unheard for member in contacts)
+    return receiving * 2 >= len(contacts)
 
 
-def unheard(members: Membership, now: float) -> tuple[str, ...]:
-    """Return the members that have been silent long enough to be suspected."""
+def silent_members(members: Membership, now: float) -> tuple[str, ...]:
+    """Return the members that are dead or about to miss their heartbeat deadline."""
     suspect_at = now + _SUSPECT_BEFORE_DEAD_S
     return tuple(
         name
         for name, member in members.by_name.items()
-        if member.dead or member.heard_until < suspect_at
+        if member.dead or member.heartbeat_deadline < suspect_at
     )
 
 
-def due_for_beat(members: Membership, now: float) -> list[Member]:
-    """Return the members to send a heartbeat to, and plan the next one."""
+def due_for_heartbeat(members: Membership, now: float) -> list[Member]:
+    """Return the members to send a heartbeat to now, and schedule the next one."""
     due = []
     for member in members.by_name.values():
-        if now < member.next_beat_at:
+        if now < member.next_heartbeat_at:
             continue
-        factor = _DEAD_BEAT_FACTOR if member.dead else 1
-        member.next_beat_at = now + HEARTBEAT_S * factor
+        factor = _DEAD_HEARTBEAT_FACTOR if member.dead else 1
+        member.next_heartbeat_at = now + HEARTBEAT_S * factor
         due.append(member)
     return due
--- a/src/bronzekeel/core/steering/packets.py
+++ b/src/bronzekeel/core/steering/packets.py
@@ -1,7 +1,7 @@
-"""Give the verdict on one packet: forward, hand over, drop, or decide.
+"""Choose the verdict on a packet: forward it, hand it to its keeper, or drop it.
 
-``steer`` only reads.  Where a verdict would change state it returns None, and
-the packet becomes a ``PacketArrived`` event of the reducer.
+``steer`` does not change the state.  It returns None if the decision would,
+and the packet then becomes a ``PacketArrived`` event of the reducer.
 """
 
 from enum import StrEnum
@@ -18,12 +18,12 @@
 
 Verdict = Forward | Hand | Drop
 
-# Read once: the path of every packet compares with it.
+# A module variable saves an attribute lookup on the path of every packet.
 _SETTLED = Stage.SETTLED
 
 
 class DropReason(StrEnum):
-    """Name why a packet was dropped."""
+    """Reason for which a packet was dropped."""
 
     UNKNOWN_SERVICE = 'unknown_service'
     ADDRESS_REUSED = 'address_reused'
@@ -42,27 +42,27 @@
     packet: Packet,
     now: float,
 ) -> Verdict | None:
-    """Return the verdict on `packet`, None when a keeper has to decide."""
+    """Return the verdict on `packet`, or None if this balancer must decide as keeper."""
     table = steering.tables_by_key.get(packet.service)
     if table is None:
         return Drop(DropReason.UNKNOWN_SERVICE)
     register = table.registers[packet.hashed & table.mask]
     if register is None:
-        return _hand_over(steering, members, table, packet, now)
+        return _hand_to_keeper(steering, members, table, packet, now)
     owner = steering.owners[register.shard].owner
     if owner == steering.me:
-        if now >= steering.self_until:
-            return _without_word(steering, members, table, packet, now)
-        return _direct(table, register, packet) if register.stage is _SETTLED else None
+        if now >= steering.self_valid_until:
+            return _steer_unconfirmed(steering, members, table, packet, now)
+        return _forward_settled(table, register, packet) if register.stage is _SETTLED else None
     if register.stage is _SETTLED:
         link = steering.links_by_host.get(owner)
         if link is not None and now < link.lease_until:
-            return _direct(table, register, packet)
-    return _hand_over(steering, members, table, packet, now)
+            return _forward_settled(table, register, packet)
+    return _hand_to_keeper(steering, members, table, packet, now)
 
 
-def _direct(table: ServiceTable, register: Register, packet: Packet) -> Verdict:
-    """Forward by a settled register: an exception, or the base."""
+def _forward_settled(table: ServiceTable, register: Register, packet: Packet) -> Verdict:
+    """Forward by a settled register: to the flow's exception if any, else to the base."""
     upstream = register.base
     if register.exceptions is not None and not packet.opens:
         fingerprint = fingerprint_of(packet.hashed)
@@ -72,22 +72,26 @@
     return Forward(upstream, packet.raw)
 
 
-def _hand_over(
+def _hand_to_keeper(
     steering: Steering,
     members: Membership,
     table: ServiceTable,
     packet: Packet,
     now: float,
 ) -> Verdict:
-    """Send the packet to the keeper of its bucket, by a third host if need be."""
+    """Hand the packet to the keeper of its bucket, through a relay if there is no contact.
+
+    Retained flows are forwarded here.  Without a live keeper, the packet is
+    forwarded by the last known register.
+    """
     bucket = packet.hashed & table.mask
     shard = table.shard_of(bucket)
-    kept = _retained(steering, table, packet, now)
-    if kept is not None:
-        return kept
+    verdict = _forward_retained(steering, table, packet, now)
+    if verdict is not None:
+        return verdict
     owner = steering.owners[shard].owner
     if not owner or not members.is_alive(owner):
-        return _last_known(steering, table, packet)
+        return _forward_last_known(steering, table, packet)
     if packet.hops >= HOP_LIMIT:
         return Drop(DropReason.HOP_LIMIT)
     if members.in_contact(owner, now):
@@ -97,16 +101,16 @@
     return Hand(relay or owner, packet.raw, packet.hops + 1)
 
 
-def _retained(
+def _forward_retained(
     steering: Steering,
     table: ServiceTable,
     packet: Packet,
     now: float,
 ) -> Verdict | None:
-    """Forward a flow that this balancer recorded before it gave the shard away.
+    """Forward a packet of a flow recorded here before the shard was handed off.
 
-    What goes wrong otherwise: a packet that arrives while the last records are
-    on their way to the new keeper is taken for a flow of the base and breaks.
+    Without this, a packet that arrives while the last records are in transit to
+    the new keeper would be treated as a flow of the base, which resets it.
     """
     bucket = packet.hashed & table.mask
     retained = steering.retained_by_shard.get(table.shard_of(bucket))
@@ -116,54 +120,58 @@
     upstream = retained.upstream_by_flow.get(flow)
     if upstream is None:
         return None
-    return _allowed(table, upstream, packet)
+    return _forward_unless_banned(table, upstream, packet)
 
 
-def _without_word(
+def _steer_unconfirmed(
     steering: Steering,
     members: Membership,
     table: ServiceTable,
     packet: Packet,
     now: float,
 ) -> Verdict:
-    """Treat a packet whose keeper is this balancer, but without fresh proof.
+    """Return the verdict of a keeper without recent contact to a majority of its peers.
 
-    What goes wrong otherwise: a keeper that was paused wakes up, still
-    believes itself in office and forwards by a register that its successor has
-    changed meanwhile.  When no peer is left alive there is no successor, and
-    the last known register is all there is.
+    Without this, a keeper that resumes after a pause would still consider
+    itself keeper, and would forward by a register that its successor has
+    changed in the meantime.  If no peer is live there is no successor, and the
+    packet is forwarded by the last known record or register.  The same applies
+    while the keeper has contact to some peers.
     """
     peers = members.alive_names
     if not peers or members.contacts(now):
-        return _last_known(steering, table, packet)
+        return _forward_last_known(steering, table, packet)
     if packet.hops >= HOP_LIMIT:
         return Drop(DropReason.NO_KEEPER)
     shard = table.shard_of(packet.hashed & table.mask)
-    heir = rendezvous_first(str(shard), peers)
-    return Hand(heir or '', packet.raw, packet.hops + 1)
+    new_keeper = rendezvous_first(str(shard), peers)
+    return Hand(new_keeper or '', packet.raw, packet.hops + 1)
 
 
-def _last_known(steering: Steering, table: ServiceTable, packet: Packet) -> Verdict:
-    """Forward by what was last known: dropping would stall at least as many."""
+def _forward_last_known(steering: Steering, table: ServiceTable, packet: Packet) -> Verdict:
+    """Forward by the last known record or register.
+
+    Dropping the packet instead would stall at least as many flows.
+    """
     bucket = packet.hashed & table.mask
     register = table.registers[bucket]
     if register is None:
         return Drop(DropReason.NO_KEEPER)
-    upstream = _last_record(steering, register, packet)
+    upstream = _last_known_upstream(steering, register, packet)
     if upstream is not None:
-        return _allowed(table, upstream, packet, stale=True)
-    verdict = _direct(table, register, packet)
+        return _forward_unless_banned(table, upstream, packet, stale=True)
+    verdict = _forward_settled(table, register, packet)
     if isinstance(verdict, Forward):
         return Forward(verdict.upstream, packet.raw, stale=True)
     return verdict
 
 
-def _last_record(
+def _last_known_upstream(
     steering: Steering,
     register: Register,
     packet: Packet,
 ) -> str | None:
-    """Return the flow's upstream from own records or copies of a keeper's."""
+    """Return the flow's upstream from this balancer's records or copies, None if unknown."""
     if packet.opens:
         return None
     fingerprint = fingerprint_of(packet.hashed)
@@ -176,7 +184,7 @@
     return copies.get((register.service, register.bucket, fingerprint))
 
 
-def _allowed(
+def _forward_unless_banned(
     table: ServiceTable,
     upstream: str,
     packet: Packet,
@@ -189,9 +197,9 @@
 
 
 def place(steering: Steering, packet: Packet, now: float) -> Verdict | None:
-    """Decide a packet of an unsettled bucket as its keeper, and record it.
+    """Return a keeper's verdict on a packet; record the flow if its bucket is unsettled.
 
-    None when the bucket is not this balancer's or is settled by now.
+    The packet is dropped if this balancer is not the keeper of its bucket.
     """
     table = steering.tables_by_key.get(packet.service)
     if table is None:
@@ -200,19 +208,19 @@
     if register is None or not steering.owns(register.shard):
         return Drop(DropReason.NO_KEEPER)
     if register.settled:
-        return _direct(table, register, packet)
-    upstream = _record(steering, table, register, packet, now)
-    return _allowed(table, upstream, packet)
+        return _forward_settled(table, register, packet)
+    upstream = _record_flow(steering, table, register, packet, now)
+    return _forward_unless_banned(table, upstream, packet)
 
 
-def _record(
+def _record_flow(
     steering: Steering,
     table: ServiceTable,
     register: Register,
     packet: Packet,
     now: float,
 ) -> str:
-    """Return the flow's upstream, and keep or renew its record."""
+    """Return the flow's upstream, and create or renew its record."""
     fingerprint = fingerprint_of(packet.hashed)
     record = register.records.get(fingerprint)
     if record is not None and packet.opens and now > record.repeat_until:
@@ -245,9 +253,9 @@
     fingerprint: int,
     upstream: str,
 ) -> None:
-    """Queue the record for the standby and for a hand-over under way."""
+    """Queue the record for the standby and for a hand-off in progress."""
     entry = RecordEntry(register.service, register.bucket, fingerprint, upstream)
     steering.fresh_records.append(entry)
-    move = steering.moves_by_shard.get(register.shard)
-    if move is not None:
-        move.records.append(entry)
+    handoff = steering.handoffs_by_shard.get(register.shard)
+    if handoff is not None:
+        handoff.records.append(entry)
--- a/src/bronzekeel/core/steering/packs.py
+++ b/src/bronzekeel/core/steering/packs.py
@@ -1,7 +1,8 @@
-"""Pack registers for the wire: equal ones of a service share one entry.
+"""Encode journal parts compactly: equal registers of a service share one entry.
 
-Most registers of a shard differ in their bucket alone.  Named one by one they
-take about sixty bytes each, which a fleet that heals from a cut would feel.
+Most registers of a shard differ only in their bucket.  Encoded one by one they
+take about 60 bytes each, a considerable load when many are sent at once after
+a partition heals.
 """
 
 from array import array
@@ -10,10 +11,10 @@
 
 from bronzekeel.core.messages import JournalPart, OwnerEntry, RegisterEntry, RegisterPack
 
-_WIDTH = 2
+_BUCKET_BYTES = 2
 
 
-def part_of(
+def pack_part(
     sender: str,
     incarnation: int,
     after: int,
@@ -21,24 +22,29 @@
     owners: Iterable[OwnerEntry],
     entries: Iterable[RegisterEntry],
 ) -> JournalPart:
-    """Return the part of a journal that holds these entries."""
-    buckets_by_likeness: dict[tuple[str, int, int, str, str], list[int]] = {}
-    single = []
+    """Return a journal part with `entries`, grouped where they differ only in the bucket.
+
+    Registers with exceptions are not grouped.
+    """
+    buckets_by_fields: dict[tuple[str, int, int, str, str], list[int]] = {}
+    with_exceptions = []
     for entry in entries:
         if entry.flows:
-            single.append(entry)
+            with_exceptions.append(entry)
             continue
-        likeness = (entry.service, entry.term, entry.stage, entry.base, entry.current)
-        buckets_by_likeness.setdefault(likeness, []).append(entry.bucket)
+        shared_fields = (entry.service, entry.term, entry.stage, entry.base, entry.current)
+        buckets_by_fields.setdefault(shared_fields, []).append(entry.bucket)
     packs = tuple(
-        RegisterPack(*likeness, _to_bytes(buckets))
-        for likeness, buckets in buckets_by_likeness.items()
+        RegisterPack(*shared_fields, _to_bytes(buckets))
+        for shared_fields, buckets in buckets_by_fields.items()
+    )
+    return JournalPart(
+        sender, incarnation, after, seq, tuple(owners), packs, tuple(with_exceptions)
     )
-    return JournalPart(sender, incarnation, after, seq, tuple(owners), packs, tuple(single))
 
 
-def entries_of(part: JournalPart) -> Iterator[RegisterEntry]:
-    """Yield every register that a part of a journal states."""
+def unpack_part(part: JournalPart) -> Iterator[RegisterEntry]:
+    """Yield every register entry of a journal part."""
     yield from part.registers
     for pack in part.packs:
         for bucket in _from_bytes(pack.buckets):
@@ -60,9 +66,9 @@
 
 
 def _from_bytes(raw: bytes) -> Sequence[int]:
-    """Return bucket numbers; a byte left over at the end is passed over."""
+    """Return the bucket numbers in `raw`; an odd byte at the end is ignored."""
     numbers = array('H')
-    numbers.frombytes(raw[: len(raw) - len(raw) % _WIDTH])
+    numbers.frombytes(raw[: len(raw) - len(raw) % _BUCKET_BYTES])
     if byteorder == 'little':
         numbers.byteswap()
     return numbers
