--- a/src/bronzekeel/balancer/daemon.py
+++ b/src/bronzekeel/balancer/daemon.py
@@ -49,7 +49,7 @@
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.messages import HostEntry, Message
 from bronzekeel.core.reducer import reduce
-from bronzekeel.core.requests.keepers import kept_upstreams
+from bronzekeel.core.requests.keepers import upstreams_of_kept_services
 from bronzekeel.core.state import BalancerState
 from bronzekeel.core.steering.by_keepers import KeeperSteering
 from bronzekeel.report.outcomes import OutcomeLine, OutcomeRecorder
@@ -231,7 +231,7 @@
         self._handlers[type(effect)](effect)
 
     def _kept_upstreams(self) -> list[tuple[str, str]]:
-        return kept_upstreams(self.state, self._clock()) if self.state else []
+        return upstreams_of_kept_services(self.state, self._clock()) if self.state else []
 
     def _packet_address(self, name: str) -> tuple[str, int] | None:
         member = self.state.members.by_name.get(name) if self.state else None
--- a/src/bronzekeel/bench/request_trials.py
+++ b/src/bronzekeel/bench/request_trials.py
@@ -7,8 +7,14 @@
 
 from bronzekeel.bench.flow_trials import bench_hosts
 from bronzekeel.bench.request_policies import Arrivals
-from bronzekeel.core.catalogue import Catalogue, ServiceKind, ServiceSpec, UpstreamSpec, Weighing
-from bronzekeel.core.hashing import text_hash
+from bronzekeel.core.catalogue import (
+    Catalogue,
+    PolicyPriority,
+    ServiceKind,
+    ServiceSpec,
+    UpstreamSpec,
+)
+from bronzekeel.core.hashing import string_hash
 from bronzekeel.core.constants import SHARDS
 from bronzekeel.replay.fleet import Fleet
 from bronzekeel.replay.request_traffic import RequestTraffic
@@ -24,7 +30,7 @@
 def replies(
     upstreams: int,
     draining: tuple[int, ...] = (),
-    weighs: Weighing = Weighing.IMBALANCE,
+    weighs: PolicyPriority = PolicyPriority.IMBALANCE,
 ) -> ServiceSpec:
     """Return the replies service with numbered upstreams of three slots."""
     return ServiceSpec(
@@ -65,7 +71,7 @@
         self,
         seed: int,
         upstreams: int = 7,
-        weighs: Weighing = Weighing.IMBALANCE,
+        weighs: PolicyPriority = PolicyPriority.IMBALANCE,
     ) -> None:
         """Start nine balancers; upstreams are warm."""
         self.seed = seed
@@ -88,7 +94,7 @@
 
     def keeper(self) -> str:
         """Return the name of the slot keeper."""
-        shard = text_hash(SERVICE) % SHARDS
+        shard = string_hash(SERVICE) % SHARDS
         state = self.fleet.running[0].state
         return state.steering.owners[shard].owner
 
@@ -108,7 +114,7 @@
 
     name: ClassVar[str]
     upstreams: ClassVar[int] = 7
-    weighs: ClassVar[Weighing] = Weighing.IMBALANCE
+    weighs: ClassVar[PolicyPriority] = PolicyPriority.IMBALANCE
     faulty: ClassVar[bool] = True
     compares_latency: ClassVar[bool] = False
     compares_balance: ClassVar[bool] = True
@@ -251,7 +257,7 @@
     """The same, weighing broken flows most."""
 
     name = 'flaky_broken_flows'
-    weighs = Weighing.BROKEN_FLOWS
+    weighs = PolicyPriority.BROKEN_FLOWS
     compares_balance = False
 
 
--- a/src/bronzekeel/core/catalogue.py
+++ b/src/bronzekeel/core/catalogue.py
@@ -12,7 +12,7 @@
     REQUEST = 'request'
 
 
-class Weighing(StrEnum):
+class PolicyPriority(StrEnum):
     """Tell what a service weighs most when its policy has to choose."""
 
     IMBALANCE = 'imbalance'
@@ -41,7 +41,7 @@
     idle_s: float = 120.0
     buckets: int = 512
     slots: int = 3
-    weighs: Weighing = Weighing.IMBALANCE
+    weighs: PolicyPriority = PolicyPriority.IMBALANCE
     depends_on: tuple[str, ...] = ()
 
     @property
--- a/src/bronzekeel/core/duties.py
+++ b/src/bronzekeel/core/duties.py
@@ -9,18 +9,18 @@
 from bronzekeel.core.steering import journal, keeper, owners, replicas
 
 #: Interval at which a lasting trouble is logged again.
-_COMPLAIN_S = 30.0
+_PROBLEM_LOG_S = 30.0
 
 
-def beats(state: BalancerState, now: float) -> list[Effect]:
+def due_heartbeats(state: BalancerState, now: float) -> list[Effect]:
     """Return the heartbeats that are due, each with its part for every domain."""
     members = state.members
-    silent = membership.unheard(members, now)
+    unheard = membership.unheard(members, now)
     effects: list[Effect] = []
     for member in membership.due_for_beat(members, now):
         name = member.host.name
         link = state.steering.link(name)
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             sender=members.me.name,
             incarnation=members.incarnation,
             stamp=int(now * membership.MILLISECONDS),
@@ -31,14 +31,14 @@
             ready=state.ready,
             leaving=members.leaving,
             grants=journal.grants(state.steering, name, now),
-            unheard=silent,
+            unheard=unheard,
             host=None if now < member.contact_until else members.me,
         )
-        effects.append(Say(name, beat))
+        effects.append(Say(name, heartbeat))
     return effects
 
 
-def keep_shards(state: BalancerState, now: float) -> list[Effect]:
+def maintain_shards(state: BalancerState, now: float) -> list[Effect]:
     """Do a keeper's duties: claim, change, settle, copy, hand over."""
     steering = state.steering
     steering.self_until = state.members.valid_until()
@@ -49,14 +49,14 @@
     effects = owners.claim_orphans(steering, state.members, names, now)
     if now < steering.self_until:
         keeper.adopt_targets(steering, now)
-        keeper.advance(steering, now, may_settle=_all_present(state))
+        keeper.advance(steering, now, may_settle=_all_listed_hosts_alive(state))
         keeper.recount(steering, now)
     effects.extend(replicas.replicate(steering, names, now))
     effects.extend(owners.move_shards(steering, state.members, names, now))
     return effects
 
 
-def _all_present(state: BalancerState) -> bool:
+def _all_listed_hosts_alive(state: BalancerState) -> bool:
     """Return whether no listed host is missing.
 
     Settling changes what an unrecorded flow means.  If a cut-off half of the
@@ -81,17 +81,17 @@
     return [Log(LogNumber.READY)]
 
 
-def complain(state: BalancerState, now: float) -> list[Effect]:
+def log_lasting_problems(state: BalancerState, now: float) -> list[Effect]:
     """Say now and then what should have passed by itself."""
-    if now < state.complain_at:
+    if now < state.problem_log_at:
         return []
-    state.complain_at = now + _COMPLAIN_S
+    state.problem_log_at = now + _PROBLEM_LOG_S
     effects: list[Effect] = []
     if not state.rollout.confirmed and not state.stopping:
         effects.append(Log(LogNumber.WAITING_FOR_TEXT, str(state.rollout.generation)))
-    late = keeper.overdue(state.steering, now)
-    if late:
-        effects.append(Log(LogNumber.BUCKETS_UNSETTLED, str(late)))
+    overdue = keeper.overdue(state.steering, now)
+    if overdue:
+        effects.append(Log(LogNumber.BUCKETS_UNSETTLED, str(overdue)))
     return effects
 
 
--- a/src/bronzekeel/core/hashing.py
+++ b/src/bronzekeel/core/hashing.py
@@ -20,13 +20,13 @@
     return ip_address(address).packed + port.to_bytes(2, 'big')
 
 
-def text_hash(text: str) -> int:
+def string_hash(text: str) -> int:
     """Return the 64-bit hash of a text."""
     return xxh3_64_intdigest(text.encode())
 
 
 def _score(key: str, name: str) -> int:
-    return text_hash(f'{key}|{name}')
+    return string_hash(f'{key}|{name}')
 
 
 def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
--- a/src/bronzekeel/core/reducer.py
+++ b/src/bronzekeel/core/reducer.py
@@ -9,7 +9,13 @@
 
 from bronzekeel.core import messages
 from bronzekeel.core.effects import Drop, Effect, Hand, Log, Say
-from bronzekeel.core.duties import beats, become_ready, complain, keep_shards, stop_when_idle
+from bronzekeel.core.duties import (
+    become_ready,
+    due_heartbeats,
+    log_lasting_problems,
+    maintain_shards,
+    stop_when_idle,
+)
 from bronzekeel.core.events import (
     AttemptEnded,
     CallerGone,
@@ -43,10 +49,10 @@
     """Return the verdict on a packet, None when ``reduce`` has to decide."""
     if state.ready:
         return steer(state.steering, state.members, packet, now)
-    return _pass_on(state, packet, now)
+    return _forward_to_ready_peer(state, packet, now)
 
 
-def _pass_on(state: BalancerState, packet: Packet, now: float) -> Verdict:
+def _forward_to_ready_peer(state: BalancerState, packet: Packet, now: float) -> Verdict:
     """Hand a packet to a ready peer: a balancer that may be behind decides nothing."""
     if packet.hops:
         return Drop(DropReason.NOT_READY)
@@ -66,7 +72,7 @@
     pending: list[Event] = [event]
     while pending:
         current = pending.pop(0)
-        for effect in _commit(state, current, _dispatch(state, current, now)):
+        for effect in _publish_changes(state, current, _dispatch(state, current, now)):
             if isinstance(effect, Say) and effect.host == state.members.me.name:
                 pending.append(PeerSaid(effect.message))
                 continue
@@ -74,14 +80,14 @@
     return effects
 
 
-def _commit(state: BalancerState, event: Event, effects: list[Effect]) -> list[Effect]:
+def _publish_changes(state: BalancerState, event: Event, effects: list[Effect]) -> list[Effect]:
     """Publish what changed in this keeper's journal.
 
     Changes by peers' messages wait for the next tick, so that a hundred shards
     that change hands make one message a peer; a new text does not wait.
     """
-    hurried = not isinstance(event, PeerSaid) or isinstance(event.message, messages.TextBody)
-    if state.steering.dirty and hurried:
+    publish_now = not isinstance(event, PeerSaid) or isinstance(event.message, messages.TextBody)
+    if state.steering.dirty and publish_now:
         effects.extend(journal.publish(state.steering, state.members))
     return effects
 
@@ -96,24 +102,24 @@
     return [] if verdict is None else [verdict]
 
 
-def _on_peer(state: BalancerState, event: PeerSaid, now: float) -> list[Effect]:
+def _on_peer_message(state: BalancerState, event: PeerSaid, now: float) -> list[Effect]:
     handler = _MESSAGE_HANDLERS[type(event.message)]
     return handler(state, event.message, now)
 
 
 def _on_heartbeat(
     state: BalancerState,
-    beat: messages.Heartbeat,
+    heartbeat: messages.Heartbeat,
     now: float,
 ) -> list[Effect]:
-    effects = membership.on_heartbeat(state.members, beat, now)
-    member = state.members.by_name.get(beat.sender)
+    effects = membership.on_heartbeat(state.members, heartbeat, now)
+    member = state.members.by_name.get(heartbeat.sender)
     if member is None:
         return effects
-    if beat.host is not None and state.rollout.watching and state.members.hosts_version:
-        effects.append(Say(beat.sender, _host_list(state)))
-    if beat.incarnation == member.incarnation:
-        effects.extend(journal.on_heartbeat(state.steering, state.members, beat, now))
+    if heartbeat.host is not None and state.rollout.watching and state.members.hosts_version:
+        effects.append(Say(heartbeat.sender, _host_list(state)))
+    if heartbeat.incarnation == member.incarnation:
+        effects.extend(journal.on_heartbeat(state.steering, state.members, heartbeat, now))
         effects.extend(rollout.fetch(state.rollout, state.members, now))
     return effects
 
@@ -137,7 +143,7 @@
     )
 
 
-def _on_journal(
+def _on_journal_part(
     state: BalancerState,
     part: messages.JournalPart,
     now: float,
@@ -160,31 +166,31 @@
         effects.append(Log(LogNumber.BUCKETS_MOVING, str(moved)))
     for member in state.members.alive:
         member.next_beat_at = now
-    effects.extend(beats(state, now))
+    effects.extend(due_heartbeats(state, now))
     return effects
 
 
-def _on_body(state: BalancerState, body: messages.TextBody, now: float) -> list[Effect]:
+def _on_text_body(state: BalancerState, body: messages.TextBody, now: float) -> list[Effect]:
     catalogue = rollout.rebuild(state.rollout, body)
     if catalogue is None:
-        return rollout.ask_whole(state.rollout, state.members.me.name, body)
+        return rollout.request_full_text(state.rollout, state.members.me.name, body)
     return _on_text(state, TextAccepted(catalogue), now)
 
 
 def _on_tick(state: BalancerState, event: Ticked, now: float) -> list[Effect]:
     members = state.members
     effects = membership.on_tick(members, now)
-    effects.extend(beats(state, now))
+    effects.extend(due_heartbeats(state, now))
     rollout.confirm(state.rollout, members, now)
     effects.extend(rollout.fetch(state.rollout, members, now))
-    effects.extend(rollout.watch(state.rollout, members, now))
-    effects.extend(keep_shards(state, now))
+    effects.extend(rollout.update_watch(state.rollout, members, now))
+    effects.extend(maintain_shards(state, now))
     effects.extend(become_ready(state, now))
-    effects.extend(complain(state, now))
+    effects.extend(log_lasting_problems(state, now))
     effects.extend(requests.on_tick(state, now))
-    effects.extend(slot_keepers.keep_slots(state, now))
-    effects.extend(slot_keepers.report_held(state, now))
-    effects.extend(slot_keepers.tell_down(state, now))
+    effects.extend(slot_keepers.maintain_slots(state, now))
+    effects.extend(slot_keepers.report_held_slots(state, now))
+    effects.extend(slot_keepers.announce_down(state, now))
     effects.extend(stop_when_idle(state))
     return effects
 
@@ -194,7 +200,7 @@
     state.members.leaving = True
     for member in state.members.alive:
         member.next_beat_at = now
-    return [Log(LogNumber.STOPPING), *beats(state, now)]
+    return [Log(LogNumber.STOPPING), *due_heartbeats(state, now)]
 
 
 def _on_hint(state: BalancerState, event: HealthHint, now: float) -> list[Effect]:
@@ -205,7 +211,7 @@
 _HANDLERS: Mapping[type, Callable[..., list[Effect]]] = MappingProxyType(
     {
         Ticked: _on_tick,
-        PeerSaid: _on_peer,
+        PeerSaid: _on_peer_message,
         PacketArrived: _on_packet,
         TextAccepted: _on_text,
         HostsListed: _on_hosts,
@@ -221,56 +227,58 @@
 _MESSAGE_HANDLERS: Mapping[type, Callable[..., list[Effect]]] = MappingProxyType(
     {
         messages.Heartbeat: _on_heartbeat,
-        messages.JournalPart: _on_journal,
-        messages.JournalPull: lambda state, said, now: journal.on_pull(
+        messages.JournalPart: _on_journal_part,
+        messages.JournalPull: lambda state, message, now: journal.on_pull(
             state.steering,
-            said,
+            message,
             state.members.incarnation,
         ),
-        messages.JournalAck: lambda state, said, now: journal.on_ack(
+        messages.JournalAck: lambda state, message, now: journal.on_ack(
             state.steering,
-            said,
+            message,
             state.members.incarnation,
         ),
-        messages.Replicate: lambda state, said, now: replicas.on_replicate(
+        messages.Replicate: lambda state, message, now: replicas.on_replicate(
             state.steering,
-            said,
+            message,
         ),
-        messages.ShardOffer: lambda state, said, now: owners.on_offer(
+        messages.ShardOffer: lambda state, message, now: owners.on_offer(
             state.steering,
-            said,
+            message,
             now,
         ),
-        messages.ShardOfferAck: lambda state, said, now: owners.on_offer_ack(
+        messages.ShardOfferAck: lambda state, message, now: owners.on_offer_ack(
             state.steering,
-            said,
+            message,
             now,
         ),
-        messages.ShardGo: lambda state, said, now: owners.on_go(
+        messages.ShardGo: lambda state, message, now: owners.on_go(
             state.steering,
-            said,
+            message,
             now,
         ),
-        messages.ShardGoAck: lambda state, said, now: owners.on_go_ack(
+        messages.ShardGoAck: lambda state, message, now: owners.on_go_ack(
             state.steering,
-            said,
+            message,
         ),
-        messages.TextPull: lambda state, said, now: rollout.on_text_pull(
+        messages.TextPull: lambda state, message, now: rollout.on_text_pull(
             state.rollout,
             state.members.me.name,
-            said,
+            message,
         ),
-        messages.TextBody: _on_body,
-        messages.HostList: lambda state, said, now: membership.on_hosts(
+        messages.TextBody: _on_text_body,
+        messages.HostList: lambda state, message, now: membership.on_hosts(
             state.members,
-            HostsListed(said.hosts, revision_of(said.store_incarnation, said.store_number)),
+            HostsListed(
+                message.hosts, revision_of(message.store_incarnation, message.store_number)
+            ),
             now,
         ),
-        messages.SlotAsk: slot_keepers.on_ask,
+        messages.SlotAsk: slot_keepers.on_slot_ask,
         messages.SlotGrant: requests.on_grant,
         messages.SlotRefuse: requests.on_refuse,
-        messages.SlotDone: slot_keepers.on_done,
-        messages.SlotHeld: slot_keepers.on_held,
+        messages.SlotDone: slot_keepers.on_slot_done,
+        messages.SlotHeld: slot_keepers.on_slot_held,
         messages.ServiceState: slot_keepers.on_service_state,
     }
 )
--- a/src/bronzekeel/core/requests/keepers.py
+++ b/src/bronzekeel/core/requests/keepers.py
@@ -3,21 +3,21 @@
 from bronzekeel.core.catalogue import ServiceKind, ServiceSpec
 from bronzekeel.core.constants import HEARTBEAT_S, LEASE_S, SHARDS, TICK_S
 from bronzekeel.core.effects import Effect, Say
-from bronzekeel.core.hashing import rendezvous_order, text_hash
+from bronzekeel.core.hashing import rendezvous_order, string_hash
 from bronzekeel.core.health.reducer import allowances, observe, usable
 from bronzekeel.core.messages import ServiceState, SlotAsk, SlotDone, SlotHeld
 from bronzekeel.core.outcomes import AttemptEnd
-from bronzekeel.core.requests.slots import ask, cancel, dispense, expire, hold, release
+from bronzekeel.core.requests.slots import cancel, enqueue, expire, grant_slots, hold, release
 from bronzekeel.core.requests.state import Phase, Request, Slots
 from bronzekeel.core.state import BalancerState
 
 
-_TELL_S = 2 * HEARTBEAT_S
-_BELIEVE_S = 3 * _TELL_S
+_ANNOUNCE_S = 2 * HEARTBEAT_S
+_ANNOUNCEMENT_TTL_S = 3 * _ANNOUNCE_S
 _MILLISECONDS = 1000
 
 #: What must be left of a keeper's contact: two heartbeats may be missing.
-_CONTACT_LEFT_S = LEASE_S - 2 * HEARTBEAT_S - TICK_S
+_MIN_CONTACT_LEFT_S = LEASE_S - 2 * HEARTBEAT_S - TICK_S
 
 
 def spec_of(state: BalancerState, service: str) -> ServiceSpec | None:
@@ -30,11 +30,11 @@
 
 def keeper_of(state: BalancerState, service: str, now: float) -> str:
     """Return the slot keeper to ask, empty when none can be reached."""
-    shard = text_hash(service) % SHARDS
+    shard = string_hash(service) % SHARDS
     owner = state.steering.owners[shard].owner
     if owner == state.members.me.name:
         return owner if now < state.steering.self_until else ''
-    if state.members.in_contact(owner, now + _CONTACT_LEFT_S):
+    if state.members.in_contact(owner, now + _MIN_CONTACT_LEFT_S):
         return owner
     return ''
 
@@ -43,19 +43,19 @@
     return state.requests.slots_by_service.setdefault(service, Slots())
 
 
-def on_ask(state: BalancerState, asked: SlotAsk, now: float) -> list[Effect]:
+def on_slot_ask(state: BalancerState, ask: SlotAsk, now: float) -> list[Effect]:
     """Queue an ask and grant what is free."""
-    spec = spec_of(state, asked.service)
+    spec = spec_of(state, ask.service)
     if spec is None:
         return []
-    slots = _slots_of(state, asked.service)
-    refusal = ask(slots, spec, state.members.me.name, asked, now)
+    slots = _slots_of(state, ask.service)
+    refusal = enqueue(slots, spec, state.members.me.name, ask, now)
     if refusal is not None:
-        return [Say(asked.sender, refusal)]
-    return _dispense(state, spec, slots, now)
+        return [Say(ask.sender, refusal)]
+    return _grant_free_slots(state, spec, slots, now)
 
 
-def _dispense(
+def _grant_free_slots(
     state: BalancerState,
     spec: ServiceSpec,
     slots: Slots,
@@ -63,11 +63,12 @@
 ) -> list[Effect]:
     me = state.members.me.name
     return [
-        Say(receiver, message) for receiver, message in dispense(slots, state.health, spec, me, now)
+        Say(receiver, message)
+        for receiver, message in grant_slots(slots, state.health, spec, me, now)
     ]
 
 
-def on_done(state: BalancerState, done: SlotDone, now: float) -> list[Effect]:
+def on_slot_done(state: BalancerState, done: SlotDone, now: float) -> list[Effect]:
     """Take a slot back, learn from how the attempt ended, grant it again."""
     spec = spec_of(state, done.service)
     if spec is None:
@@ -77,17 +78,17 @@
     effects = observe(state.health, done.upstream, done.ended, spec.slots, now)
     if done.ended == AttemptEnd.CANCELLED:
         cancel(slots, done.request)
-    return [*effects, *_dispense(state, spec, slots, now)]
+    return [*effects, *_grant_free_slots(state, spec, slots, now)]
 
 
-def on_held(state: BalancerState, held: SlotHeld, now: float) -> list[Effect]:
+def on_slot_held(state: BalancerState, held: SlotHeld, now: float) -> list[Effect]:
     """Count a slot that a former keeper granted."""
     deadline = now + held.wait_ms / _MILLISECONDS
     hold(_slots_of(state, held.service), held.request, held.upstream, deadline)
     return []
 
 
-def report_held(state: BalancerState, now: float) -> list[Effect]:
+def report_held_slots(state: BalancerState, now: float) -> list[Effect]:
     """Tell a new keeper of the slots in use, so that it does not grant them again."""
     effects: list[Effect] = []
     me = state.members.me.name
@@ -104,7 +105,7 @@
     return effects
 
 
-def kept_upstreams(state: BalancerState, now: float) -> list[tuple[str, str]]:
+def upstreams_of_kept_services(state: BalancerState, now: float) -> list[tuple[str, str]]:
     """Return the services whose slots are kept here, each with its upstreams."""
     return [
         (name, upstream.endpoint)
@@ -114,7 +115,7 @@
     ]
 
 
-def keep_slots(state: BalancerState, now: float) -> list[Effect]:
+def maintain_slots(state: BalancerState, now: float) -> list[Effect]:
     """Free lost slots and serve the queues again."""
     effects: list[Effect] = []
     for service, slots in list(state.requests.slots_by_service.items()):
@@ -123,11 +124,11 @@
             state.requests.slots_by_service.pop(service)
             continue
         expire(slots, now)
-        effects.extend(_dispense(state, spec, slots, now))
+        effects.extend(_grant_free_slots(state, spec, slots, now))
     return effects
 
 
-def local_choice(
+def choose_without_keeper(
     state: BalancerState,
     spec: ServiceSpec,
     request: Request,
@@ -140,7 +141,7 @@
     """
     endpoints = [item.endpoint for item in spec.active]
     allowed = allowances(state.health, endpoints, spec.slots, now)
-    counts = state.requests.local_by_endpoint
+    counts = state.requests.attempts_by_endpoint
     free = [
         endpoint
         for endpoint in rendezvous_order(request.request, allowed)
@@ -149,7 +150,7 @@
     return min(free, key=lambda endpoint: counts.get(endpoint, 0), default=None)
 
 
-def _own_down(state: BalancerState, now: float) -> frozenset[str]:
+def _down_services_kept_here(state: BalancerState, now: float) -> frozenset[str]:
     """Return the required services kept here that no upstream can serve."""
     me = state.members.me.name
     down = []
@@ -165,28 +166,28 @@
     return frozenset(down)
 
 
-def tell_down(state: BalancerState, now: float) -> list[Effect]:
+def announce_down(state: BalancerState, now: float) -> list[Effect]:
     """Tell all members which services kept here cannot take work."""
     requests = state.requests
-    if now < requests.look_at:
+    if now < requests.check_at:
         return []
-    requests.look_at = now + HEARTBEAT_S
-    down = _own_down(state, now)
-    changed = down != requests.told_down
-    if not changed and (not down or now < requests.tell_at):
+    requests.check_at = now + HEARTBEAT_S
+    down = _down_services_kept_here(state, now)
+    changed = down != requests.announced_down
+    if not changed and (not down or now < requests.announce_at):
         return []
-    requests.told_down = down
-    requests.tell_at = now + _TELL_S
+    requests.announced_down = down
+    requests.announce_at = now + _ANNOUNCE_S
     me = state.members.me.name
-    requests.down_by_sender[me] = (down, now + _BELIEVE_S)
-    told = ServiceState(me, tuple(sorted(down)))
-    return [Say(name, told) for name in state.members.alive_names]
+    requests.down_by_sender[me] = (down, now + _ANNOUNCEMENT_TTL_S)
+    report = ServiceState(me, tuple(sorted(down)))
+    return [Say(name, report) for name in state.members.alive_names]
 
 
-def on_service_state(state: BalancerState, told: ServiceState, now: float) -> list[Effect]:
+def on_service_state(state: BalancerState, report: ServiceState, now: float) -> list[Effect]:
     """Note which services cannot take work, until the word is too old."""
-    entry = (frozenset(told.down), now + _BELIEVE_S)
-    state.requests.down_by_sender[told.sender] = entry
+    entry = (frozenset(report.down), now + _ANNOUNCEMENT_TTL_S)
+    state.requests.down_by_sender[report.sender] = entry
     return []
 
 
--- a/src/bronzekeel/core/requests/reducer.py
+++ b/src/bronzekeel/core/requests/reducer.py
@@ -18,7 +18,7 @@
 from bronzekeel.core.requests.keepers import (
     blocked_dependency,
     keeper_of,
-    local_choice,
+    choose_without_keeper,
     spec_of,
 )
 from bronzekeel.core.requests.remedies import not_run, unknown
@@ -26,19 +26,19 @@
 from bronzekeel.core.state import BalancerState
 
 
-_ASK_AGAIN_S = 1.0
-_BUDGET_SHARE = 0.1
-_BUDGET_MOST = 10.0
+_RETRY_S = 1.0
+_RETRY_BUDGET_SHARE = 0.1
+_MAX_RETRY_BUDGET = 10.0
 _MILLISECONDS = 1000
-_REMEMBER_S = 1.0
-MOST_REMEMBERED = 100_000
+_ID_RETENTION_S = 1.0
+MAX_REMEMBERED_IDS = 100_000
 
 
 def on_reserve(state: BalancerState, event: ReserveAsked, now: float) -> list[Effect]:
     """Issue an id, or refuse early what cannot run."""
     requests = state.requests
     kind = _early_refusal(state, event.service)
-    if kind is None and len(requests.by_id) >= MOST_REMEMBERED:
+    if kind is None and len(requests.by_id) >= MAX_REMEMBERED_IDS:
         kind = RefusalKind.OVERLOADED
     if kind is not None:
         return [Settle('', not_run(kind, event.service))]
@@ -46,7 +46,7 @@
     members = state.members
     text = str(RequestId(members.me.name, members.incarnation, requests.issued))
     request = Request(text, event.service, event.deadline)
-    request.forget_at = event.deadline + _REMEMBER_S
+    request.forget_at = event.deadline + _ID_RETENTION_S
     requests.add(request)
     return [Reserved(text)]
 
@@ -82,7 +82,7 @@
     request = state.requests.by_id.get(event.request)
     if request is None:
         return [Settle(event.request, unknown(UnknownKind.ISSUER_GONE))]
-    if request.phase is not Phase.RESERVED and state.requests.once:
+    if request.phase is not Phase.RESERVED and state.requests.at_most_once:
         return [Settle(event.request, unknown(UnknownKind.STARTED))]
     request.group = event.group
     spec = spec_of(state, event.service)
@@ -101,10 +101,10 @@
     dependency = blocked_dependency(state, spec, now)
     if dependency is not None:
         return _refuse(state, request, RefusalKind.DEPENDENCY, dependency)
-    budget = state.requests.budget_by_service.get(request.service, 1.0)
-    state.requests.budget_by_service[request.service] = min(
-        _BUDGET_MOST,
-        budget + _BUDGET_SHARE,
+    budget = state.requests.retry_budget_by_service.get(request.service, 1.0)
+    state.requests.retry_budget_by_service[request.service] = min(
+        _MAX_RETRY_BUDGET,
+        budget + _RETRY_BUDGET_SHARE,
     )
     state.requests.begin(request)
     return _ask(state, request, now)
@@ -128,9 +128,9 @@
     me = state.members.me.name
     keeper = keeper_of(state, request.service, now)
     request.keeper = keeper
-    request.ask_at = now + _ASK_AGAIN_S
+    request.ask_at = now + _RETRY_S
     wait_ms = max(0, int((request.deadline - now) * _MILLISECONDS))
-    asked = SlotAsk(
+    ask = SlotAsk(
         me,
         request.service,
         request.request,
@@ -139,18 +139,18 @@
         wait_ms,
     )
     if not keeper:
-        return _attempt_locally(state, request, now)
-    return [Say(keeper, asked)]
+        return _attempt_without_keeper(state, request, now)
+    return [Say(keeper, ask)]
 
 
-def _attempt_locally(
+def _attempt_without_keeper(
     state: BalancerState,
     request: Request,
     now: float,
 ) -> list[Effect]:
     """Choose by this balancer's own counts while no keeper can be reached."""
     spec = spec_of(state, request.service)
-    endpoint = local_choice(state, spec, request, now) if spec else None
+    endpoint = choose_without_keeper(state, spec, request, now) if spec else None
     if endpoint is None:
         request.ask_at = now
         return []
@@ -161,7 +161,7 @@
     request.phase = Phase.RUNNING
     request.upstream = endpoint
     request.attempts += 1
-    counts = state.requests.local_by_endpoint
+    counts = state.requests.attempts_by_endpoint
     counts[endpoint] = counts.get(endpoint, 0) + 1
     return [Attempt(request.request, endpoint, request.deadline)]
 
@@ -183,13 +183,13 @@
     return _attempt(state, request, grant.upstream)
 
 
-def on_refuse(state: BalancerState, refused: SlotRefuse, now: float) -> list[Effect]:
+def on_refuse(state: BalancerState, refusal: SlotRefuse, now: float) -> list[Effect]:
     """Tell the caller at once what the keeper refuses, and when to come back."""
-    request = state.requests.by_id.get(refused.request)
+    request = state.requests.by_id.get(refusal.request)
     if request is None or request.phase is not Phase.WAITING:
         return []
-    retry_s = refused.retry_ms / _MILLISECONDS
-    return _refuse(state, request, RefusalKind(refused.kind), retry_s=retry_s)
+    retry_s = refusal.retry_ms / _MILLISECONDS
+    return _refuse(state, request, RefusalKind(refusal.kind), retry_s=retry_s)
 
 
 def on_attempt_ended(
@@ -203,17 +203,17 @@
         return []
     effects = _return_slot(state, request, event, now)
     if event.ended in {AttemptEnd.SHED, AttemptEnd.UNREACHED}:
-        effects.extend(_not_run_here(state, request, event, now))
+        effects.extend(_retry_or_refuse(state, request, event, now))
     elif event.ended == AttemptEnd.LOST and request.idempotent:
-        effects.extend(_retry(state, request, event, now) or _lost(state, request))
+        effects.extend(_retry(state, request, event, now) or _settle_answer_lost(state, request))
     elif event.ended == AttemptEnd.ANSWERED:
         state.requests.end(request)
     else:
-        effects.extend(_lost(state, request))
+        effects.extend(_settle_answer_lost(state, request))
     return effects
 
 
-def _lost(state: BalancerState, request: Request) -> list[Effect]:
+def _settle_answer_lost(state: BalancerState, request: Request) -> list[Effect]:
     state.requests.end(request)
     return [Settle(request.request, unknown(UnknownKind.ANSWER_LOST))]
 
@@ -224,7 +224,7 @@
     event: AttemptEnded,
     now: float,
 ) -> list[Effect]:
-    counts = state.requests.local_by_endpoint
+    counts = state.requests.attempts_by_endpoint
     counts[event.upstream] = max(0, counts.get(event.upstream, 0) - 1)
     spec = spec_of(state, request.service)
     me = state.members.me.name
@@ -236,7 +236,7 @@
     return [Say(request.keeper, done)]
 
 
-def _not_run_here(
+def _retry_or_refuse(
     state: BalancerState,
     request: Request,
     event: AttemptEnded,
@@ -246,7 +246,7 @@
     retried = _retry(state, request, event, now)
     if retried:
         return retried
-    return _refuse(state, request, RefusalKind.OVERLOADED, retry_s=_ASK_AGAIN_S)
+    return _refuse(state, request, RefusalKind.OVERLOADED, retry_s=_RETRY_S)
 
 
 def _retry(
@@ -260,10 +260,10 @@
     What goes wrong without a budget: when most upstreams are out, every
     request is tried on each, and the rest drown in the repeats.
     """
-    budget = state.requests.budget_by_service.get(request.service, 0)
+    budget = state.requests.retry_budget_by_service.get(request.service, 0)
     if budget < 1 or now >= request.deadline:
         return []
-    state.requests.budget_by_service[request.service] = budget - 1
+    state.requests.retry_budget_by_service[request.service] = budget - 1
     request.avoid = (*request.avoid, event.upstream)
     request.phase = Phase.WAITING
     return _ask(state, request, now)
@@ -285,12 +285,12 @@
     effects: list[Effect] = []
     for request in list(state.requests.active_by_id.values()):
         if request.phase is Phase.WAITING:
-            effects.extend(_press(state, request, now))
+            effects.extend(_advance_waiting(state, request, now))
     state.requests.forget(now)
     return effects
 
 
-def _press(state: BalancerState, request: Request, now: float) -> list[Effect]:
+def _advance_waiting(state: BalancerState, request: Request, now: float) -> list[Effect]:
     if now >= request.deadline:
         return _refuse(state, request, RefusalKind.DEADLINE)
     if now < request.ask_at:
--- a/src/bronzekeel/core/requests/slots.py
+++ b/src/bronzekeel/core/requests/slots.py
@@ -8,12 +8,12 @@
 from collections import deque
 from collections.abc import Iterator
 
-from bronzekeel.core.catalogue import ServiceSpec, Weighing
+from bronzekeel.core.catalogue import PolicyPriority, ServiceSpec
 from bronzekeel.core.health.reducer import allowances
 from bronzekeel.core.health.state import Health
 from bronzekeel.core.messages import SlotAsk, SlotGrant, SlotRefuse
 from bronzekeel.core.outcomes import RefusalKind
-from bronzekeel.core.requests.state import Slots, Waiting
+from bronzekeel.core.requests.state import QueuedAsk, Slots
 
 
 #: Queued asks per slot above which a service refuses at once.
@@ -26,40 +26,42 @@
 _RETRY_MS = 500
 
 
-def ask(slots: Slots, spec: ServiceSpec, me: str, asked: SlotAsk, now: float) -> SlotRefuse | None:
+def enqueue(
+    slots: Slots, spec: ServiceSpec, me: str, ask: SlotAsk, now: float
+) -> SlotRefuse | None:
     """Queue an ask; refuse it at once when the queue is full.
 
     The longest group queue pays: an ask of another group displaces nothing
     and is only refused when its own group already has its share.
     """
-    room = QUEUE_PER_SLOT * spec.slots * max(1, len(spec.active))
-    queue = slots.queue_by_group.get(asked.group)
-    own = len(queue or ())
-    groups = len(slots.turn) + int(not queue)
-    share = max(1, room // groups)
-    if any(waiting.request == asked.request for waiting in queue or ()):
+    capacity = QUEUE_PER_SLOT * spec.slots * max(1, len(spec.active))
+    queue = slots.queue_by_group.get(ask.group)
+    group_queued = len(queue or ())
+    groups = len(slots.group_rotation) + int(not queue)
+    share = max(1, capacity // groups)
+    if any(queued.request == ask.request for queued in queue or ()):
         return None
-    if own >= share:
+    if group_queued >= share:
         return SlotRefuse(
             me,
             spec.name,
-            asked.request,
+            ask.request,
             RefusalKind.OVERLOADED,
             _RETRY_MS,
         )
     if queue is None:
         queue = deque()
-        slots.queue_by_group[asked.group] = queue
-        slots.turn.append(asked.group)
-    give_up_at = now + asked.wait_ms / _MILLISECONDS
+        slots.queue_by_group[ask.group] = queue
+        slots.group_rotation.append(ask.group)
+    give_up_at = now + ask.wait_ms / _MILLISECONDS
     queue.append(
-        Waiting(asked.sender, asked.request, asked.group, asked.avoid, give_up_at),
+        QueuedAsk(ask.sender, ask.request, ask.group, ask.avoid, give_up_at),
     )
     slots.queued += 1
     return None
 
 
-def dispense(
+def grant_slots(
     slots: Slots,
     health: Health,
     spec: ServiceSpec,
@@ -70,52 +72,52 @@
     endpoints = [upstream.endpoint for upstream in spec.active]
     allowed = allowances(health, endpoints, spec.slots, now)
     blocked = 0
-    while slots.turn and blocked < len(slots.turn):
-        waiting = _head(slots)
-        if waiting is None:
+    while slots.group_rotation and blocked < len(slots.group_rotation):
+        ask = _head(slots)
+        if ask is None:
             continue
-        hopeless = _hopeless(waiting, allowed, now)
-        if hopeless is not None:
+        refusal_kind = _refusal_kind(ask, allowed, now)
+        if refusal_kind is not None:
             _pop(slots)
-            yield waiting.sender, _refuse(me, spec, waiting, hopeless)
+            yield ask.sender, _refuse(me, spec, ask, refusal_kind)
             continue
-        chosen = _choose(slots, health, spec, allowed, waiting.avoid)
+        chosen = _choose(slots, health, spec, allowed, ask.avoid)
         if chosen is None:
-            slots.turn.rotate(-1)
+            slots.group_rotation.rotate(-1)
             blocked += 1
             continue
         _pop(slots)
         blocked = 0
-        hold(slots, waiting.request, chosen, waiting.give_up_at)
-        yield waiting.sender, SlotGrant(me, spec.name, waiting.request, chosen)
+        hold(slots, ask.request, chosen, ask.give_up_at)
+        yield ask.sender, SlotGrant(me, spec.name, ask.request, chosen)
 
 
-def _hopeless(waiting: Waiting, allowed: dict[str, int], now: float) -> RefusalKind | None:
+def _refusal_kind(ask: QueuedAsk, allowed: dict[str, int], now: float) -> RefusalKind | None:
     """Return why waiting on is pointless, None when it is not."""
-    if now >= waiting.give_up_at:
+    if now >= ask.give_up_at:
         return RefusalKind.DEADLINE
     return None if allowed else RefusalKind.NO_UPSTREAM
 
 
-def _head(slots: Slots) -> Waiting | None:
+def _head(slots: Slots) -> QueuedAsk | None:
     """Return the first ask of the group whose turn it is."""
-    group = slots.turn[0]
+    group = slots.group_rotation[0]
     queue = slots.queue_by_group.get(group)
     if queue:
         return queue[0]
-    slots.turn.popleft()
+    slots.group_rotation.popleft()
     slots.queue_by_group.pop(group, None)
     return None
 
 
 def _pop(slots: Slots) -> None:
-    slots.queue_by_group[slots.turn[0]].popleft()
+    slots.queue_by_group[slots.group_rotation[0]].popleft()
     slots.queued -= 1
-    slots.turn.rotate(-1)
+    slots.group_rotation.rotate(-1)
 
 
-def _refuse(me: str, spec: ServiceSpec, waiting: Waiting, kind: RefusalKind) -> SlotRefuse:
-    return SlotRefuse(me, spec.name, waiting.request, kind, _RETRY_MS)
+def _refuse(me: str, spec: ServiceSpec, ask: QueuedAsk, kind: RefusalKind) -> SlotRefuse:
+    return SlotRefuse(me, spec.name, ask.request, kind, _RETRY_MS)
 
 
 def _choose(
@@ -133,9 +135,9 @@
         used = slots.used_by_endpoint.get(endpoint, 0)
         if used >= limit:
             continue
-        served = _served(slots, endpoint) / weight_by_endpoint[endpoint]
-        rank: tuple[float, ...] = (float(endpoint in avoid), served, used / limit)
-        if spec.weighs is Weighing.BROKEN_FLOWS:
+        grants = _grants_to(slots, endpoint) / weight_by_endpoint[endpoint]
+        rank: tuple[float, ...] = (float(endpoint in avoid), grants, used / limit)
+        if spec.weighs is PolicyPriority.BROKEN_FLOWS:
             rank = (
                 float(endpoint in avoid),
                 float(health.of(endpoint).failures),
@@ -147,17 +149,17 @@
     return best
 
 
-def _served(slots: Slots, endpoint: str) -> int:
+def _grants_to(slots: Slots, endpoint: str) -> int:
     """Return how often an upstream was chosen; a new one starts level.
 
     What goes wrong otherwise: an upstream that joins has been chosen least
     often and gets all new work at once, cold as it is.
     """
-    served = slots.served_by_endpoint.get(endpoint)
-    if served is None:
-        served = min(slots.served_by_endpoint.values(), default=0)
-        slots.served_by_endpoint[endpoint] = served
-    return served
+    grants = slots.grants_by_endpoint.get(endpoint)
+    if grants is None:
+        grants = min(slots.grants_by_endpoint.values(), default=0)
+        slots.grants_by_endpoint[endpoint] = grants
+    return grants
 
 
 def hold(slots: Slots, request: str, endpoint: str, deadline: float) -> None:
@@ -170,7 +172,7 @@
         return
     slots.expiry_by_holder[request, endpoint] = deadline + LATE_RETURN_S
     slots.used_by_endpoint[endpoint] = slots.used_by_endpoint.get(endpoint, 0) + 1
-    slots.served_by_endpoint[endpoint] = _served(slots, endpoint) + 1
+    slots.grants_by_endpoint[endpoint] = _grants_to(slots, endpoint) + 1
 
 
 def release(slots: Slots, request: str, endpoint: str) -> None:
@@ -182,9 +184,9 @@
 def cancel(slots: Slots, request: str) -> None:
     """Take an ask out of the queue."""
     for queue in slots.queue_by_group.values():
-        for waiting in queue:
-            if waiting.request == request:
-                queue.remove(waiting)
+        for ask in queue:
+            if ask.request == request:
+                queue.remove(ask)
                 slots.queued -= 1
                 return
 
--- a/src/bronzekeel/core/requests/state.py
+++ b/src/bronzekeel/core/requests/state.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedAsk:
     """Hold one ask for a slot that waits at the slot keeper."""
 
     sender: str
@@ -49,37 +49,37 @@
     """Hold a service's queue and the slots it granted.
 
     `expiry_by_holder` maps request and upstream to the deadline of the slot;
-    `served_by_endpoint` counts grants, for fairness between upstreams.
+    `grants_by_endpoint` counts grants, for fairness between upstreams.
     """
 
-    queue_by_group: dict[str, deque[Waiting]] = field(default_factory=dict)
-    turn: deque[str] = field(default_factory=deque)
+    queue_by_group: dict[str, deque[QueuedAsk]] = field(default_factory=dict)
+    group_rotation: deque[str] = field(default_factory=deque)
     queued: int = 0
     expiry_by_holder: dict[tuple[str, str], float] = field(default_factory=dict)
     used_by_endpoint: dict[str, int] = field(default_factory=dict)
-    served_by_endpoint: dict[str, int] = field(default_factory=dict)
+    grants_by_endpoint: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Requests:
     """Hold the requests domain of one balancer.
 
-    `once` is on; a failure test switches it off to show what it is for.
+    `at_most_once` is on; a failure test switches it off to show what it is for.
     """
 
     by_id: dict[str, Request] = field(default_factory=dict)
     active_by_id: dict[str, Request] = field(default_factory=dict)
-    forgetting: list[tuple[float, str]] = field(default_factory=list)
+    expiry_heap: list[tuple[float, str]] = field(default_factory=list)
     slots_by_service: dict[str, Slots] = field(default_factory=dict)
-    budget_by_service: dict[str, float] = field(default_factory=dict)
+    retry_budget_by_service: dict[str, float] = field(default_factory=dict)
     down_by_sender: dict[str, tuple[frozenset[str], float]] = field(default_factory=dict)
-    local_by_endpoint: dict[str, int] = field(default_factory=dict)
-    told_down: frozenset[str] = frozenset()
-    tell_at: float = 0
-    look_at: float = 0
+    attempts_by_endpoint: dict[str, int] = field(default_factory=dict)
+    announced_down: frozenset[str] = frozenset()
+    announce_at: float = 0
+    check_at: float = 0
     required: frozenset[str] = frozenset()
     issued: int = 0
-    once: bool = True
+    at_most_once: bool = True
 
     @property
     def in_progress(self) -> bool:
@@ -89,7 +89,7 @@
     def add(self, request: Request) -> None:
         """Remember a request until it is past."""
         self.by_id[request.request] = request
-        heappush(self.forgetting, (request.forget_at, request.request))
+        heappush(self.expiry_heap, (request.forget_at, request.request))
 
     def begin(self, request: Request) -> None:
         """Count a request as in progress."""
@@ -103,11 +103,11 @@
 
     def forget(self, now: float) -> None:
         """Forget the requests that are past, but not one that still runs."""
-        while self.forgetting and self.forgetting[0][0] <= now:
-            _, text = heappop(self.forgetting)
+        while self.expiry_heap and self.expiry_heap[0][0] <= now:
+            _, text = heappop(self.expiry_heap)
             request = self.active_by_id.get(text)
             if request is None:
                 self.by_id.pop(text, None)
                 continue
             request.forget_at = now + 1
-            heappush(self.forgetting, (request.forget_at, text))
+            heappush(self.expiry_heap, (request.forget_at, text))
--- a/src/bronzekeel/core/rollout/reducer.py
+++ b/src/bronzekeel/core/rollout/reducer.py
@@ -29,37 +29,37 @@
     rollout.confirmed = rollout.confirmed or event.from_platform
     generation = event.catalogue.generation
     if generation < rollout.generation and rollout.monotonic:
-        rollout.older_refused += 1
+        rollout.older_rejected += 1
         detail = f'{generation} < {rollout.generation}'
         return False, [Log(LogNumber.TEXT_OLDER, detail)]
     if generation == rollout.generation:
         return False, []
     names = _changed(rollout, event.catalogue)
     rollout.history.append(Change(rollout.generation, generation, names))
-    rollout.digest = _digest_with(rollout, event.catalogue, names)
+    rollout.digest = _digest_after(rollout, event.catalogue, names)
     rollout.catalogue = event.catalogue
     in_force = Log(LogNumber.TEXT_IN_FORCE, str(generation))
     return True, [InForce(generation), in_force]
 
 
-def _changed(rollout: Rollout, latter: Catalogue) -> frozenset[str]:
+def _changed(rollout: Rollout, later: Catalogue) -> frozenset[str]:
     """Return the services that differ between the text in force and a later one."""
-    former = rollout.catalogue.services_by_name if rollout.catalogue else {}
-    services = latter.services_by_name
-    changed = {name for name, spec in services.items() if former.get(name) != spec}
-    return frozenset(changed | (former.keys() - services.keys()))
+    earlier = rollout.catalogue.services_by_name if rollout.catalogue else {}
+    services = later.services_by_name
+    changed = {name for name, spec in services.items() if earlier.get(name) != spec}
+    return frozenset(changed | (earlier.keys() - services.keys()))
 
 
-def _digest_with(rollout: Rollout, latter: Catalogue, names: frozenset[str]) -> int:
+def _digest_after(rollout: Rollout, later: Catalogue, names: frozenset[str]) -> int:
     """Return the digest of a text that differs from the one in force in `names`.
 
     The digest of a text is the exclusive or of its services' hashes, so a
     change costs as much as it changes and not as much as the text is long.
     """
-    former = rollout.catalogue.services_by_name if rollout.catalogue else {}
+    earlier = rollout.catalogue.services_by_name if rollout.catalogue else {}
     digest = rollout.digest
     for name in names:
-        for services in (former, latter.services_by_name):
+        for services in (earlier, later.services_by_name):
             spec = services.get(name)
             if spec is not None:
                 digest ^= xxh3_64_intdigest(encode(spec))
@@ -109,11 +109,11 @@
         services.pop(name, None)
     services.update({spec.name: spec for spec in body.services})
     catalogue = Catalogue(body.generation, services)
-    digest = _digest_with(rollout, catalogue, _changed(rollout, catalogue))
+    digest = _digest_after(rollout, catalogue, _changed(rollout, catalogue))
     return catalogue if digest == body.digest else None
 
 
-def ask_whole(rollout: Rollout, me: str, body: TextBody) -> list[Effect]:
+def request_full_text(rollout: Rollout, me: str, body: TextBody) -> list[Effect]:
     """Ask for the whole text when its changes did not fit."""
     if body.generation <= rollout.generation or not body.since:
         return []
@@ -128,8 +128,8 @@
     if not newer:
         return []
     rollout.pull_at = now + RESEND_S
-    best = max(newer, key=lambda member: member.generation)
-    return [Say(best.host.name, TextPull(members.me.name, rollout.generation))]
+    newest = max(newer, key=lambda member: member.generation)
+    return [Say(newest.host.name, TextPull(members.me.name, rollout.generation))]
 
 
 def confirm(rollout: Rollout, members: Membership, now: float) -> None:
@@ -142,7 +142,7 @@
     rollout.confirmed = newest <= rollout.generation
 
 
-def watch(rollout: Rollout, members: Membership, now: float) -> list[Effect]:
+def update_watch(rollout: Rollout, members: Membership, now: float) -> list[Effect]:
     """Take up or lay down the watch on the platform.
 
     A few per data centre, by rendezvous among the hosts in contact: two
@@ -155,8 +155,8 @@
         if member.host.data_centre == centre and not member.leaving
     ]
     names.append(members.me.name)
-    holders = rendezvous_order(f'watch/{centre}', names)[:WATCHERS]
-    active = members.me.name in holders or not rollout.generation
+    watchers = rendezvous_order(f'watch/{centre}', names)[:WATCHERS]
+    active = members.me.name in watchers or not rollout.generation
     if active == rollout.watching:
         return []
     rollout.watching = active
--- a/src/bronzekeel/core/rollout/state.py
+++ b/src/bronzekeel/core/rollout/state.py
@@ -7,7 +7,7 @@
 
 
 #: Changes that are kept to give peers only what is new to them.
-_KEPT = 64
+_MAX_CHANGES = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,11 +29,11 @@
 
     catalogue: Catalogue | None = None
     digest: int = 0
-    history: deque[Change] = field(default_factory=lambda: deque(maxlen=_KEPT))
+    history: deque[Change] = field(default_factory=lambda: deque(maxlen=_MAX_CHANGES))
     confirmed: bool = False
     pull_at: float = 0
     watching: bool = False
-    older_refused: int = 0
+    older_rejected: int = 0
     monotonic: bool = True
 
     @property
--- a/src/bronzekeel/core/routing/follower.py
+++ b/src/bronzekeel/core/routing/follower.py
@@ -13,7 +13,7 @@
 from bronzekeel.core.routing.effects import Effect, ReadPage, WatchChanges
 from bronzekeel.core.routing.events import StoredObject
 from bronzekeel.core.routing.revisions import incarnation_of, is_same_incarnation
-from bronzekeel.core.store_waits import ANSWER_S, PROVING_WATCH_S, WATCH_S, retry_wait_s
+from bronzekeel.core.store_waits import ANSWER_TIMEOUT_S, PROBE_WATCH_S, WATCH_WAIT_S, retry_wait_s
 
 
 #: Seconds within which the own watch must tell what a peer has told.  Source: a
@@ -239,7 +239,7 @@
     def watch(self, now: float, *, stale: bool = False) -> Effect:
         """Wait for changes after `revision`."""
         self._note_answer(now)
-        return self._watch(WATCH_S, stale=stale)
+        return self._watch(WATCH_WAIT_S, stale=stale)
 
     def fail(self, now: float) -> None:
         """Plan the next try."""
@@ -260,7 +260,7 @@
         self.rests_until = None
         self.retry_at = None
         if self.listed and not self.must_list:
-            return self._watch(PROVING_WATCH_S, stale=stale)
+            return self._watch(PROBE_WATCH_S, stale=stale)
         return self.begin_listing()
 
     def _wait_s(self, failures: int) -> float:
@@ -278,4 +278,4 @@
         self.retry_at = None
         self.rests_until = None
         self.doubtful_at = None
-        self.current_until = next_call_at + WATCH_S + ANSWER_S
+        self.current_until = next_call_at + WATCH_WAIT_S + ANSWER_TIMEOUT_S
--- a/src/bronzekeel/core/state.py
+++ b/src/bronzekeel/core/state.py
@@ -10,7 +10,7 @@
 from bronzekeel.core.steering.state import Steering
 
 #: Time a fresh balancer may take before it says that it waits.
-FIRST_COMPLAINT_S = 5.0
+FIRST_PROBLEM_LOG_S = 5.0
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
     requests: Requests = field(default_factory=Requests)
     health: Health = field(default_factory=Health)
     started_at: float = 0
-    complain_at: float = 0
+    problem_log_at: float = 0
     ready: bool = False
     stopping: bool = False
     stopped: bool = False
@@ -32,4 +32,6 @@
     def fresh(cls, me: HostEntry, incarnation: int, now: float) -> 'BalancerState':
         """Return the state of a balancer that has just started."""
         members = Membership(me, incarnation)
-        return cls(members, Steering(me.name), started_at=now, complain_at=now + FIRST_COMPLAINT_S)
+        return cls(
+            members, Steering(me.name), started_at=now, problem_log_at=now + FIRST_PROBLEM_LOG_S
+        )
--- a/src/bronzekeel/core/steering/state.py
+++ b/src/bronzekeel/core/steering/state.py
@@ -4,7 +4,7 @@
 
 from bronzekeel.core.catalogue import ServiceSpec
 from bronzekeel.core.constants import SHARDS
-from bronzekeel.core.hashing import text_hash
+from bronzekeel.core.hashing import string_hash
 from bronzekeel.core.messages import RecordPack
 from bronzekeel.core.steering.records import RecordEntry
 from bronzekeel.core.steering.registers import Register
@@ -30,7 +30,7 @@
     @classmethod
     def empty(cls, name: str, buckets: int, idle_s: float) -> 'ServiceTable':
         """Return a table without registers."""
-        offset = text_hash(name) % SHARDS
+        offset = string_hash(name) % SHARDS
         return cls(name, buckets - 1, offset, idle_s, [None for _ in range(buckets)])
 
     def first_of(self, shard: int) -> int:
--- a/src/bronzekeel/core/store_waits.py
+++ b/src/bronzekeel/core/store_waits.py
@@ -12,28 +12,28 @@
 #: Seconds that a watch may wait for a change.  Source: half of the least
 #: history that the users' store keeps (20 s), so a watch that is cut off can
 #: go on where it was.
-WATCH_S = 8.0
+WATCH_WAIT_S = 8.0
 
 #: Seconds that the first watch after a failure waits: it shows that the store
 #: answers, which a waiting watch would show only at its end.
-PROVING_WATCH_S = 0.02
+PROBE_WATCH_S = 0.02
 
 #: Seconds beyond a watch's wait in which the answer to a watch must have come.
 #: Source: twice the slowest answer of the users' store that serves at all.
-ANSWER_S = 2.0
+ANSWER_TIMEOUT_S = 2.0
 
 #: Wait after a first failure, in seconds.  Source: a store's single refusal
 #: (a rate that is used up, a connection that was reset) passes in less.
-FIRST_WAIT_S = 0.2
+FIRST_RETRY_WAIT_S = 0.2
 
 #: Longest wait in seconds while the collection was never read: nothing is served.
-MOST_WAIT_UNREAD_S = 0.5
+MAX_RETRY_WAIT_UNREAD_S = 0.5
 
 #: Longest wait in seconds when something older is known.  Source: the bound on
 #: a change in force is 3 s after the store is stable again.
-MOST_WAIT_S = 1.5
+MAX_RETRY_WAIT_S = 1.5
 
-_MOST_DOUBLINGS = 6
+_MAX_DOUBLINGS = 6
 _SPREAD = 1000
 
 
@@ -43,7 +43,7 @@
     `caller` names who calls for what, to spread the waits between half and one and
     a half of their mean; `known` tells that something older is known meanwhile.
     """
-    most_s = MOST_WAIT_S if known else MOST_WAIT_UNREAD_S
-    wait_s = min(most_s, FIRST_WAIT_S * 2 ** min(failures - 1, _MOST_DOUBLINGS))
+    max_wait_s = MAX_RETRY_WAIT_S if known else MAX_RETRY_WAIT_UNREAD_S
+    wait_s = min(max_wait_s, FIRST_RETRY_WAIT_S * 2 ** min(failures - 1, _MAX_DOUBLINGS))
     spread = crc32(f'{caller}/{failures}'.encode()) % _SPREAD
     return wait_s * (0.5 + spread / _SPREAD)
--- a/src/bronzekeel/entry/daemon.py
+++ b/src/bronzekeel/entry/daemon.py
@@ -35,7 +35,7 @@
 from bronzekeel.core.routing.reducer import TICK_S, reduce
 from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.steering import ConnectionIdSteering
-from bronzekeel.core.store_waits import ANSWER_S
+from bronzekeel.core.store_waits import ANSWER_TIMEOUT_S
 from bronzekeel.entry.http_client import Call, HttpConnection
 from bronzekeel.entry.http_server import (
     NOT_FOUND,
@@ -189,11 +189,11 @@
 
     def _read_page(self, effect: ReadPage, now: float) -> None:
         target = self._calls.page_target(effect)
-        self._call_store(effect.collection, target, now + ANSWER_S, self._calls.read_page)
+        self._call_store(effect.collection, target, now + ANSWER_TIMEOUT_S, self._calls.read_page)
 
     def _watch(self, effect: WatchChanges, now: float) -> None:
         target = self._calls.watch_target(effect)
-        until = now + effect.wait_s + ANSWER_S
+        until = now + effect.wait_s + ANSWER_TIMEOUT_S
         self._call_store(effect.collection, target, until, self._calls.read_changes)
 
     def _call_store(
--- a/src/bronzekeel/platform/client.py
+++ b/src/bronzekeel/platform/client.py
@@ -17,7 +17,7 @@
 from bronzekeel.adapters.asyncio_loop import AsyncioLoop
 from bronzekeel.core.routing.field_checks import FieldError
 from bronzekeel.core.routing.revisions import incarnation_of, number_of, revision_of
-from bronzekeel.core.store_waits import ANSWER_S, WATCH_S
+from bronzekeel.core.store_waits import ANSWER_TIMEOUT_S, WATCH_WAIT_S
 from bronzekeel.entry.http_client import Call, HttpConnection, Reply
 from bronzekeel.platform.calls import list_target, object_target, watch_target
 from bronzekeel.platform.incarnations import incarnation_told
@@ -111,8 +111,8 @@
         seen = max(after, self._seen_by_key.get(key, 0))
         if not seen:
             return await self._read_first(key, place)
-        target = watch_target(place.kind, number_of(seen), WATCH_S)
-        answer = await self._call('GET', target, within_s=WATCH_S + ANSWER_S)
+        target = watch_target(place.kind, number_of(seen), WATCH_WAIT_S)
+        answer = await self._call('GET', target, within_s=WATCH_WAIT_S + ANSWER_TIMEOUT_S)
         if answer.status == _HISTORY_GONE or answer.incarnation != incarnation_of(seen):
             return await self._relist(key, place, after)
         _expect(answer, _OK)
@@ -173,7 +173,7 @@
         method: str,
         target: str,
         content: dict[str, Any] | None = None,
-        within_s: float = ANSWER_S,
+        within_s: float = ANSWER_TIMEOUT_S,
     ) -> _Answer:
         """Return an answer.  Raises StoreLost."""
         self.calls += 1
--- a/src/bronzekeel/replay/routing_fleet.py
+++ b/src/bronzekeel/replay/routing_fleet.py
@@ -43,7 +43,7 @@
 from bronzekeel.core.routing.steering import ConnectionIdSteering
 from bronzekeel.core.routing.verdicts import Verdict, Wait
 from bronzekeel.core.routing.waiting import WaitingOrder
-from bronzekeel.core.store_waits import ANSWER_S
+from bronzekeel.core.store_waits import ANSWER_TIMEOUT_S
 from bronzekeel.replay.routing_store import StoreModel
 from bronzekeel.replay.virtual_time import VirtualTime
 
@@ -285,7 +285,7 @@
             return
         if not self._reaches_store(watch.node):
             if last:
-                self._end(watch, CallFailed(watch.effect.collection, 'silent'), ANSWER_S)
+                self._end(watch, CallFailed(watch.effect.collection, 'silent'), ANSWER_TIMEOUT_S)
             return
         found = self.store.changes(
             Collection(watch.effect.collection),
@@ -363,4 +363,4 @@
     """Return the seconds after which a call that gets no answer has failed."""
     if node.store == 'refuses':
         return _STORE_S
-    return wait_s + ANSWER_S
+    return wait_s + ANSWER_TIMEOUT_S
--- a/src/bronzekeel/replay/traffic.py
+++ b/src/bronzekeel/replay/traffic.py
@@ -7,7 +7,7 @@
 
 from bronzekeel.core.catalogue import ServiceSpec
 from bronzekeel.core.events import Packet
-from bronzekeel.core.hashing import service_key, text_hash
+from bronzekeel.core.hashing import service_key, string_hash
 from bronzekeel.replay.sinks import Sink, Sprayed
 
 
@@ -71,7 +71,7 @@
         fleet = self._fleet()
         for _ in range(count):
             number = len(self.flows)
-            hashed = text_hash('/'.join((self.service.name, str(number))))
+            hashed = string_hash('/'.join((self.service.name, str(number))))
             flow = Flow(number, hashed)
             self.flows.append(flow)
             self.by_hash[hashed] = flow
--- a/src/bronzekeel/text/checks.py
+++ b/src/bronzekeel/text/checks.py
@@ -9,10 +9,10 @@
 
 from bronzekeel.core.catalogue import (
     Catalogue,
+    PolicyPriority,
     ServiceKind,
     ServiceSpec,
     UpstreamSpec,
-    Weighing,
 )
 from bronzekeel.text.faults import FaultKind, TextError, TextFault
 from bronzekeel.text.model import MOST_PORT, Document, ServiceText, UpstreamText
@@ -267,7 +267,7 @@
             idle_s=service.idle_s,
             buckets=service.buckets,
             slots=service.slots,
-            weighs=Weighing(service.weighs),
+            weighs=PolicyPriority(service.weighs),
             depends_on=service.depends_on,
         )
     return Catalogue(generation, services)
--- a/tests/test_connection_ids.py
+++ b/tests/test_connection_ids.py
@@ -6,7 +6,7 @@
 from bronzekeel.core.routing.events import ChangesRead, StoredObject
 from bronzekeel.core.routing.flows import MOST_AVOID_S
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.store_waits import ANSWER_S, WATCH_S
+from bronzekeel.core.store_waits import ANSWER_TIMEOUT_S, WATCH_WAIT_S
 from bronzekeel.core.routing.model import UpstreamEntry
 from bronzekeel.core.routing.messages import Allowance
 from bronzekeel.core.routing.overflow import put_in_force
@@ -140,7 +140,7 @@
         """
         chosen = steering(ready_state(entry(1)))
         nowhere = bytes((198, 18, 0, 9, 0, 80))
-        late = WATCH_S + ANSWER_S + 1
+        late = WATCH_WAIT_S + ANSWER_TIMEOUT_S + 1
         self.assertEqual(
             'Discard no_route',
             delivered_to(chosen.decide(opening(1, key=nowhere), late)),
@@ -338,7 +338,7 @@
         given = entry(1).short_number ^ route(PORTAL_KEY, PORTAL).seal
         chosen.decide(asking(1, given), 0.5)
         remove(state, entry(1), 1)
-        late = 1 + WATCH_S + ANSWER_S + 1
+        late = 1 + WATCH_WAIT_S + ANSWER_TIMEOUT_S + 1
         for repeat in range(5):
             verdict = chosen.decide(asking(1, given), late + repeat)
             self.assertEqual(entry(1).name, delivered_to(verdict))
--- a/tests/test_fault_pairs.py
+++ b/tests/test_fault_pairs.py
@@ -12,7 +12,7 @@
 
 from bronzekeel.core.routing.events import Paused
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.store_waits import WATCH_S
+from bronzekeel.core.store_waits import WATCH_WAIT_S
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.verdicts import Reset
 from bronzekeel.replay.routing_fleet import RoutingFleet
@@ -22,7 +22,7 @@
 
 _FLOWS = 6
 _LASTING_S = 6
-_HEALED_S = 3 * WATCH_S
+_HEALED_S = 3 * WATCH_WAIT_S
 _LEAVING = 3
 
 
@@ -157,7 +157,7 @@
     def _play(self, faults: tuple[_Fault, ...], again_after_s: float = 0) -> None:
         fleet = fleet_of(3)
         put_upstream(fleet, _LEAVING)
-        fleet.run(2 * WATCH_S)
+        fleet.run(2 * WATCH_WAIT_S)
         given = [id_given(fleet.decide('dc-a-1', opening(number))) for number in range(_FLOWS)]
         for fault in faults:
             fault(fleet)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -25,7 +25,11 @@
 from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.stopping import REFUSALS, Stopping
-from bronzekeel.core.store_waits import FIRST_WAIT_S, MOST_WAIT_S, MOST_WAIT_UNREAD_S
+from bronzekeel.core.store_waits import (
+    FIRST_RETRY_WAIT_S,
+    MAX_RETRY_WAIT_S,
+    MAX_RETRY_WAIT_UNREAD_S,
+)
 from bronzekeel.entry.loop import PauseDetector
 from tests.routing_cases import (
     PORTAL,
@@ -163,7 +167,7 @@
             for _ in range(8):
                 follower.fail(0)
             retries.add(follower.retry_at)
-            self.assertLessEqual(follower.retry_at or 0, 1.5 * MOST_WAIT_S)
+            self.assertLessEqual(follower.retry_at or 0, 1.5 * MAX_RETRY_WAIT_S)
         self.assertGreater(len(retries), 25)
 
     def test_a_host_that_knows_nothing_asks_more_often(self) -> None:
@@ -171,7 +175,7 @@
         follower = Follower(Collection.TEXT, 'a1')
         for _ in range(8):
             follower.fail(0)
-        self.assertLessEqual(follower.retry_at or 0, 1.5 * MOST_WAIT_UNREAD_S)
+        self.assertLessEqual(follower.retry_at or 0, 1.5 * MAX_RETRY_WAIT_UNREAD_S)
 
     def test_lost_history_is_listed_anew(self) -> None:
         """Symptom: an upstream that left during a gap gets flows for ever.
@@ -472,8 +476,8 @@
             effects = reduce(state, Ticked(), now)
             for effect in asked:
                 effects.extend(reduce(state, _refused(effect), now))
-        self.assertGreater(calls, 2 * 10 / (1.5 * MOST_WAIT_S))
-        self.assertLess(calls, 2 * 10 / (0.5 * FIRST_WAIT_S))
+        self.assertGreater(calls, 2 * 10 / (1.5 * MAX_RETRY_WAIT_S))
+        self.assertLess(calls, 2 * 10 / (0.5 * FIRST_RETRY_WAIT_S))
 
     def test_a_history_lost_now_and_then_is_listed_at_once(self) -> None:
         """One that is lost now and then delays nothing."""
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -29,7 +29,7 @@
         for once in (True, False):
             trial = RequestTrial(seed=1)
             for node in trial.fleet.running:
-                node.state.requests.once = once
+                node.state.requests.at_most_once = once
             trial.traffic.repeat_share = 0.5
             for upstream in trial.traffic.upstream_by_endpoint.values():
                 upstream.lost_share = 0.1
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -24,7 +24,7 @@
 from bronzekeel.core.routing.revisions import revision_of
 from bronzekeel.core.routing.sharing import view_since
 from bronzekeel.core.routing.state import RoutingState
-from bronzekeel.core.store_waits import FIRST_WAIT_S
+from bronzekeel.core.store_waits import FIRST_RETRY_WAIT_S
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from bronzekeel.replay.routing_store import StoreCopy
 from tests.routing_cases import (
@@ -247,7 +247,7 @@
         fleet.tell_watches()
         calls = node.calls
         fleet.run(_BOUND_S)
-        self.assertLessEqual(node.calls - calls, _BOUND_S * len(Collection) / FIRST_WAIT_S)
+        self.assertLessEqual(node.calls - calls, _BOUND_S * len(Collection) / FIRST_RETRY_WAIT_S)
 
 
 #: An incarnation of the store, and the one after its next restore.
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,7 +9,7 @@
 
 from bronzekeel.core.events import TextAccepted
 from bronzekeel.core.messages import TextBody, TextPull
-from bronzekeel.core.rollout.reducer import ask_whole, on_text, on_text_pull, rebuild
+from bronzekeel.core.rollout.reducer import on_text, on_text_pull, rebuild, request_full_text
 from bronzekeel.core.rollout.state import Rollout
 from bronzekeel.core.routing.revisions import number_of, revision_of
 from bronzekeel.core.state import BalancerState
@@ -338,7 +338,7 @@
         on_text(ahead, TextAccepted(catalogue(2, *services)))
         body = self._body(ahead, 1)
         self.assertIsNone(rebuild(behind, body))
-        asked = ask_whole(behind, 'a1', body)[0]
+        asked = request_full_text(behind, 'a1', body)[0]
         whole = self._body(ahead, asked.message.generation)
         self.assertEqual(ahead.catalogue, rebuild(behind, whole))
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -11,7 +11,7 @@
 from bronzekeel.core.routing.watch_duty import LONE_WATCHERS, WATCHERS
 from bronzekeel.core.routing.reducer import reduce
 from bronzekeel.core.routing.sharing import BEHIND_S, view_since
-from bronzekeel.core.store_waits import ANSWER_S, PROVING_WATCH_S, WATCH_S
+from bronzekeel.core.store_waits import ANSWER_TIMEOUT_S, PROBE_WATCH_S, WATCH_WAIT_S
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from tests.routing_cases import (
     asking,
@@ -26,7 +26,7 @@
 )
 
 
-_SETTLED_S = 2 * WATCH_S + 1
+_SETTLED_S = 2 * WATCH_WAIT_S + 1
 
 #: Seconds in which a data centre whose watchers are deaf must know: the users' bound.
 _TOLD_S = 3
@@ -186,7 +186,7 @@
         deaf = [name for name in _watching(fleet) if name.startswith('dc-a')][:2]
         fleet.lose_store(deaf, 'silent')
         put_text(fleet)
-        fleet.run(NEWS_S + PROVING_WATCH_S + ANSWER_S + 1)
+        fleet.run(NEWS_S + PROBE_WATCH_S + ANSWER_TIMEOUT_S + 1)
         working = [name for name in _watching(fleet) if name.startswith('dc-a')]
         self.assertEqual(WATCHERS, len(working))
         self.assertFalse(set(working) & set(deaf))
@@ -230,11 +230,11 @@
         fleet = fleet_of(1, ('dc-a',))
         fleet.run(1)
         fleet.lose_store(['dc-a-1'], 'silent')
-        fleet.run(2 * WATCH_S)
+        fleet.run(2 * WATCH_WAIT_S)
         self.assertFalse(fleet.running[0].state.is_current(fleet.now))
         newest = put_text(fleet)
         fleet.lose_store(['dc-a-1'], 'serves')
-        fleet.run(WATCH_S)
+        fleet.run(WATCH_WAIT_S)
         self.assertEqual(newest, fleet.running[0].state.text_revision)
 
 
@@ -273,7 +273,7 @@
         cut_off = fleet.node_by_name['dc-a-1']
         self.assertLess(cut_off.state.text_revision, newest)
         fleet.cut_centres.clear()
-        fleet.run(2 * WATCH_S)
+        fleet.run(2 * WATCH_WAIT_S)
         for node in fleet.running:
             self.assertEqual(newest, node.state.text_revision)
             self.assertEqual(sorted(node.text_orders), node.text_orders)
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -14,7 +14,7 @@
     WATCHERS,
 )
 from bronzekeel.core.routing.reducer import reduce
-from bronzekeel.core.store_waits import PROVING_WATCH_S
+from bronzekeel.core.store_waits import PROBE_WATCH_S
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from tests.routing_cases import (
     delivered_to,
@@ -178,7 +178,7 @@
         reduce(state, page(Collection.EVACUATIONS), 0)
         effects = reduce(state, Ticked(), LISTEN_S)
         waits = [effect.wait_s for effect in effects if isinstance(effect, WatchChanges)]
-        self.assertEqual([PROVING_WATCH_S for _ in Collection], waits)
+        self.assertEqual([PROBE_WATCH_S for _ in Collection], waits)
         self.assertFalse(state.is_current(LISTEN_S))
         for collection in Collection:
             reduce(state, ChangesRead(collection, [], 1), LISTEN_S)
@@ -199,7 +199,7 @@
         reduce(state, Paused(9), 10)
         effects = reduce(state, Ticked(), 10)
         waits = [effect.wait_s for effect in effects if isinstance(effect, WatchChanges)]
-        self.assertEqual([PROVING_WATCH_S], waits)
+        self.assertEqual([PROBE_WATCH_S], waits)
         self.assertFalse(state.is_current(10))
 
 
