--- a/src/bronzekeel/core/catalogue.py
+++ b/src/bronzekeel/core/catalogue.py
@@ -1,4 +1,4 @@
-"""Hold one accepted version of the text in the form decisions need."""
+"""Model the services and upstreams of one accepted generation of the text."""
 
 from enum import StrEnum
 
@@ -6,21 +6,21 @@
 
 
 class ServiceKind(StrEnum):
-    """Tell what a service carries."""
+    """Kind of traffic that a service carries."""
 
     FLOW = 'flow'
     REQUEST = 'request'
 
 
 class PolicyPriority(StrEnum):
-    """Tell what a service weighs most when its policy has to choose."""
+    """Cost that a service's balancing policy minimises first."""
 
     IMBALANCE = 'imbalance'
     BROKEN_FLOWS = 'broken_flows'
 
 
 class UpstreamSpec(Struct, frozen=True):
-    """Describe one upstream; `endpoint` is ``address:port``."""
+    """Upstream of a service; `endpoint` is ``address:port``."""
 
     endpoint: str
     data_centre: str
@@ -30,7 +30,7 @@
 
 
 class ServiceSpec(Struct, frozen=True):
-    """Describe one service; `idle_s` ends a silent flow."""
+    """Service of the text; a flow without packets for `idle_s` seconds has ended."""
 
     name: str
     kind: ServiceKind
@@ -46,19 +46,19 @@
 
     @property
     def active(self) -> list[UpstreamSpec]:
-        """Upstreams that may get new work."""
+        """Upstreams that are not draining and may receive new flows or requests."""
         return [spec for spec in self.upstreams if not spec.draining]
 
 
 class Catalogue(Struct, frozen=True):
-    """Hold all services of one generation of the text."""
+    """All services of one generation of the text."""
 
     generation: int
     services_by_name: dict[str, ServiceSpec]
 
     @property
     def required(self) -> frozenset[str]:
-        """Names of the services that others depend on."""
+        """Names of the services that other services depend on."""
         return frozenset(
             name for service in self.services_by_name.values() for name in service.depends_on
         )
--- a/src/bronzekeel/core/constants.py
+++ b/src/bronzekeel/core/constants.py
@@ -1,55 +1,56 @@
-"""Name the protocol constants that all balancers share.
+"""Define the protocol constants that all balancers share.
 
-All times are seconds.  A change of one of them is a change of protocol:
-every balancer of a fleet has to run with the same values.
+All times are in seconds.  Every balancer of a fleet must run with the same
+values, so changing one of them is a protocol change.
 """
 
 from typing import Final
 
-#: Interval between two heartbeats to the same peer.
+#: Interval between heartbeats to the same peer.
 HEARTBEAT_S: Final = 1.0
 
-#: Interval at which the daemon feeds ``Ticked`` to the reducer.
+#: Interval at which the daemon passes ``Ticked`` to the reducer.
 TICK_S: Final = 0.25
 
-#: Validity of a keeper's word, counted from the holder's own stamp.
+#: Validity of a keeper's lease, counted from the stamp that the lease holder sent.
 LEASE_S: Final = 3.0
 
-#: Extra wait of a keeper before it relies on a lapsed lease (clock drift).
+#: Time that a keeper waits beyond a lease before it treats it as expired, for clock drift.
 LEASE_MARGIN_S: Final = 0.25
 
-#: Silence after which a peer is considered dead unless others hear it.
+#: Time without a heartbeat after which a peer is declared dead, unless others receive its
+#: heartbeats.
 DEAD_S: Final = 3.5
 
-#: Time after which a dead peer that is on no list is forgotten.
+#: Time after which a dead peer that no host list contains is removed.
 FORGET_S: Final = 60.0
 
-#: A gap between two ticks longer than this means that the process was paused.
+#: Gap between two ticks above which the process counts as having been paused.
 PAUSE_S: Final = 1.5
 
-#: Interval of a re-sent message that was not confirmed.
+#: Interval at which an unacknowledged message is sent again.
 RESEND_S: Final = 1.0
 
-#: Number of shards that the buckets of all services fall into.
+#: Number of shards into which the buckets of all services are divided.
 SHARDS: Final = 128
 
-#: Hand-offs after which a packet is dropped.
+#: Number of hand-offs between balancers after which a packet is dropped.
 HOP_LIMIT: Final = 3
 
-#: Exceptions a bucket may publish; with more it stays unsettled.
+#: Most exceptions that a bucket may publish; a bucket with more stays unsettled.
 MAX_EXCEPTIONS: Final = 512
 
-#: Age of published exceptions after which their flows are counted anew.
+#: Age of published exceptions after which their flows are counted again.
 RECOUNT_S: Final = 3600.0
 
-#: Time in which a second SYN with the same key is a retransmission.
+#: Time within which a second SYN of the same flow counts as a retransmission.
 SYN_REPEAT_S: Final = 30.0
 
-#: Time for which a flow that sent FIN or RST stays recorded.
+#: Time for which a flow stays recorded after a FIN or RST.
 LINGER_S: Final = 30.0
 
-#: Time for which a keeper that handed a shard over keeps its records.
+#: Time for which a keeper retains the records of a shard that it handed over.
 RETAIN_S: Final = 2 * LEASE_S
 
-#: Stable time of a joined peer before shards are handed to it.
+#: Time for which a joined peer must be stable before shards are handed to it.
 SETTLE_IN_S: Final = 2.0
--- a/src/bronzekeel/core/duties.py
+++ b/src/bronzekeel/core/duties.py
@@ -1,4 +1,4 @@
-"""Do what time asks of a balancer: heartbeats, keeping shards, getting ready, stopping."""
+"""Run the periodic work of a balancer: heartbeats, shards, readiness and shutdown."""
 
 from bronzekeel.core.constants import SETTLE_IN_S
 from bronzekeel.core.effects import Effect, Log, Say, Stopped
@@ -8,12 +8,12 @@
 from bronzekeel.core.state import BalancerState
 from bronzekeel.core.steering import journal, keeper, owners, replicas
 
-#: Interval at which a lasting trouble is logged again.
+#: Interval at which a problem that persists is logged again.
 _PROBLEM_LOG_S = 30.0
 
 
 def due_heartbeats(state: BalancerState, now: float) -> list[Effect]:
-    """Return the heartbeats that are due, each with its part for every domain."""
+    """Return the heartbeats that are due, each with the fields of all domains."""
     members = state.members
     unheard = membership.unheard(members, now)
     effects: list[Effect] = []
@@ -39,7 +39,11 @@
 
 
 def maintain_shards(state: BalancerState, now: float) -> list[Effect]:
-    """Do a keeper's duties: claim, change, settle, copy, hand over."""
+    """Run a keeper's periodic work on its shards.
+
+    It claims orphaned shards, starts and advances changes of buckets, replicates
+    records and hands shards over.
+    """
     steering = state.steering
     steering.self_until = state.members.valid_until()
     replicas.prune_retained(steering, now)
@@ -57,16 +61,17 @@
 
 
 def _all_listed_hosts_alive(state: BalancerState) -> bool:
-    """Return whether no listed host is missing.
+    """Return whether no listed host is considered dead.
 
-    Settling changes what an unrecorded flow means.  If a cut-off half of the
-    fleet did so, the halves could not be joined again without breaking flows.
+    Settling a bucket changes the upstream that flows without a record belong to.
+    If one side of a partitioned fleet settled, the two sides could not be merged
+    again without breaking flows.
     """
     return not any(member.dead and member.listed for member in state.members.by_name.values())
 
 
 def become_ready(state: BalancerState, now: float) -> list[Effect]:
-    """Serve once text and registers are known not to be behind."""
+    """Become ready once the text and the registers are known to be up to date."""
     if state.ready or not state.rollout.confirmed or state.stopping:
         return []
     links = state.steering.links_by_host
@@ -82,7 +87,7 @@
 
 
 def log_lasting_problems(state: BalancerState, now: float) -> list[Effect]:
-    """Say now and then what should have passed by itself."""
+    """Log, at intervals, conditions that should have resolved by themselves."""
     if now < state.problem_log_at:
         return []
     state.problem_log_at = now + _PROBLEM_LOG_S
@@ -96,7 +101,7 @@
 
 
 def stop_when_idle(state: BalancerState) -> list[Effect]:
-    """Tell that this balancer may end: nothing is kept here, nothing runs."""
+    """Report that this balancer may stop once it keeps no shard and runs no request."""
     if not state.stopping or state.stopped:
         return []
     steering = state.steering
--- a/src/bronzekeel/core/effects.py
+++ b/src/bronzekeel/core/effects.py
@@ -1,4 +1,4 @@
-"""Define everything a balancer's decisions ask its adapters to do."""
+"""Define the effects that the reducer asks the adapters to carry out."""
 
 from msgspec import Struct
 
@@ -7,7 +7,10 @@
 
 
 class Forward(Struct, frozen=True):
-    """Send a packet to an upstream's host; `stale` if no fresh word backs it."""
+    """Send a packet to an upstream's host.
+
+    `stale` marks a decision that no valid lease covers.
+    """
 
     upstream: str
     raw: bytes = b''
@@ -15,7 +18,7 @@
 
 
 class Hand(Struct, frozen=True):
-    """Hand a packet to another balancer."""
+    """Hand a packet off to another balancer."""
 
     host: str
     raw: bytes = b''
@@ -36,18 +39,18 @@
 
 
 class Log(Struct, frozen=True):
-    """Write a numbered log event with its details."""
+    """Log a numbered event with its details."""
 
     number: int
     detail: str = ''
 
 
 class Stopped(Struct, frozen=True):
-    """Tell that nothing of this balancer is needed any more."""
+    """Report that nothing depends on this balancer any more, so its process may exit."""
 
 
 class Reserved(Struct, frozen=True):
-    """Give the caller the id it asked for."""
+    """Return a reserved request id to the caller."""
 
     request: str
 
@@ -67,26 +70,26 @@
 
 
 class Relay(Struct, frozen=True):
-    """Pass a caller's request to the balancer that issued its id."""
+    """Relay a caller's request to the balancer that issued its id."""
 
     request: str
     host: str
 
 
 class Watch(Struct, frozen=True):
-    """Take up the watch on the platform's object, or lay it down."""
+    """Start or stop the watch on the platform's object."""
 
     active: bool
 
 
 class InForce(Struct, frozen=True):
-    """Tell that a generation of the text is in force on this balancer."""
+    """Report that a generation of the text is in force on this balancer."""
 
     generation: int
 
 
 class Settle(Struct, frozen=True):
-    """Tell the caller the outcome of a request that gave no answer."""
+    """Return the outcome of a request that produced no answer to its caller."""
 
     request: str
     outcome: NotRun | Unknown
--- a/src/bronzekeel/core/events.py
+++ b/src/bronzekeel/core/events.py
@@ -1,4 +1,4 @@
-"""Define everything that can happen to a balancer."""
+"""Define the events that the reducer of a balancer handles."""
 
 from msgspec import Struct
 
@@ -7,13 +7,14 @@
 
 
 class _Event(Struct, frozen=True, tag=True):
-    """Carry the options that all events share."""
+    """Base of all events, with their common options."""
 
 
 class Packet(Struct, frozen=True):
-    """Hold one parsed packet: its flow, its flags and its bytes.
+    """A parsed packet: the hash of its flow, its flags and its bytes.
 
-    `service` is the key of the service's address and port (``service_key``).
+    `service` is the key of the service's address and port (``service_key``);
+    `opens` and `closes` mark packets that open or close a flow.
     """
 
     service: bytes
@@ -25,48 +26,48 @@
 
 
 class Ticked(_Event, frozen=True):
-    """Tell that ``TICK_S`` has passed."""
+    """``TICK_S`` has passed since the last tick."""
 
 
 class PeerSaid(_Event, frozen=True):
-    """Tell that another balancer's message arrived."""
+    """A message from another balancer arrived."""
 
     message: Message
 
 
 class PacketArrived(_Event, frozen=True):
-    """Tell that a packet arrived whose verdict changes state."""
+    """A packet arrived whose verdict changes state."""
 
     packet: Packet
 
 
 class TextAccepted(_Event, frozen=True):
-    """Tell that a version of the text is known, from the platform or a peer."""
+    """A version of the text was received from the platform or a peer."""
 
     catalogue: Catalogue
     from_platform: bool = False
 
 
 class HostsListed(_Event, frozen=True):
-    """Tell what the platform's list of hosts says; version 0 is a seed list."""
+    """The list of hosts, from the platform; version 0 is a seed list."""
 
     hosts: tuple[HostEntry, ...]
     version: int = 0
 
 
 class StopAsked(_Event, frozen=True):
-    """Tell that the operator stops this balancer in a planned way."""
+    """The operator asked for a planned stop of this balancer."""
 
 
 class ReserveAsked(_Event, frozen=True):
-    """Tell that a caller wants an id for one request."""
+    """A caller asked for an id for one request."""
 
     service: str
     deadline: float
 
 
 class RunAsked(_Event, frozen=True):
-    """Tell that a caller wants the request with `request` id to run."""
+    """A caller asked to run the request with the id `request`."""
 
     request: str
     service: str
@@ -76,7 +77,7 @@
 
 
 class AttemptEnded(_Event, frozen=True):
-    """Tell how an attempt at an upstream ended (``AttemptEnd`` value)."""
+    """An attempt at an upstream ended; `ended` is an ``AttemptEnd`` value."""
 
     request: str
     upstream: str
@@ -84,13 +85,13 @@
 
 
 class CallerGone(_Event, frozen=True):
-    """Tell that the caller cancelled or its connection closed."""
+    """The caller cancelled its request or closed its connection."""
 
     request: str
 
 
 class HealthHint(_Event, frozen=True):
-    """Tell what an upstream's health endpoint says."""
+    """An upstream's health endpoint reported whether the upstream serves."""
 
     service: str
     upstream: str
--- a/src/bronzekeel/core/hashing.py
+++ b/src/bronzekeel/core/hashing.py
@@ -1,4 +1,4 @@
-"""Hash flows to buckets and order hosts by rendezvous."""
+"""Hash flows and names, and rank names by rendezvous hashing."""
 
 from collections.abc import Iterable, Sequence
 from ipaddress import ip_address
@@ -11,17 +11,17 @@
 _HASH_RANGE = float(1 << _HASH_BITS)
 
 
-#: Hash a flow to 64 bits from the bytes of its addresses and ports.
+#: 64-bit hash of a flow, computed from the bytes of its addresses and ports.
 flow_hash = xxh3_64_intdigest
 
 
 def service_key(address: str, port: int) -> bytes:
-    """Return the six bytes that a packet has for a service's address and port."""
+    """Return a service's IPv4 address and port as the six bytes they take in a packet."""
     return ip_address(address).packed + port.to_bytes(2, 'big')
 
 
 def string_hash(text: str) -> int:
-    """Return the 64-bit hash of a text."""
+    """Return the 64-bit hash of a string."""
     return xxh3_64_intdigest(text.encode())
 
 
@@ -35,16 +35,16 @@
 
 
 def rendezvous_first(key: str, names: Sequence[str]) -> str | None:
-    """Return the first of `names` in rendezvous order, None of an empty list."""
+    """Return the first of `names` in rendezvous order, or None if there are none."""
     if not names:
         return None
     return max(names, key=lambda name: (_score(key, name), name))
 
 
 def weighted_score(key: str, name: str, weight: float) -> float:
-    """Return a rendezvous score whose chance to win grows with `weight`.
+    """Return the score of weighted rendezvous hashing (logarithmic method).
 
-    Source: the logarithmic method of weighted rendezvous hashing.
+    The probability that a name scores highest is proportional to its `weight`.
     """
     uniform = (_score(key, name) + 1) / (_HASH_RANGE + 1)
     return -weight / log(uniform)
--- a/src/bronzekeel/core/log_numbers.py
+++ b/src/bronzekeel/core/log_numbers.py
@@ -1,10 +1,10 @@
-"""Number the events that a balancer logs; docs/EVENTS.md is their catalogue."""
+"""Define the numbers of logged events; docs/EVENTS.md lists and explains them."""
 
 from enum import IntEnum
 
 
 class LogNumber(IntEnum):
-    """Name each numbered log event."""
+    """Numbers of the events that a balancer logs."""
 
     STARTED = 1001
     READY = 1002
--- a/src/bronzekeel/core/messages.py
+++ b/src/bronzekeel/core/messages.py
@@ -1,8 +1,9 @@
-"""Define what one balancer says to another.
+"""Define the messages that balancers exchange.
 
-Every message is idempotent: it states what is, so a repeated, late or crossed
-copy is harmless.  `stamp` and `echo` are milliseconds of the clock of the host
-that made the stamp and are compared only there.
+Every message is idempotent: it describes state rather than changes to it, so
+duplicated, delayed or reordered copies are harmless.  `stamp` and `echo` are
+milliseconds of the clock of the host that made the stamp; only that host
+compares them.
 """
 
 from msgspec import Struct
@@ -11,12 +12,11 @@
 
 
 class _Message(Struct, frozen=True, array_like=True, tag=True, omit_defaults=True):
-    """Carry the options that all messages share."""
+    """Base of all messages, with their common encoding options."""
 
 
 class HostEntry(Struct, frozen=True, array_like=True):
-    """Describe a balancer's host; `packets` and `peers` are
-    UDP ports, `peers` and `callers` TCP ports."""
+    """Host of a balancer; `packets` and `peers` are UDP ports, `peers` and `callers` TCP ports."""
 
     name: str
     data_centre: str
@@ -27,7 +27,7 @@
 
 
 class OwnerEntry(Struct, frozen=True, array_like=True):
-    """State that `owner` keeps `shard` since `term`."""
+    """`owner` has been the keeper of `shard` since `term`."""
 
     shard: int
     term: int
@@ -35,7 +35,7 @@
 
 
 class RegisterEntry(Struct, frozen=True, array_like=True):
-    """State the register of one bucket.
+    """The register of one bucket.
 
     `stage` is a ``Stage`` value.  `flows` holds pairs of a fingerprint and an
     index into `others`, the upstreams of flows that are exceptions.
@@ -52,9 +52,9 @@
 
 
 class RegisterPack(Struct, frozen=True, array_like=True):
-    """State buckets of a service whose registers are equal, without exceptions.
+    """Buckets of a service whose registers are equal and have no exceptions.
 
-    `buckets` holds two bytes a bucket (``bronzekeel.core.steering.packs``).
+    `buckets` holds two bytes per bucket (``bronzekeel.core.steering.packs``).
     """
 
     service: str
@@ -66,9 +66,9 @@
 
 
 class RecordPack(Struct, frozen=True, array_like=True):
-    """State which flows of a service's unsettled buckets are on an upstream.
+    """Flows of a service's unsettled buckets that are on one upstream.
 
-    `flows` holds seven bytes a flow: two of its bucket, five of its
+    `flows` holds seven bytes per flow: two for its bucket and five for its
     fingerprint (``bronzekeel.core.steering.records``).
     """
 
@@ -78,12 +78,12 @@
 
 
 class Heartbeat(_Message, frozen=True, tag='h'):
-    """Show that the sender lives, and renew the word it gives as a keeper.
+    """Show that the sender is alive, and renew the leases that it grants as a keeper.
 
-    `echo` is the last stamp of the receiver that the sender has seen; `seq`
+    `echo` is the last stamp of the receiver that the sender has received; `seq`
     is the sender's journal position, `ack` the position of the receiver's
-    journal that the sender has applied.  `unheard` names the listed hosts
-    that the sender does not hear.  `grants` renews the receiver's lease.
+    journal that the sender has applied.  `unheard` names the hosts from which
+    the sender receives no heartbeats.  `grants` renews the receiver's lease.
     """
 
     sender: str
@@ -101,7 +101,7 @@
 
 
 class JournalPull(_Message, frozen=True, tag='p'):
-    """Ask a keeper for all entries after `since`."""
+    """Request all entries of a keeper's journal after `since`."""
 
     sender: str
     incarnation: int
@@ -109,9 +109,9 @@
 
 
 class JournalPart(_Message, frozen=True, tag='j'):
-    """Give the entries of a keeper's journal after `after` up to `seq`.
+    """Entries of a keeper's journal after `after`, up to and including `seq`.
 
-    Registers with exceptions stand in `registers`, all others in `packs`.
+    Registers with exceptions are in `registers`, all others in `packs`.
     """
 
     sender: str
@@ -124,7 +124,7 @@
 
 
 class JournalAck(_Message, frozen=True, tag='k'):
-    """Confirm a keeper's journal up to `seq`."""
+    """Acknowledge a keeper's journal up to `seq`."""
 
     sender: str
     incarnation: int
@@ -148,7 +148,7 @@
 
 
 class ShardOfferAck(_Message, frozen=True, tag='a'):
-    """Confirm that an offered shard's records are held."""
+    """Acknowledge that the records of an offered shard are stored."""
 
     sender: str
     shard: int
@@ -156,7 +156,7 @@
 
 
 class ShardGo(_Message, frozen=True, tag='g'):
-    """Give the shard away: the receiver keeps it from `term` on."""
+    """Hand the shard over: the receiver is its keeper from `term` on."""
 
     sender: str
     shard: int
@@ -165,7 +165,7 @@
 
 
 class ShardGoAck(_Message, frozen=True, tag='y'):
-    """Confirm that the receiver keeps the shard."""
+    """Acknowledge a hand-over: the sender of this message now keeps the shard."""
 
     sender: str
     shard: int
@@ -173,17 +173,17 @@
 
 
 class TextPull(_Message, frozen=True, tag='t'):
-    """Ask for the accepted text if it is newer than `generation`."""
+    """Request the accepted text if it is newer than `generation`."""
 
     sender: str
     generation: int
 
 
 class TextBody(_Message, frozen=True, tag='b'):
-    """Give the accepted text, or what changed in it since `since`.
+    """The accepted text, or its changes since the generation `since`.
 
-    With `since` above zero, `services` holds only what is new or different
-    then, `removed` the names that are gone.  `digest` is that of the whole.
+    If `since` is above zero, `services` holds only new and changed services and
+    `removed` the names of removed ones.  `digest` covers the whole text.
     """
 
     sender: str
@@ -195,10 +195,10 @@
 
 
 class HostList(_Message, frozen=True, tag='l'):
-    """Give the platform's list of hosts.
+    """The platform's list of hosts.
 
-    Its version is told as the platform's incarnation and own number: MessagePack's whole numbers
-    have 64 bits, and a version has more.
+    Its version is sent as the store's incarnation and its number within it, because
+    MessagePack integers have 64 bits and a version has more.
     """
 
     sender: str
@@ -208,7 +208,7 @@
 
 
 class SlotAsk(_Message, frozen=True, tag='s'):
-    """Ask the slot keeper of a service for a slot on an upstream."""
+    """Request a slot on an upstream from the slot keeper of a service."""
 
     sender: str
     service: str
@@ -238,7 +238,7 @@
 
 
 class SlotDone(_Message, frozen=True, tag='w'):
-    """Return a slot and tell how the attempt ended (``AttemptEnd`` value)."""
+    """Return a slot; `ended` is an ``AttemptEnd`` value."""
 
     sender: str
     service: str
@@ -248,7 +248,7 @@
 
 
 class SlotHeld(_Message, frozen=True, tag='x'):
-    """Tell a new slot keeper of a slot that the former one granted."""
+    """Report a slot that the former slot keeper granted to the new one."""
 
     sender: str
     service: str
@@ -258,7 +258,7 @@
 
 
 class ServiceState(_Message, frozen=True, tag='z'):
-    """Name the services of the sender's that cannot take work now."""
+    """Name the services kept by the sender that cannot accept requests now."""
 
     sender: str
     down: tuple[str, ...]
--- a/src/bronzekeel/core/outcomes.py
+++ b/src/bronzekeel/core/outcomes.py
@@ -5,7 +5,7 @@
 
 
 class RefusalKind(StrEnum):
-    """Name why a request was not run."""
+    """Reason why a request was not run."""
 
     UNKNOWN_SERVICE = 'unknown_service'
     NOT_READY = 'not_ready'
@@ -18,7 +18,7 @@
 
 
 class UnknownKind(StrEnum):
-    """Name why nobody can tell whether a request ran."""
+    """Reason why it is unknown whether a request ran."""
 
     STARTED = 'already_started'
     ISSUER_GONE = 'issuer_gone'
@@ -26,7 +26,7 @@
 
 
 class AttemptEnd(StrEnum):
-    """Name how one attempt at an upstream ended."""
+    """How one attempt at an upstream ended."""
 
     ANSWERED = 'answered'
     SHED = 'shed'
@@ -39,16 +39,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """Hold a whole answer."""
+    """A complete answer."""
 
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """Tell that the request was not run and will not be.
+    """The request was not run and never will be.
 
-    `retry_s` is when to come back, counted from the reply.
+    `retry_s` is the number of seconds after the reply to wait before a retry.
     """
 
     kind: RefusalKind
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Tell that the request may have run."""
+    """The request may have run."""
 
     kind: UnknownKind
     remedy: str
--- a/src/bronzekeel/core/reducer.py
+++ b/src/bronzekeel/core/reducer.py
@@ -1,7 +1,7 @@
 """Reduce every event of a balancer to effects.
 
-``reduce`` is the one place where state changes.  It reads no clock and no
-randomness, so the daemon, replay, tests and benchmarks run the same decisions.
+State changes only in ``reduce``.  It reads neither clocks nor random numbers, so
+the daemon, replay, tests and benchmarks make the same decisions.
 """
 
 from collections.abc import Callable, Mapping
@@ -46,14 +46,14 @@
 
 
 def packet_verdict(state: BalancerState, packet: Packet, now: float) -> Verdict | None:
-    """Return the verdict on a packet, None when ``reduce`` has to decide."""
+    """Return the verdict on a packet, or None if ``reduce`` has to decide."""
     if state.ready:
         return steer(state.steering, state.members, packet, now)
     return _forward_to_ready_peer(state, packet, now)
 
 
 def _forward_to_ready_peer(state: BalancerState, packet: Packet, now: float) -> Verdict:
-    """Hand a packet to a ready peer: a balancer that may be behind decides nothing."""
+    """Hand a packet off to a ready peer; a balancer whose state may be stale must not decide."""
     if packet.hops:
         return Drop(DropReason.NOT_READY)
     peers = [member.host.name for member in state.members.contacts(now) if member.ready]
@@ -64,9 +64,9 @@
 
 
 def reduce(state: BalancerState, event: Event, now: float) -> list[Effect]:
-    """Return what `event` asks the adapters to do, and note it in `state`.
+    """Apply `event` to `state` and return the effects for the adapters.
 
-    Messages to this balancer itself are reduced at once and not returned.
+    Messages that this balancer sends to itself are reduced at once and not returned.
     """
     effects: list[Effect] = []
     pending: list[Event] = [event]
@@ -81,10 +81,10 @@
 
 
 def _publish_changes(state: BalancerState, event: Event, effects: list[Effect]) -> list[Effect]:
-    """Publish what changed in this keeper's journal.
+    """Publish the changes of this keeper's journal.
 
-    Changes by peers' messages wait for the next tick, so that a hundred shards
-    that change hands make one message a peer; a new text does not wait.
+    Changes caused by peers' messages wait for the next tick, so that the hand-over
+    of a hundred shards causes one message per peer.  A new text does not wait.
     """
     publish_now = not isinstance(event, PeerSaid) or isinstance(event.message, messages.TextBody)
     if state.steering.dirty and publish_now:
@@ -125,7 +125,7 @@
 
 
 def _on_hosts(state: BalancerState, event: HostsListed, now: float) -> list[Effect]:
-    """Take the list, and pass it on when this balancer reads it for the others."""
+    """Apply the list of hosts; a watcher also sends it to its live peers."""
     effects = membership.on_hosts(state.members, event, now)
     if not state.rollout.watching or not event.version:
         return effects
--- a/src/bronzekeel/core/state.py
+++ b/src/bronzekeel/core/state.py
@@ -1,4 +1,4 @@
-"""Hold the whole state of one balancer, domain by domain."""
+"""Hold the state of one balancer, divided into domains."""
 
 from dataclasses import dataclass, field
 
@@ -9,13 +9,13 @@
 from bronzekeel.core.rollout.state import Rollout
 from bronzekeel.core.steering.state import Steering
 
-#: Time a fresh balancer may take before it says that it waits.
+#: Seconds after the start before problems such as a missing text are logged.
 FIRST_PROBLEM_LOG_S = 5.0
 
 
 @dataclass(slots=True)
 class BalancerState:
-    """Hold the domains; each is written by its own reducer alone."""
+    """State of all domains; only the reducer of a domain changes its state."""
 
     members: Membership
     steering: Steering
@@ -30,7 +30,7 @@
 
     @classmethod
     def fresh(cls, me: HostEntry, incarnation: int, now: float) -> 'BalancerState':
-        """Return the state of a balancer that has just started."""
+        """Return the initial state of a balancer that started at `now`."""
         members = Membership(me, incarnation)
         return cls(
             members, Steering(me.name), started_at=now, problem_log_at=now + FIRST_PROBLEM_LOG_S
