--- a/src/bronzekeel/core/requests/__init__.py
+++ b/src/bronzekeel/core/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Decide where requests run, at most once, and what callers are told."""
+"""Schedule requests on upstreams, at most once, and report their outcomes to callers."""
--- a/src/bronzekeel/core/requests/ids.py
+++ b/src/bronzekeel/core/requests/ids.py
@@ -1,8 +1,8 @@
-"""Issue request ids that name the one balancer allowed to run them.
+"""Define request ids, which name the only balancer that may run them.
 
-At most once needs no agreement this way: only the process that issued an id
-ever runs it, and it remembers the id until its deadline.  When that process is
-gone nobody runs the id any more, however the rest of the fleet sees it.
+This guarantees at-most-once execution without consensus: only the process that
+issued an id runs it, and it remembers the id until its deadline.  Once that process
+is gone, no balancer runs the id, whatever view of the fleet it has.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestId:
-    """Hold the parts of an id: issuer's name and incarnation, and a number."""
+    """A request id: the name and incarnation of its issuer, and a serial number."""
 
     host: str
     incarnation: int
@@ -23,7 +23,7 @@
 
     @classmethod
     def parse(cls, text: str) -> 'RequestId | None':
-        """Return the id that `text` spells, None when it spells none."""
+        """Return the id that `text` encodes, or None if it is not a valid id."""
         parts = text.rsplit(_SEPARATOR, _PARTS - 1)
         if len(parts) != _PARTS:
             return None
@@ -33,5 +33,5 @@
             return None
 
     def __str__(self) -> str:
-        """Return the id as callers hold it."""
+        """Return the id in the form that callers receive."""
         return f'{self.host}{_SEPARATOR}{self.incarnation:x}{_SEPARATOR}{self.number:x}'
--- a/src/bronzekeel/core/requests/keepers.py
+++ b/src/bronzekeel/core/requests/keepers.py
@@ -1,4 +1,4 @@
-"""Find a service's slot keeper, and do its part of the work."""
+"""Find the slot keeper of a service, and act as the slot keeper of kept services."""
 
 from bronzekeel.core.catalogue import ServiceKind, ServiceSpec
 from bronzekeel.core.constants import HEARTBEAT_S, LEASE_S, SHARDS, TICK_S
@@ -16,12 +16,12 @@
 _ANNOUNCEMENT_TTL_S = 3 * _ANNOUNCE_S
 _MILLISECONDS = 1000
 
-#: What must be left of a keeper's contact: two heartbeats may be missing.
+#: Time for which contact with a keeper must remain valid to ask it: two heartbeats may be lost.
 _MIN_CONTACT_LEFT_S = LEASE_S - 2 * HEARTBEAT_S - TICK_S
 
 
 def spec_of(state: BalancerState, service: str) -> ServiceSpec | None:
-    """Return a service of the text in force."""
+    """Return a service of the text in force, or None if the text does not contain it."""
     catalogue = state.rollout.catalogue
     if catalogue is None:
         return None
@@ -29,7 +29,7 @@
 
 
 def keeper_of(state: BalancerState, service: str, now: float) -> str:
-    """Return the slot keeper to ask, empty when none can be reached."""
+    """Return the host that keeps a service's slots, or '' if it cannot be reached."""
     shard = string_hash(service) % SHARDS
     owner = state.steering.owners[shard].owner
     if owner == state.members.me.name:
@@ -44,7 +44,7 @@
 
 
 def on_slot_ask(state: BalancerState, ask: SlotAsk, now: float) -> list[Effect]:
-    """Queue an ask and grant what is free."""
+    """Queue a request for a slot and grant the slots that are free."""
     spec = spec_of(state, ask.service)
     if spec is None:
         return []
@@ -69,7 +69,7 @@
 
 
 def on_slot_done(state: BalancerState, done: SlotDone, now: float) -> list[Effect]:
-    """Take a slot back, learn from how the attempt ended, grant it again."""
+    """Release a slot, update the upstream's health and grant the free slots again."""
     spec = spec_of(state, done.service)
     if spec is None:
         return []
@@ -82,14 +82,14 @@
 
 
 def on_slot_held(state: BalancerState, held: SlotHeld, now: float) -> list[Effect]:
-    """Count a slot that a former keeper granted."""
+    """Count a slot that the previous keeper granted as used."""
     deadline = now + held.wait_ms / _MILLISECONDS
     hold(_slots_of(state, held.service), held.request, held.upstream, deadline)
     return []
 
 
 def report_held_slots(state: BalancerState, now: float) -> list[Effect]:
-    """Tell a new keeper of the slots in use, so that it does not grant them again."""
+    """Report the slots in use to a new keeper, so that it does not grant them again."""
     effects: list[Effect] = []
     me = state.members.me.name
     for request in state.requests.active_by_id.values():
@@ -106,7 +106,7 @@
 
 
 def upstreams_of_kept_services(state: BalancerState, now: float) -> list[tuple[str, str]]:
-    """Return the services whose slots are kept here, each with its upstreams."""
+    """Return pairs of a service whose slots are kept here and one of its upstreams."""
     return [
         (name, upstream.endpoint)
         for name in state.requests.slots_by_service
@@ -116,7 +116,7 @@
 
 
 def maintain_slots(state: BalancerState, now: float) -> list[Effect]:
-    """Free lost slots and serve the queues again."""
+    """Free the slots whose return was lost, and serve the queues."""
     effects: list[Effect] = []
     for service, slots in list(state.requests.slots_by_service.items()):
         spec = spec_of(state, service)
@@ -134,10 +134,10 @@
     request: Request,
     now: float,
 ) -> str | None:
-    """Return the upstream with the fewest attempts of this balancer's own.
+    """Return the upstream with the fewest running attempts of this balancer.
 
-    Among equals the request's own rendezvous order decides: with one fixed
-    order every balancer without a keeper would fall on the same upstream.
+    Ties are broken by the rendezvous order of the request id.  With a fixed
+    order, all balancers without a keeper would choose the same upstream.
     """
     endpoints = [item.endpoint for item in spec.active]
     allowed = allowances(state.health, endpoints, spec.slots, now)
@@ -151,7 +151,7 @@
 
 
 def _down_services_kept_here(state: BalancerState, now: float) -> frozenset[str]:
-    """Return the required services kept here that no upstream can serve."""
+    """Return the required services kept here that have no usable upstream."""
     me = state.members.me.name
     down = []
     for name in state.requests.required:
@@ -167,7 +167,7 @@
 
 
 def announce_down(state: BalancerState, now: float) -> list[Effect]:
-    """Tell all members which services kept here cannot take work."""
+    """Announce to all live members which services kept here cannot accept requests."""
     requests = state.requests
     if now < requests.check_at:
         return []
@@ -185,7 +185,7 @@
 
 
 def on_service_state(state: BalancerState, report: ServiceState, now: float) -> list[Effect]:
-    """Note which services cannot take work, until the word is too old."""
+    """Record which services a peer reports as down, until the report expires."""
     entry = (frozenset(report.down), now + _ANNOUNCEMENT_TTL_S)
     state.requests.down_by_sender[report.sender] = entry
     return []
@@ -196,7 +196,7 @@
     spec: ServiceSpec,
     now: float,
 ) -> str | None:
-    """Return a required service that cannot take work, through all levels."""
+    """Return a direct or transitive dependency that cannot accept requests, if any."""
     pending = list(spec.depends_on)
     seen: set[str] = set()
     while pending:
--- a/src/bronzekeel/core/requests/reducer.py
+++ b/src/bronzekeel/core/requests/reducer.py
@@ -1,7 +1,7 @@
-"""Run requests: reserve, wait for a slot, attempt, retry, tell the outcome.
+"""Run requests: reserve an id, wait for a slot, attempt, retry and return the outcome.
 
-NotRun is said only when nothing can run the request later: its id is ended
-before the caller is told, and an ended id is never started.
+NotRun is returned only when nothing can run the request later: its id is ended
+before the caller is informed, and an ended id is never started.
 """
 
 from bronzekeel.core.catalogue import ServiceKind
@@ -35,7 +35,7 @@
 
 
 def on_reserve(state: BalancerState, event: ReserveAsked, now: float) -> list[Effect]:
-    """Issue an id, or refuse early what cannot run."""
+    """Issue an id, or refuse a request that cannot run."""
     requests = state.requests
     kind = _early_refusal(state, event.service)
     if kind is None and len(requests.by_id) >= MAX_REMEMBERED_IDS:
@@ -63,10 +63,10 @@
 
 
 def on_run(state: BalancerState, event: RunAsked, now: float) -> list[Effect]:
-    """Start a request, or tell why it is not started.
+    """Start a request, or return why it is not started.
 
-    Only what both the caller and the text call idempotent is ever tried again
-    after it may have run.
+    A request that may have run is retried only if both the caller and the text
+    declare it idempotent.
     """
     parsed = RequestId.parse(event.request)
     members = state.members
@@ -117,14 +117,14 @@
     detail: str = '',
     retry_s: float = 0,
 ) -> list[Effect]:
-    """End the id first and then tell the caller that it was not run."""
+    """End the id, then report to the caller that the request was not run."""
     state.requests.end(request)
     outcome = not_run(kind, detail or request.service, retry_s)
     return [Settle(request.request, outcome)]
 
 
 def _ask(state: BalancerState, request: Request, now: float) -> list[Effect]:
-    """Ask the service's slot keeper for a slot."""
+    """Request a slot from the service's slot keeper; without a keeper, choose an upstream here."""
     me = state.members.me.name
     keeper = keeper_of(state, request.service, now)
     request.keeper = keeper
@@ -148,7 +148,7 @@
     request: Request,
     now: float,
 ) -> list[Effect]:
-    """Choose by this balancer's own counts while no keeper can be reached."""
+    """Choose an upstream by this balancer's own counts while no keeper can be reached."""
     spec = spec_of(state, request.service)
     endpoint = choose_without_keeper(state, spec, request, now) if spec else None
     if endpoint is None:
@@ -167,7 +167,7 @@
 
 
 def on_grant(state: BalancerState, grant: SlotGrant, now: float) -> list[Effect]:
-    """Use a granted slot, or return it when the request waits no more."""
+    """Use a granted slot, or return it if the request no longer waits."""
     request = state.requests.by_id.get(grant.request)
     waits = request is not None and request.phase is Phase.WAITING
     if request is None or not waits or now >= request.deadline:
@@ -184,7 +184,7 @@
 
 
 def on_refuse(state: BalancerState, refusal: SlotRefuse, now: float) -> list[Effect]:
-    """Tell the caller at once what the keeper refuses, and when to come back."""
+    """Report a keeper's refusal to the caller at once, with the time to retry."""
     request = state.requests.by_id.get(refusal.request)
     if request is None or request.phase is not Phase.WAITING:
         return []
@@ -197,7 +197,7 @@
     event: AttemptEnded,
     now: float,
 ) -> list[Effect]:
-    """Return the slot; retry what is safe to retry, else tell the outcome."""
+    """Return the slot, then retry if that is safe, or settle the outcome."""
     request = state.requests.by_id.get(event.request)
     if request is None or request.phase is not Phase.RUNNING:
         return []
@@ -242,7 +242,7 @@
     event: AttemptEnded,
     now: float,
 ) -> list[Effect]:
-    """Go elsewhere with a request that the upstream did not take."""
+    """Retry a request that the upstream did not accept, or refuse it as overloaded."""
     retried = _retry(state, request, event, now)
     if retried:
         return retried
@@ -255,10 +255,10 @@
     event: AttemptEnded,
     now: float,
 ) -> list[Effect]:
-    """Ask for another slot if budget and deadline allow, else return nothing.
+    """Request another slot if the retry budget and the deadline allow it.
 
-    What goes wrong without a budget: when most upstreams are out, every
-    request is tried on each, and the rest drown in the repeats.
+    Without a budget, an outage of most upstreams would cause every request to be
+    tried on each of them, and the retries would overload the remaining ones.
     """
     budget = state.requests.retry_budget_by_service.get(request.service, 0)
     if budget < 1 or now >= request.deadline:
@@ -270,7 +270,7 @@
 
 
 def on_caller_gone(state: BalancerState, event: CallerGone) -> list[Effect]:
-    """End a request whose caller left; cancel it where it runs."""
+    """Cancel the attempt of a request whose caller is gone, or end the request."""
     request = state.requests.by_id.get(event.request)
     if request is None:
         return []
@@ -281,7 +281,7 @@
 
 
 def on_tick(state: BalancerState, now: float) -> list[Effect]:
-    """Give up what is late, ask again what was lost, forget what is past."""
+    """Refuse requests past their deadline, repeat lost slot requests, forget old ids."""
     effects: list[Effect] = []
     for request in list(state.requests.active_by_id.values()):
         if request.phase is Phase.WAITING:
--- a/src/bronzekeel/core/requests/remedies.py
+++ b/src/bronzekeel/core/requests/remedies.py
@@ -1,4 +1,4 @@
-"""Word the remedies of outcomes that are no answers."""
+"""Define the remedies returned to callers whose requests have no answer."""
 
 from types import MappingProxyType
 
@@ -28,10 +28,10 @@
 
 
 def not_run(kind: RefusalKind, subject: str, retry_s: float = 0) -> NotRun:
-    """Return the outcome of a request that was not run, naming its remedy."""
+    """Return the outcome of a request that was not run, with its remedy."""
     return NotRun(kind, f'{subject}: {_REMEDY_BY_REFUSAL[kind]}', retry_s)
 
 
 def unknown(kind: UnknownKind) -> Unknown:
-    """Return the outcome of a request that may have run, naming its remedy."""
+    """Return the outcome of a request that may have run, with its remedy."""
     return Unknown(kind, _REMEDY_BY_UNKNOWN[kind])
--- a/src/bronzekeel/core/requests/slots.py
+++ b/src/bronzekeel/core/requests/slots.py
@@ -1,8 +1,9 @@
-"""Dispense the slots of a service's upstreams from one queue.
+"""Grant the slots of a service's upstreams from one set of queues.
 
-One keeper per service sees every attempt, so three slots an upstream are used
-exactly; balancers that count for themselves find out by being shed.  A second
-keeper at the same time is harmless: it grants too much and upstreams shed.
+One keeper per service sees every attempt, so it can use exactly the slots that
+each upstream has (three by default).  Balancers that counted on their own would
+exceed them and learn of it only when upstreams shed requests.  A second keeper at
+the same time is harmless: it grants too many slots, and upstreams shed the excess.
 """
 
 from collections import deque
@@ -16,10 +17,10 @@
 from bronzekeel.core.requests.state import QueuedAsk, Slots
 
 
-#: Queued asks per slot above which a service refuses at once.
+#: Queued requests for slots, per slot, above which a service refuses at once.
 QUEUE_PER_SLOT = 8
 
-#: Time past its request's deadline that a slot is held for when its return is lost.
+#: Time past its request's deadline after which a slot is freed if its return was lost.
 LATE_RETURN_S = 1.0
 
 _MILLISECONDS = 1000
@@ -29,10 +30,11 @@
 def enqueue(
     slots: Slots, spec: ServiceSpec, me: str, ask: SlotAsk, now: float
 ) -> SlotRefuse | None:
-    """Queue an ask; refuse it at once when the queue is full.
+    """Queue a request for a slot, or refuse it if its group has used up its share.
 
-    The longest group queue pays: an ask of another group displaces nothing
-    and is only refused when its own group already has its share.
+    The capacity of the queue is divided equally among the waiting groups, so a long
+    queue of one group does not cause refusals for others.  No queued request is
+    displaced.
     """
     capacity = QUEUE_PER_SLOT * spec.slots * max(1, len(spec.active))
     queue = slots.queue_by_group.get(ask.group)
@@ -68,7 +70,7 @@
     me: str,
     now: float,
 ) -> Iterator[tuple[str, SlotGrant | SlotRefuse]]:
-    """Grant free slots to the groups in turn; yield receivers and messages."""
+    """Grant free slots to the groups round-robin; yield each receiver with its message."""
     endpoints = [upstream.endpoint for upstream in spec.active]
     allowed = allowances(health, endpoints, spec.slots, now)
     blocked = 0
@@ -93,14 +95,14 @@
 
 
 def _refusal_kind(ask: QueuedAsk, allowed: dict[str, int], now: float) -> RefusalKind | None:
-    """Return why waiting on is pointless, None when it is not."""
+    """Return why a queued request has to be refused, or None if it may wait."""
     if now >= ask.give_up_at:
         return RefusalKind.DEADLINE
     return None if allowed else RefusalKind.NO_UPSTREAM
 
 
 def _head(slots: Slots) -> QueuedAsk | None:
-    """Return the first ask of the group whose turn it is."""
+    """Return the first queued request of the next group; drop the group if it has none."""
     group = slots.group_rotation[0]
     queue = slots.queue_by_group.get(group)
     if queue:
@@ -127,7 +129,7 @@
     allowed: dict[str, int],
     avoid: tuple[str, ...],
 ) -> str | None:
-    """Return the upstream with a free slot that the service's weighing prefers."""
+    """Return the upstream with a free slot that ranks best under the service's priority."""
     weight_by_endpoint = {item.endpoint: item.weight for item in spec.active}
     best: str | None = None
     best_rank: tuple[float, ...] = ()
@@ -150,10 +152,10 @@
 
 
 def _grants_to(slots: Slots, endpoint: str) -> int:
-    """Return how often an upstream was chosen; a new one starts level.
+    """Return how many slots an upstream was granted; a new one starts at the minimum.
 
-    What goes wrong otherwise: an upstream that joins has been chosen least
-    often and gets all new work at once, cold as it is.
+    If a joining upstream started at zero, it would get all new requests at once
+    during its cold start.
     """
     grants = slots.grants_by_endpoint.get(endpoint)
     if grants is None:
@@ -163,10 +165,10 @@
 
 
 def hold(slots: Slots, request: str, endpoint: str, deadline: float) -> None:
-    """Count a slot as used by a request until its return, or past its deadline.
+    """Count a slot as used until it is returned, or until its request's deadline has passed.
 
-    What goes wrong with a fixed time: returns are lost with a link or a host,
-    and an upstream whose limit is one gets nothing until that time is over.
+    Returns are lost when a link or a host fails.  With a fixed expiry time, an
+    upstream whose limit is one would get no requests until that time is over.
     """
     if (request, endpoint) in slots.expiry_by_holder:
         return
@@ -176,13 +178,13 @@
 
 
 def release(slots: Slots, request: str, endpoint: str) -> None:
-    """Free the slot of a request; a repeated return frees nothing more."""
+    """Free the slot of a request; a duplicate return has no effect."""
     if slots.expiry_by_holder.pop((request, endpoint), None) is not None:
         slots.used_by_endpoint[endpoint] -= 1
 
 
 def cancel(slots: Slots, request: str) -> None:
-    """Take an ask out of the queue."""
+    """Remove a request from the queue."""
     for queue in slots.queue_by_group.values():
         for ask in queue:
             if ask.request == request:
@@ -192,7 +194,7 @@
 
 
 def expire(slots: Slots, now: float) -> None:
-    """Free slots whose return was lost, with the host that held them."""
+    """Free the slots that were not returned in time."""
     for (request, endpoint), expiry in list(slots.expiry_by_holder.items()):
         if now >= expiry:
             release(slots, request, endpoint)
--- a/src/bronzekeel/core/requests/state.py
+++ b/src/bronzekeel/core/requests/state.py
@@ -1,4 +1,4 @@
-"""Hold requests in progress and the slots of upstreams."""
+"""State of requests in progress and of the slots of upstreams."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class Phase(IntEnum):
-    """Tell how far a request has come; it only ever moves down this list."""
+    """Phase of a request, in the order of its progress; only a retry goes back, to WAITING."""
 
     RESERVED = 0
     WAITING = 1
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """Hold one request whose id this balancer issued."""
+    """A request whose id this balancer issued."""
 
     request: str
     service: str
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class QueuedAsk:
-    """Hold one ask for a slot that waits at the slot keeper."""
+    """A request for a slot that is queued at the slot keeper."""
 
     sender: str
     request: str
@@ -46,9 +46,10 @@
 
 @dataclass(slots=True)
 class Slots:
-    """Hold a service's queue and the slots it granted.
+    """A service's queues, one per group, and the slots granted from them.
 
-    `expiry_by_holder` maps request and upstream to the deadline of the slot;
+    `group_rotation` is the round-robin order of the groups; `expiry_by_holder` maps
+    a request and its upstream to the time at which the slot expires;
     `grants_by_endpoint` counts grants, for fairness between upstreams.
     """
 
@@ -62,9 +63,9 @@
 
 @dataclass(slots=True)
 class Requests:
-    """Hold the requests domain of one balancer.
+    """State of the requests domain of one balancer.
 
-    `at_most_once` is on; a failure test switches it off to show what it is for.
+    `at_most_once` is disabled only by a test that shows the failure it prevents.
     """
 
     by_id: dict[str, Request] = field(default_factory=dict)
@@ -83,11 +84,11 @@
 
     @property
     def in_progress(self) -> bool:
-        """Whether a request waits or runs here."""
+        """Whether a request is waiting or running here."""
         return bool(self.active_by_id)
 
     def add(self, request: Request) -> None:
-        """Remember a request until it is past."""
+        """Remember a request until its `forget_at`."""
         self.by_id[request.request] = request
         heappush(self.expiry_heap, (request.forget_at, request.request))
 
@@ -97,12 +98,12 @@
         self.active_by_id[request.request] = request
 
     def end(self, request: Request) -> None:
-        """End a request for good; its id is remembered until it is past."""
+        """End a request permanently; its id is remembered until its `forget_at`."""
         request.phase = Phase.ENDED
         self.active_by_id.pop(request.request, None)
 
     def forget(self, now: float) -> None:
-        """Forget the requests that are past, but not one that still runs."""
+        """Remove the requests past their `forget_at`, except those still in progress."""
         while self.expiry_heap and self.expiry_heap[0][0] <= now:
             _, text = heappop(self.expiry_heap)
             request = self.active_by_id.get(text)
--- a/src/bronzekeel/core/rollout/__init__.py
+++ b/src/bronzekeel/core/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which version of the text is in force."""
+"""Decide which generation of the text is in force."""
--- a/src/bronzekeel/core/rollout/reducer.py
+++ b/src/bronzekeel/core/rollout/reducer.py
@@ -1,9 +1,9 @@
-"""Accept newer texts, never older ones, and fetch what peers have.
+"""Accept newer texts, never older ones, and fetch newer texts from peers.
 
-What goes wrong without the rule: the platform answers from a copy that is
-behind, or a peer comes back from a long pause, and a balancer returns to an
-old text.  A generation only ever rises on a host, and a fresh host serves
-nothing before the platform or most of its peers have spoken.
+The generation in force on a host only ever increases.  Without this rule, a
+balancer would return to an old text when the platform answers from a stale copy or
+a peer resumes after a long pause.  A fresh host serves nothing until the platform
+or most of its peers have confirmed that its text is current.
 """
 
 from msgspec.msgpack import encode
@@ -20,12 +20,12 @@
 from bronzekeel.core.rollout.state import Change, Rollout
 
 
-#: Balancers of a data centre that hold the watch on the platform.
+#: Number of balancers per data centre that watch the platform.
 WATCHERS = 2
 
 
 def on_text(rollout: Rollout, event: TextAccepted) -> tuple[bool, list[Effect]]:
-    """Put a newer text in force; return whether it was newer."""
+    """Put a text in force if it is newer; return whether it was, and the effects."""
     rollout.confirmed = rollout.confirmed or event.from_platform
     generation = event.catalogue.generation
     if generation < rollout.generation and rollout.monotonic:
@@ -43,7 +43,7 @@
 
 
 def _changed(rollout: Rollout, later: Catalogue) -> frozenset[str]:
-    """Return the services that differ between the text in force and a later one."""
+    """Return the names of services that differ between the text in force and a later one."""
     earlier = rollout.catalogue.services_by_name if rollout.catalogue else {}
     services = later.services_by_name
     changed = {name for name, spec in services.items() if earlier.get(name) != spec}
@@ -53,8 +53,8 @@
 def _digest_after(rollout: Rollout, later: Catalogue, names: frozenset[str]) -> int:
     """Return the digest of a text that differs from the one in force in `names`.
 
-    The digest of a text is the exclusive or of its services' hashes, so a
-    change costs as much as it changes and not as much as the text is long.
+    The digest of a text is the exclusive or of its services' hashes, so its
+    update costs time in proportion to the changes, not to the length of the text.
     """
     earlier = rollout.catalogue.services_by_name if rollout.catalogue else {}
     digest = rollout.digest
@@ -67,7 +67,7 @@
 
 
 def on_text_pull(rollout: Rollout, me: str, pull: TextPull) -> list[Effect]:
-    """Give a peer what changed since its text, or the whole text."""
+    """Send a peer the changes since its generation, or the whole text."""
     if rollout.catalogue is None or rollout.generation <= pull.generation:
         return []
     services = rollout.catalogue.services_by_name
@@ -86,7 +86,7 @@
 
 
 def _changed_since(rollout: Rollout, generation: int) -> set[str] | None:
-    """Return the services changed since a generation, None if it is not kept."""
+    """Return the services changed since a generation, or None if the history lacks it."""
     names: set[str] = set()
     for change in reversed(rollout.history):
         names |= change.names
@@ -96,9 +96,10 @@
 
 
 def rebuild(rollout: Rollout, body: TextBody) -> Catalogue | None:
-    """Return the whole text that a peer's body makes with the one in force here.
+    """Return the text that results from applying a peer's body to the text in force.
 
-    None when it does not fit: then the whole has to be asked for.
+    Return None if the body has another base or the digest does not match; the
+    whole text has to be requested then.
     """
     services: dict[str, ServiceSpec] = {}
     if body.since and rollout.catalogue is not None:
@@ -114,14 +115,14 @@
 
 
 def request_full_text(rollout: Rollout, me: str, body: TextBody) -> list[Effect]:
-    """Ask for the whole text when its changes did not fit."""
+    """Request the whole text when a peer's changes could not be applied."""
     if body.generation <= rollout.generation or not body.since:
         return []
     return [Say(body.sender, TextPull(me, 0))]
 
 
 def fetch(rollout: Rollout, members: Membership, now: float) -> list[Effect]:
-    """Ask a peer in contact for its text if it is newer."""
+    """Request the newest text of the peers in contact if it is newer than the one in force."""
     if now < rollout.pull_at:
         return []
     newer = [member for member in members.contacts(now) if member.generation > rollout.generation]
@@ -133,7 +134,7 @@
 
 
 def confirm(rollout: Rollout, members: Membership, now: float) -> None:
-    """Note that this balancer is not behind once most peers say so."""
+    """Confirm the text once a majority of peers is in contact and no peer has a newer one."""
     if rollout.confirmed or not rollout.generation:
         return
     if not members.by_name or now >= members.valid_until():
@@ -143,10 +144,11 @@
 
 
 def update_watch(rollout: Rollout, members: Membership, now: float) -> list[Effect]:
-    """Take up or lay down the watch on the platform.
+    """Start or stop the watch on the platform.
 
-    A few per data centre, by rendezvous among the hosts in contact: two
-    watchers too many cost two calls, none too few cost a heartbeat's delay.
+    Rendezvous hashing over the hosts in contact chooses a few watchers per data
+    centre.  The hosts may disagree for a short time: an extra watcher costs one more
+    call, a missing one the delay of a heartbeat.
     """
     centre = members.me.data_centre
     names = [
--- a/src/bronzekeel/core/rollout/state.py
+++ b/src/bronzekeel/core/rollout/state.py
@@ -1,4 +1,4 @@
-"""Hold the text in force and what is known of newer ones."""
+"""State of the text in force and of the search for newer ones."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -6,13 +6,13 @@
 from bronzekeel.core.catalogue import Catalogue
 
 
-#: Changes that are kept to give peers only what is new to them.
+#: Number of changes retained, so that peers can be sent only the services new to them.
 _MAX_CHANGES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Hold which services a generation changed after the one before it here."""
+    """Services that changed between two successive generations in force on this host."""
 
     since: int
     generation: int
@@ -21,10 +21,10 @@
 
 @dataclass(slots=True)
 class Rollout:
-    """Hold the accepted text.
+    """State of the accepted text.
 
-    `confirmed` tells that it is known not to be behind: only then does a
-    fresh balancer serve.
+    `confirmed` means that the text is known to be current; a fresh balancer serves
+    only then.
     """
 
     catalogue: Catalogue | None = None
@@ -38,5 +38,5 @@
 
     @property
     def generation(self) -> int:
-        """Generation in force, zero when none is."""
+        """Generation in force, or zero if there is none."""
         return self.catalogue.generation if self.catalogue else 0
