--- a/src/bronzekeel/core/requests/reducer.py
+++ b/src/bronzekeel/core/requests/reducer.py
@@ -255,7 +255,7 @@
     event: AttemptEnded,
     now: float,
 ) -> list[Effect]:
-    """Request another slot if the retry budget and the deadline allow it.
+    """Request another slot if the retry budget and the deadline allow it, else do nothing.
 
     Without a budget, an outage of most upstreams would cause every request to be
     tried on each of them, and the retries would overload the remaining ones.
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Test that bad bytes are dropped and counted, and never raise."""
+"""Test that malformed input is dropped with a reason and raises no unexpected error."""
 
 from unittest import TestCase
 
@@ -23,29 +23,29 @@
 
 
 class PacketBytesTest(TestCase):
-    """Decode packets."""
+    """Test decoding of packets."""
 
     @_DERANDOMIZED
     @given(st.binary(max_size=200))
     def test_random_bytes_give_a_reason(self, raw: bytes) -> None:
-        """Random bytes are a packet or have a reason; nothing raises."""
+        """Checks that random bytes give a packet or a drop reason and never raise."""
         self.assertIsInstance(read_packet(raw), (Packet, DropReason))
 
     @_DERANDOMIZED
     @given(st.integers(0, len(_GOOD) - 1), st.integers(0, 255))
     def test_flipped_bytes_give_a_reason(self, place: int, octet: int) -> None:
-        """A packet with one byte changed never raises."""
+        """Checks that a packet with one changed byte never raises."""
         raw = _GOOD[:place] + bytes((octet,)) + _GOOD[place + 1 :]
         self.assertIsInstance(read_packet(raw), (Packet, DropReason))
 
     @_DERANDOMIZED
     @given(st.integers(0, len(_GOOD) - 1))
     def test_truncated_packet_is_malformed(self, length: int) -> None:
-        """A packet that is cut short is dropped."""
+        """Checks that a truncated packet is dropped as malformed."""
         self.assertEqual(DropReason.MALFORMED, read_packet(_GOOD[:length]))
 
     def test_good_packet_is_read(self) -> None:
-        """A SYN is told from data, and a hand-off header is taken off."""
+        """Checks that SYN and data are distinguished and a hand-off header is removed."""
         packet = read_packet(hand_header(2) + _GOOD)
         if isinstance(packet, DropReason):
             self.fail(packet)
@@ -59,7 +59,7 @@
         self.assertEqual(packet.hashed, data.hashed)
 
     def test_fragments_and_other_protocols_have_their_reason(self) -> None:
-        """Fragments, UDP inside, IPv6 and oversize packets are told apart."""
+        """Checks the drop reasons of fragments, UDP, IPv6 and oversized packets."""
         fragment = bytearray(_GOOD)
         fragment[6] = 0x20
         udp = bytearray(_GOOD)
@@ -73,19 +73,19 @@
 
 
 class PeerBytesTest(TestCase):
-    """Decode peer messages."""
+    """Test decoding of peer messages."""
 
     @_DERANDOMIZED
     @given(st.binary(max_size=200))
     def test_random_bytes_are_no_message(self, raw: bytes) -> None:
-        """Random bytes raise WireError at most."""
+        """Checks that decoding random bytes raises nothing but WireError."""
         try:
             decode(raw)
         except WireError as fault:
             self.assertIn('drop it', str(fault))
 
     def test_message_survives_the_wire(self) -> None:
-        """What is encoded is decoded again."""
+        """Checks that a message is the same after encoding and decoding."""
         beat = Heartbeat(
             'a1',
             7,
@@ -103,14 +103,14 @@
 
 
 class VerdictTest(TestCase):
-    """Give verdicts on packets that have no place to go."""
+    """Test verdicts on packets that cannot be forwarded."""
 
     def test_unknown_service_and_hop_limit_are_dropped(self) -> None:
-        """A packet for nobody is dropped, and so is one handed on too often."""
+        """Checks the drop of packets for an unknown service or past the hop limit."""
         fleet, _ = started_fleet()
         state = fleet.by_name['a1'].state
-        nobody = Packet(service_key('192.0.2.1', 80), 1, opens=True, closes=False)
-        verdict = packet_verdict(state, nobody, fleet.now)
+        unknown = Packet(service_key('192.0.2.1', 80), 1, opens=True, closes=False)
+        verdict = packet_verdict(state, unknown, fleet.now)
         self.assertEqual(Drop(DropReason.UNKNOWN_SERVICE), verdict)
         table = next(iter(state.steering.tables_by_name.values()))
         other = next(
@@ -118,18 +118,18 @@
         )
         state.steering.links_by_host.clear()
         spec = portal()
-        tired = Packet(
+        exhausted = Packet(
             service_key(spec.address, spec.port),
             other,
             opens=False,
             closes=False,
             hops=HOP_LIMIT,
         )
-        verdict = steer(state.steering, state.members, tired, fleet.now)
+        verdict = steer(state.steering, state.members, exhausted, fleet.now)
         self.assertEqual(Drop(DropReason.HOP_LIMIT), verdict)
 
     def test_fresh_balancer_without_peers_drops(self) -> None:
-        """A balancer that may be behind forwards nothing."""
+        """Checks that a fresh balancer without peers, whose state may be stale, drops packets."""
         state = BalancerState.fresh(hosts()[0], 1, 0)
         packet = Packet(service_key('198.51.100.10', 443), 1, opens=True, closes=False)
         self.assertEqual(Drop(DropReason.NOT_READY), packet_verdict(state, packet, 1))
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Test that requests end in one outcome, run at most once, and share fairly."""
+"""Test that requests have one outcome, run at most once, and share capacity fairly."""
 
 from unittest import TestCase
 
@@ -16,38 +16,38 @@
 
 
 class AtMostOnceTest(TestCase):
-    """Repeat, lose and delay requests."""
+    """Test at-most-once execution when requests are repeated, lost or delayed."""
 
     def test_repeated_id_runs_once(self) -> None:
-        """Symptom: a dose is ordered twice.
+        """Guards against running a request twice.
 
-        Sequence: a caller sends an id again through another balancer, while
-        the first copy runs or after its answer was lost.
-        Cause: an id that may start again.
+        A caller sends the same id again through another balancer, while the first
+        copy runs or after its answer was lost.  If an id could start again, the
+        request would take effect twice.
         """
-        twice = {}
-        for once in (True, False):
+        ran_twice = {}
+        for at_most_once in (True, False):
             trial = RequestTrial(seed=1)
             for node in trial.fleet.running:
-                node.state.requests.at_most_once = once
+                node.state.requests.at_most_once = at_most_once
             trial.traffic.repeat_share = 0.5
             for upstream in trial.traffic.upstream_by_endpoint.values():
                 upstream.lost_share = 0.1
             trial.load(0.4, 5)
             trial.run(15)
-            twice[once] = trial.traffic.ran_twice
-            if once:
+            ran_twice[at_most_once] = trial.traffic.ran_twice
+            if at_most_once:
                 self.assertEqual(0, trial.traffic.not_run_but_ran)
                 self.assertEqual(0, trial.traffic.outcomes()['none'])
-        self.assertEqual(0, twice[True])
-        self.assertGreater(twice[False], 0)
+        self.assertEqual(0, ran_twice[True])
+        self.assertGreater(ran_twice[False], 0)
 
     def test_keeper_killed_and_cut_run_nothing_twice(self) -> None:
-        """Symptom: a reply is counted twice after a failover.
+        """Guards against running a request twice after a failover.
 
-        Sequence: the slot keeper dies, then a data centre is cut off; callers
-        repeat their ids through balancers on both sides; clocks differ.
-        Cause: two keepers that each believe an id to be new.
+        The slot keeper dies, then a data centre is cut off.  Callers repeat their
+        ids through balancers on both sides, whose clocks differ, so two keepers
+        might each treat an id as new.
         """
         trial = RequestTrial(seed=2)
         for number, node in enumerate(trial.fleet.running):
@@ -69,11 +69,11 @@
         self.assertGreater(outcomes['answered'], outcomes.total() * 0.8)
 
     def test_two_keepers_at_once_are_harmless(self) -> None:
-        """Symptom: upstreams get more than their slots, or ids run twice.
+        """Guards against running ids twice while views of the fleet differ.
 
-        Sequence: a balancer believes itself the slot keeper of a service that
-        another one keeps; half of the fleet asks each.
-        Cause: views that differ; an upstream sheds what is too much.
+        A balancer considers itself the slot keeper of a service that another one
+        keeps, and each of the two is used by about half of the fleet.  Upstreams
+        shed the requests that exceed their slots.
         """
         trial = RequestTrial(seed=3)
         true_keeper = trial.keeper()
@@ -91,13 +91,13 @@
         self.assertLess(trial.traffic.attempts / len(trial.traffic.calls), 1.2)
 
     def test_only_what_both_call_idempotent_runs_again(self) -> None:
-        """Symptom: a request with a side effect is repeated.
+        """Guards against repeating a request that has side effects.
 
-        Sequence: answers are lost; the caller calls its requests idempotent,
-        the text does not, or does too.
-        Cause: believing one of them alone.
+        Answers are lost.  The caller declares its requests idempotent, while the
+        text does not in one case and does in the other; the caller's declaration
+        alone must not suffice for a retry.
         """
-        twice = {}
+        ran_twice = {}
         for idempotent in (False, True):
             trial = RequestTrial(seed=15)
             spec = replace(trial.spec, idempotent=idempotent)
@@ -108,15 +108,15 @@
                 upstream.lost_share = 0.1
             trial.load(0.3, 5)
             trial.run(15)
-            twice[idempotent] = trial.traffic.ran_twice
-        self.assertEqual(0, twice[False])
-        self.assertGreater(twice[True], 0)
+            ran_twice[idempotent] = trial.traffic.ran_twice
+        self.assertEqual(0, ran_twice[False])
+        self.assertGreater(ran_twice[True], 0)
 
     def test_cancelled_call_frees_its_slot(self) -> None:
-        """Symptom: slots leak until an upstream looks full.
+        """Guards against leaking slots until an upstream appears full.
 
-        Sequence: callers leave while their requests wait or run.
-        Cause: a slot that nobody returns.
+        Callers leave while their requests wait or run, and nobody returns the
+        slots of those requests.
         """
         trial = RequestTrial(seed=4)
         trial.load(0.8, 5)
@@ -130,14 +130,13 @@
 
 
 class LoadTest(TestCase):
-    """Overload, lie and fail."""
+    """Test overload, false health reports and outages of upstreams."""
 
     def test_lying_endpoint_does_not_empty_good_upstreams(self) -> None:
-        """Symptom: callers wait for seconds though upstreams are idle.
+        """Guards against callers waiting for seconds while upstreams are idle.
 
-        Sequence: health endpoints of three of seven are stuck on "down" at
-        load 0.7.
-        Cause: believing the endpoint over what attempts show.
+        The health endpoints of three of seven upstreams are stuck on "down" at
+        load 0.7.  The results of attempts must prevail over the endpoints.
         """
         waits = {}
         for trusting in (True, False):
@@ -153,10 +152,10 @@
         self.assertGreater(waits[True], 2 * waits[False])
 
     def test_outage_of_most_does_not_multiply_attempts(self) -> None:
-        """Symptom: the last upstreams drown in repeats.
+        """Guards against overloading the remaining upstreams with retries.
 
-        Sequence: five of seven upstreams die.
-        Cause: trying every request on each.
+        Five of seven upstreams die, and without a retry budget every request is
+        tried on each.
         """
         trial = RequestTrial(seed=6)
         trial.load(0.6, 12)
@@ -168,10 +167,10 @@
         self.assertEqual(0, trial.traffic.not_run_but_ran)
 
     def test_goodput_holds_at_three_times_the_capacity(self) -> None:
-        """Symptom: under a flood less is done than at capacity.
+        """Guards against a loss of goodput under overload.
 
-        Sequence: callers ask for three times what the upstreams can do.
-        Cause: queues so long that work is done for callers who have left.
+        Demand is three times the capacity.  If queues were too long, upstreams
+        would work for callers that have already left.
         """
         done = {}
         for load in (1, 3):
@@ -187,11 +186,10 @@
         self.assertGreater(len(early), 0.9 * len(refused))
 
     def test_flooding_group_takes_nothing_from_others(self) -> None:
-        """Symptom: one firm's batch job makes all others wait.
+        """Guards against one group's batch job delaying all other groups.
 
-        Sequence: one group asks for four times the capacity, another for a
-        tenth of it.
-        Cause: one queue in order of arrival.
+        The demand of one group is four times the capacity, that of another a tenth
+        of it.  A single queue in order of arrival would make both wait.
         """
         trial = RequestTrial(seed=8)
         trial.traffic.plan(arrivals_at(4, 7, 8, seed=1), group='flood')
@@ -202,10 +200,10 @@
         self.assertLess(max(call.waited_s for call in quiet), 0.5)
 
     def test_joining_upstream_ramps_up(self) -> None:
-        """Symptom: a cold upstream gets a third of all work in its first second.
+        """Guards against a joining upstream getting a third of all work in its first second.
 
-        Sequence: an upstream joins a busy service.
-        Cause: counting it as the one that has been chosen least.
+        An upstream joins a busy service.  If its count of grants started at zero, it
+        would be preferred during its cold start.
         """
         trial = RequestTrial(seed=9)
         trial.load(0.6, 12)
@@ -223,13 +221,13 @@
 
 
 class LeavingTest(TestCase):
-    """Stop and drain in the planned way."""
+    """Test planned stops of balancers and draining of upstreams."""
 
     def test_planned_stop_cuts_no_request(self) -> None:
-        """Symptom: callers lose answers when a balancer is stopped.
+        """Guards against losing answers when a balancer is stopped.
 
-        Sequence: a balancer with requests in progress gets SIGTERM.
-        Cause: ending before the last answer.
+        A balancer is stopped with requests in progress, and must not exit
+        before their last answer.
         """
         trial = RequestTrial(seed=10)
         trial.load(0.6, 10)
@@ -243,10 +241,10 @@
         self.assertTrue(trial.fleet.by_name['a1'].dead)
 
     def test_draining_upstream_gets_nothing_after_five_seconds(self) -> None:
-        """Symptom: work goes to an upstream that was to be switched off.
+        """Guards against sending requests to an upstream that is about to be switched off.
 
-        Sequence: a text drains it under load.
-        Cause: a slot keeper with an old text.
+        A text drains the upstream under load, while a slot keeper may still
+        have the previous text.
         """
         trial = RequestTrial(seed=11)
         trial.load(0.6, 15)
@@ -259,14 +257,14 @@
 
 
 class LostReturnTest(TestCase):
-    """Lose the return of slots."""
+    """Test slots whose return was lost."""
 
     def test_lost_returns_do_not_starve_an_upstream(self) -> None:
-        """Symptom: after a cut some upstreams get no work for a minute.
+        """Guards against some upstreams getting no work for a minute after a partition.
 
-        Sequence: a data centre is cut off and heals; returns of slots that
-        were granted across the cut are lost.
-        Cause: holding a slot for longer than its request can run.
+        A data centre is cut off and reconnected; the returns of slots granted
+        across the cut are lost.  A slot must not be held for longer than its
+        request can run.
         """
         trial = RequestTrial(seed=14)
         trial.load(0.5, 26)
@@ -284,13 +282,13 @@
 
 
 class DependencyTest(TestCase):
-    """Refuse early what cannot work."""
+    """Test early refusal of requests whose dependencies are down."""
 
     def test_dependency_that_is_down_refuses_and_comes_back(self) -> None:
-        """Symptom: replies are taken though the register behind them is gone.
+        """Guards against accepting requests that a failed dependency cannot serve.
 
-        Sequence: all upstreams of a required service fail, later return.
-        Cause: not looking at the text's dependencies.
+        All upstreams of a required service fail and later return.  The text's
+        dependencies must be checked before a request is started.
         """
         needed = ServiceSpec(
             'checks',
@@ -327,13 +325,13 @@
 
 
 class BoundTest(TestCase):
-    """Keep memory bounded."""
+    """Test that memory stays bounded."""
 
     def test_ids_are_forgotten_after_their_deadline(self) -> None:
-        """Symptom: memory grows with every request.
+        """Guards against memory that grows with every request.
 
-        Sequence: many requests end and their deadlines pass.
-        Cause: remembering ids for ever.
+        Many requests end and their deadlines pass; their ids must not be
+        remembered for ever.
         """
         trial = RequestTrial(seed=13)
         trial.load(0.5, 5)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Test that one text is accepted, comes into force everywhere, and stays."""
+"""Test that one text is accepted, takes effect everywhere, and is never reverted."""
 
 from asyncio import run
 from random import Random
@@ -33,11 +33,12 @@
 
 
 class FakeStore(ObjectStore):
-    """Hold objects in memory; `faults` are raised by the next writes of the head.
+    """Store objects in memory; each of `faults` applies to one of the next writes of the head.
 
-    A fault of 'lost' comes after the write took effect, 'lost_before' before; at 'restored' the
-    store comes back from its copy and another operator is first.  Conditions are on the store's own
-    numbers, which a restore gives out again.
+    'lost' loses the answer after the write took effect, 'lost_before' before it.  'lost_then_other'
+    loses it after a third operator's submission.  At 'restored' the store is restored from its copy
+    and another operator submits first.  Conditional writes compare the store's own numbers, which
+    are assigned again after a restore.
     """
 
     def __init__(self) -> None:
@@ -52,17 +53,17 @@
         """Return an object."""
         if self.down:
             raise StoreRefused('down')
-        held = self.objects.get(key, Stored(0))
-        version = revision_of(self.incarnation, number_of(held.version)) if held.version else 0
-        return Stored(version, held.body, self.incarnation)
+        stored = self.objects.get(key, Stored(0))
+        version = revision_of(self.incarnation, number_of(stored.version)) if stored.version else 0
+        return Stored(version, stored.body, self.incarnation)
 
     def restore(self) -> None:
-        """Come back from the copy."""
+        """Restore the objects from the copy, under a new incarnation."""
         self.incarnation += 1
         self.objects = self.copy.copy()
 
     async def write(self, key: str, body: bytes, version: int) -> Stored | None:
-        """Replace an object at a version."""
+        """Replace an object if its version matches; return None if it does not."""
         if self.down:
             raise StoreRefused('down')
         fault = ''
@@ -73,11 +74,11 @@
         if fault == 'restored':
             self.restore()
             await submit(self, text(6), 'another operator')
-        held = self.objects.get(key, Stored(0))
-        if number_of(held.version) != number_of(version):
+        stored = self.objects.get(key, Stored(0))
+        if number_of(stored.version) != number_of(version):
             return None
-        made_at = revision_of(self.incarnation, number_of(version) + 1)
-        written = Stored(made_at, body, self.incarnation)
+        new_version = revision_of(self.incarnation, number_of(version) + 1)
+        written = Stored(new_version, body, self.incarnation)
         self.objects[key] = written
         if fault == 'lost':
             raise StoreLost('lost')
@@ -96,30 +97,29 @@
 
 
 class SubmissionTest(TestCase):
-    """Submit against a platform that fails."""
+    """Test submissions to a platform that fails."""
 
     def test_one_of_two_operators_wins(self) -> None:
-        """Symptom: an operator's change is overwritten without a word.
+        """Guards against silently overwriting another operator's change.
 
-        Sequence: two operators edit the same generation and submit.
-        Cause: an update without a condition.
+        Two operators edit the same generation and submit; an unconditional update
+        would discard the first change.
         """
         store = FakeStore()
         run(submit(store, text(2), 'one'))
         self.assertEqual(Accepted(2), run(submit(store, text(3), 'two', based_on=1)))
-        late = run(submit(store, text(4), 'three', based_on=1))
-        if not isinstance(late, Conflict):
-            self.fail(f'expected a conflict, got {late}')
-        self.assertEqual(2, late.generation)
-        self.assertIn('- portal upstream 192.0.2.4:1', late.differences)
-        self.assertIn('merge', late.remedy)
+        outcome = run(submit(store, text(4), 'three', based_on=1))
+        if not isinstance(outcome, Conflict):
+            self.fail(f'expected a conflict, got {outcome}')
+        self.assertEqual(2, outcome.generation)
+        self.assertIn('- portal upstream 192.0.2.4:1', outcome.differences)
+        self.assertIn('merge', outcome.remedy)
 
     def test_lost_confirmation_is_settled(self) -> None:
-        """Symptom: an operator is told to submit again what was accepted.
+        """Guards against asking an operator to submit an accepted text again.
 
-        Sequence: the update takes effect, or not, and its answer is lost; a
-        third operator submits in between.
-        Cause: taking a lost answer for a refusal.
+        The answer to the update is lost, after or before it takes effect, and in
+        one case a third operator submits afterwards.  A lost answer is not a refusal.
         """
         for fault, generation in (('lost', 2), ('lost_before', 2), ('lost_then_other', 2)):
             store = FakeStore()
@@ -129,10 +129,10 @@
             self.assertEqual(Accepted(2), run(settle(store, 'two')))
 
     def test_unsettled_outcome_says_how_to_find_out(self) -> None:
-        """Symptom: an operator does not know what is in force.
+        """Guards against leaving an operator without a way to find out what is in force.
 
-        Sequence: the answer is lost and every answer after it.
-        Cause: a platform that went away in the middle.
+        The platform fails during the submission: the answer to the update and all
+        later answers are lost.
         """
         store = FakeStore()
         run(submit(store, text(2), 'one'))
@@ -142,10 +142,10 @@
         self.assertIn('--settle two', outcome.remedy)
 
     def test_a_text_submitted_to_a_restored_store_is_newer(self) -> None:
-        """An operator's text was accepted and never in force.
+        """Guards against an accepted text that never takes effect.
 
-        The store had come back from a copy, and the text got the number after the copy's, which
-        is less than that of the text in force; hosts left it out as older.
+        The store was restored from a copy, and the text got the number after that of the copy,
+        which is less than the number of the text in force.  Hosts rejected it as older.
         """
         store = FakeStore()
         run(submit(store, text(2), 'one'))
@@ -162,7 +162,7 @@
         self.assertEqual(Accepted(again.generation + 1), after)
 
     def test_an_empty_copy_gives_no_number_out_again(self) -> None:
-        """The copy was made before the first text."""
+        """Covers a store restored from a copy that was made before the first text."""
         store = FakeStore()
         for number in range(2, 6):
             run(submit(store, text(number), f'submission {number}'))
@@ -171,9 +171,9 @@
         self.assertGreater(again.generation if isinstance(again, Accepted) else 0, 4)
 
     def test_an_update_that_met_a_restored_store_is_made_anew(self) -> None:
-        """An operator was told a number under which no host would take the text.
+        """Guards against reporting a number under which no host would accept the text.
 
-        Between the reading of the head and its update the store came back from a copy, and another
+        Between the read of the head and its update, the store was restored from a copy, and another
         operator's text got the number that the update's condition names.
         """
         store = FakeStore()
@@ -189,11 +189,10 @@
         self.assertGreater(accepted.generation, 2 + LOST_AT_MOST)
 
     def test_large_text_is_never_half_seen(self) -> None:
-        """Symptom: a balancer reads half of a text.
+        """Guards against reading a mixture of two texts.
 
-        Sequence: a text larger than one object; its parts are read while
-        another is submitted; one part is damaged.
-        Cause: parts that can change under one head.
+        A text larger than one object is read in parts while another is submitted,
+        and later one part is damaged.  Parts must not change under one head.
         """
         store = FakeStore()
         large = text(3, remark='x' * 1_500_000)
@@ -207,7 +206,7 @@
             run(load_text(store, head))
 
     def test_outage_is_refused_clearly(self) -> None:
-        """Nothing is accepted and the error says so."""
+        """Checks that a submission during an outage raises StoreRefused."""
         store = FakeStore()
         store.down = True
         with self.assertRaises(StoreRefused):
@@ -215,10 +214,10 @@
 
 
 class ForceTest(TestCase):
-    """Bring texts into force on a fleet."""
+    """Test how texts come into force on a fleet."""
 
     def test_in_force_everywhere_within_seconds(self) -> None:
-        """A text reaches all nine, also those that do not watch the platform."""
+        """Checks that a text reaches all nine hosts, including those that are not watchers."""
         fleet, _ = started_fleet()
         lag_views(fleet)
         watching = sum(node.state.rollout.watching for node in fleet.running)
@@ -230,11 +229,10 @@
             self.assertLess(node.in_force_at[2] - submitted_at, 9)
 
     def test_older_text_never_comes_back(self) -> None:
-        """Symptom: a drained upstream gets work again.
+        """Guards against reverting to an older text, such as one without a drain.
 
-        Sequence: after generation 3 the platform answers with generation 2,
-        or a peer that was away gives it.
-        Cause: taking the last answer for the newest.
+        After generation 3 the platform answers with generation 2, as a peer that
+        was disconnected might.  The last answer is not necessarily the newest.
         """
         reverted = {}
         for monotonic in (True, False):
@@ -250,10 +248,10 @@
         self.assertEqual({True: False, False: True}, reverted)
 
     def test_fresh_host_waits_until_it_is_not_behind(self) -> None:
-        """Symptom: a restarted host forwards by last week's text.
+        """Guards against a restarted host that forwards by an outdated text.
 
-        Sequence: during an outage a fresh host hears one peer that is behind.
-        Cause: serving by the first text heard.
+        During an outage of the platform a fresh host receives the text of one peer
+        only.  It must not serve by the first text that it receives.
         """
         fleet = Fleet(hosts(), 1)
         fleet.platform_up = False
@@ -267,10 +265,10 @@
         self.assertFalse(node.state.rollout.confirmed)
 
     def test_newcomer_is_brought_up_by_peers_during_an_outage(self) -> None:
-        """Symptom: replaced hosts stay useless until the platform is back.
+        """Guards against replaced hosts that cannot serve until the platform is back.
 
-        Sequence: the platform goes down; a host is replaced.
-        Cause: reading the text from the platform alone.
+        The platform goes down and a host is replaced.  The new host must get the
+        text from its peers.
         """
         fleet, _ = started_fleet()
         fleet.platform_up = False
@@ -283,10 +281,10 @@
         self.assertEqual(1, fresh.rollout.generation)
 
     def test_newest_wins_when_a_data_centre_heals(self) -> None:
-        """Symptom: one data centre stays on an old text, or spreads it.
+        """Guards against a data centre that stays on an old text or spreads it.
 
-        Sequence: a cut off data centre misses two texts and heals.
-        Cause: none of its hosts hears of them otherwise.
+        A data centre is cut off, misses two generations and is reconnected.  Its
+        hosts receive no other report of the newer text than from their peers.
         """
         fleet, _ = started_fleet()
         names = list(fleet.by_name)
@@ -296,9 +294,9 @@
             node.state.rollout.watching = True
         fleet.platform_up = False
         fleet.newest = None
-        outside = fleet.by_name['b1']
+        remote = fleet.by_name['b1']
         event = TextAccepted(catalogue(3, portal(8)), from_platform=True)
-        fleet.deliver(outside, event)
+        fleet.deliver(remote, event)
         fleet.run(6)
         self.assertEqual(1, fleet.by_name['a1'].state.rollout.generation)
         fleet.heal()
@@ -308,10 +306,10 @@
 
 
 class ChangesTest(TestCase):
-    """Give peers only what changed."""
+    """Test that peers are sent only what changed."""
 
     def test_peer_gets_only_the_services_that_changed(self) -> None:
-        """A text of many services travels as the one that changed."""
+        """Checks that a change of one service is sent without the unchanged ones."""
         services = [replace(portal(3), name=f'service-{number}') for number in range(50)]
         rollout = Rollout()
         on_text(rollout, TextAccepted(catalogue(1, *services)))
@@ -323,11 +321,10 @@
         self.assertEqual(50, len(self._body(rollout, 0).services) + 1)
 
     def test_changes_that_do_not_fit_are_not_taken(self) -> None:
-        """Symptom: balancers of one generation have different texts.
+        """Guards against balancers of one generation having different texts.
 
-        Sequence: a peer gives changes since a generation whose text differs
-        from ours, since ours was damaged.
-        Cause: putting changes on another base.
+        A peer sends changes since a generation whose text differs on the receiver,
+        where it was damaged.  Changes must not be applied to a different base.
         """
         services = [replace(portal(3), name=f'service-{number}') for number in range(5)]
         ahead = Rollout()
@@ -338,8 +335,8 @@
         on_text(ahead, TextAccepted(catalogue(2, *services)))
         body = self._body(ahead, 1)
         self.assertIsNone(rebuild(behind, body))
-        asked = request_full_text(behind, 'a1', body)[0]
-        whole = self._body(ahead, asked.message.generation)
+        pull = request_full_text(behind, 'a1', body)[0]
+        whole = self._body(ahead, pull.message.generation)
         self.assertEqual(ahead.catalogue, rebuild(behind, whole))
 
     def _body(self, rollout: Rollout, generation: int) -> TextBody:
@@ -347,10 +344,10 @@
 
 
 class StateTest(TestCase):
-    """Check what a fresh state says of itself."""
+    """Test the initial state of a balancer."""
 
     def test_fresh_state_serves_nothing(self) -> None:
-        """A balancer that knows nothing is not ready and has generation 0."""
+        """Checks that a balancer without a text is not ready and has generation 0."""
         state = BalancerState.fresh(hosts()[0], 1, Random(1).random())
         self.assertFalse(state.ready)
         self.assertEqual(0, state.rollout.generation)
