--- a/src/bronzekeel/core/hashing.py
+++ b/src/bronzekeel/core/hashing.py
@@ -20,9 +20,9 @@
     return ip_address(address).packed + port.to_bytes(2, 'big')
 
 
-def string_hash(text: str) -> int:
+def string_hash(string: str) -> int:
     """Return the 64-bit hash of a string."""
-    return xxh3_64_intdigest(text.encode())
+    return xxh3_64_intdigest(string.encode())
 
 
 def _score(key: str, name: str) -> int:
--- a/src/bronzekeel/core/requests/ids.py
+++ b/src/bronzekeel/core/requests/ids.py
@@ -22,9 +22,9 @@
     number: int
 
     @classmethod
-    def parse(cls, text: str) -> 'RequestId | None':
-        """Return the id that `text` encodes, or None if it is not a valid id."""
-        parts = text.rsplit(_SEPARATOR, _PARTS - 1)
+    def parse(cls, encoded: str) -> 'RequestId | None':
+        """Return the id that `encoded` represents, or None if it is not a valid id."""
+        parts = encoded.rsplit(_SEPARATOR, _PARTS - 1)
         if len(parts) != _PARTS:
             return None
         try:
--- a/src/bronzekeel/core/requests/reducer.py
+++ b/src/bronzekeel/core/requests/reducer.py
@@ -44,11 +44,11 @@
         return [Settle('', not_run(kind, event.service))]
     requests.issued += 1
     members = state.members
-    text = str(RequestId(members.me.name, members.incarnation, requests.issued))
-    request = Request(text, event.service, event.deadline)
+    request_id = str(RequestId(members.me.name, members.incarnation, requests.issued))
+    request = Request(request_id, event.service, event.deadline)
     request.forget_at = event.deadline + _ID_RETENTION_S
     requests.add(request)
-    return [Reserved(text)]
+    return [Reserved(request_id)]
 
 
 def _early_refusal(state: BalancerState, service: str) -> RefusalKind | None:
--- a/src/bronzekeel/core/requests/state.py
+++ b/src/bronzekeel/core/requests/state.py
@@ -105,10 +105,10 @@
     def forget(self, now: float) -> None:
         """Remove the requests past their `forget_at`, except those still in progress."""
         while self.expiry_heap and self.expiry_heap[0][0] <= now:
-            _, text = heappop(self.expiry_heap)
-            request = self.active_by_id.get(text)
+            _, request_id = heappop(self.expiry_heap)
+            request = self.active_by_id.get(request_id)
             if request is None:
-                self.by_id.pop(text, None)
+                self.by_id.pop(request_id, None)
                 continue
             request.forget_at = now + 1
-            heappush(self.expiry_heap, (request.forget_at, text))
+            heappush(self.expiry_heap, (request.forget_at, request_id))
