--- a/src/bronzekeel/core/duties.py
+++ b/src/bronzekeel/core/duties.py
@@ -1,4 +1,4 @@
-"""Do what time asks of a balancer: heartbeats, keeping shards, getting ready, stopping."""
+"""Run the periodic work of a balancer: heartbeats, shards, readiness and shutdown."""
 
 from bronzekeel.core.constants import SETTLE_IN_S
 from bronzekeel.core.effects import Effect, Log, Say, Stopped
@@ -8,19 +8,19 @@
 from bronzekeel.core.state import BalancerState
 from bronzekeel.core.steering import journal, keeper, owners, replicas
 
-#: Interval at which a lasting trouble is logged again.
-_COMPLAIN_S = 30.0
+#: Interval at which a problem that persists is logged again.
+_PROBLEM_LOG_S = 30.0
 
 
-def beats(state: BalancerState, now: float) -> list[Effect]:
-    """Return the heartbeats that are due, each with its part for every domain."""
+def due_heartbeats(state: BalancerState, now: float) -> list[Effect]:
+    """Return the heartbeats that are due, each with the fields of all domains."""
     members = state.members
-    silent = membership.silent_members(members, now)
+    unheard = membership.silent_members(members, now)
     effects: list[Effect] = []
     for member in membership.due_for_heartbeat(members, now):
         name = member.host.name
         link = state.steering.link(name)
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             sender=members.me.name,
             incarnation=members.incarnation,
             stamp=int(now * membership.MILLISECONDS),
@@ -31,15 +31,19 @@
             ready=state.ready,
             leaving=members.leaving,
             grants=journal.try_renew_lease(state.steering, name, now),
-            unheard=silent,
+            unheard=unheard,
             host=None if now < member.contact_until else members.me,
         )
-        effects.append(Say(name, beat))
+        effects.append(Say(name, heartbeat))
     return effects
 
 
-def keep_shards(state: BalancerState, now: float) -> list[Effect]:
-    """Do a keeper's duties: claim, change, settle, copy, hand over."""
+def maintain_shards(state: BalancerState, now: float) -> list[Effect]:
+    """Run a keeper's periodic work on its shards.
+
+    It claims orphaned shards, starts and advances changes of buckets, replicates
+    records and hands shards over.
+    """
     steering = state.steering
     steering.self_valid_until = state.members.valid_until()
     replicas.prune_retained(steering, now)
@@ -49,24 +53,25 @@
     effects = owners.claim_orphans(steering, state.members, names, now)
     if now < steering.self_valid_until:
         keeper.adopt_targets(steering, now)
-        keeper.advance(steering, now, may_settle=_all_present(state))
+        keeper.advance(steering, now, may_settle=_all_listed_hosts_alive(state))
         keeper.recount(steering, now)
     effects.extend(replicas.replicate(steering, names, now))
     effects.extend(owners.move_shards(steering, state.members, names, now))
     return effects
 
 
-def _all_present(state: BalancerState) -> bool:
-    """Return whether no listed host is missing.
+def _all_listed_hosts_alive(state: BalancerState) -> bool:
+    """Return whether no listed host is considered dead.
 
-    Settling changes what an unrecorded flow means.  If a cut-off half of the
-    fleet did so, the halves could not be joined again without breaking flows.
+    Settling a bucket changes the upstream that flows without a record belong to.
+    If one side of a partitioned fleet settled, the two sides could not be merged
+    again without breaking flows.
     """
     return not any(member.dead and member.listed for member in state.members.by_name.values())
 
 
 def become_ready(state: BalancerState, now: float) -> list[Effect]:
-    """Serve once text and registers are known not to be behind."""
+    """Become ready once the text and the registers are known to be up to date."""
     if state.ready or not state.rollout.confirmed or state.stopping:
         return []
     links = state.steering.links_by_host
@@ -81,22 +86,22 @@
     return [Log(LogNumber.READY)]
 
 
-def complain(state: BalancerState, now: float) -> list[Effect]:
-    """Say now and then what should have passed by itself."""
-    if now < state.complain_at:
+def log_lasting_problems(state: BalancerState, now: float) -> list[Effect]:
+    """Log, at intervals, conditions that should have resolved by themselves."""
+    if now < state.problem_log_at:
         return []
-    state.complain_at = now + _COMPLAIN_S
+    state.problem_log_at = now + _PROBLEM_LOG_S
     effects: list[Effect] = []
     if not state.rollout.confirmed and not state.stopping:
         effects.append(Log(LogNumber.WAITING_FOR_TEXT, str(state.rollout.generation)))
-    late = keeper.count_overdue(state.steering, now)
-    if late:
-        effects.append(Log(LogNumber.BUCKETS_UNSETTLED, str(late)))
+    count_overdue = keeper.count_overdue(state.steering, now)
+    if count_overdue:
+        effects.append(Log(LogNumber.BUCKETS_UNSETTLED, str(count_overdue)))
     return effects
 
 
 def stop_when_idle(state: BalancerState) -> list[Effect]:
-    """Tell that this balancer may end: nothing is kept here, nothing runs."""
+    """Report that this balancer may stop once it keeps no shard and runs no request."""
     if not state.stopping or state.stopped:
         return []
     steering = state.steering
--- a/src/bronzekeel/core/requests/reducer.py
+++ b/src/bronzekeel/core/requests/reducer.py
@@ -1,7 +1,7 @@
-"""Run requests: reserve, wait for a slot, attempt, retry, tell the outcome.
+"""Run requests: reserve an id, wait for a slot, attempt, retry and return the outcome.
 
-NotRun is said only when nothing can run the request later: its id is ended
-before the caller is told, and an ended id is never started.
+NotRun is returned only when nothing can run the request later: its id is ended
+before the caller is informed, and an ended id is never started.
 """
 
 from bronzekeel.core.catalogue import ServiceKind
@@ -18,7 +18,7 @@
 from bronzekeel.core.requests.keepers import (
     blocked_dependency,
     keeper_of,
-    local_choice,
+    choose_without_keeper,
     spec_of,
 )
 from bronzekeel.core.requests.remedies import not_run, unknown
@@ -26,29 +26,29 @@
 from bronzekeel.core.state import BalancerState
 
 
-_ASK_AGAIN_S = 1.0
-_BUDGET_SHARE = 0.1
-_BUDGET_MOST = 10.0
+_RETRY_S = 1.0
+_RETRY_BUDGET_SHARE = 0.1
+_MAX_RETRY_BUDGET = 10.0
 _MILLISECONDS = 1000
-_REMEMBER_S = 1.0
-MOST_REMEMBERED = 100_000
+_ID_RETENTION_S = 1.0
+MAX_REMEMBERED_IDS = 100_000
 
 
 def on_reserve(state: BalancerState, event: ReserveAsked, now: float) -> list[Effect]:
-    """Issue an id, or refuse early what cannot run."""
+    """Issue an id, or refuse a request that cannot run."""
     requests = state.requests
     kind = _early_refusal(state, event.service)
-    if kind is None and len(requests.by_id) >= MOST_REMEMBERED:
+    if kind is None and len(requests.by_id) >= MAX_REMEMBERED_IDS:
         kind = RefusalKind.OVERLOADED
     if kind is not None:
         return [Settle('', not_run(kind, event.service))]
     requests.issued += 1
     members = state.members
-    text = str(RequestId(members.me.name, members.incarnation, requests.issued))
-    request = Request(text, event.service, event.deadline)
-    request.forget_at = event.deadline + _REMEMBER_S
+    request_id = str(RequestId(members.me.name, members.incarnation, requests.issued))
+    request = Request(request_id, event.service, event.deadline)
+    request.forget_at = event.deadline + _ID_RETENTION_S
     requests.add(request)
-    return [Reserved(text)]
+    return [Reserved(request_id)]
 
 
 def _early_refusal(state: BalancerState, service: str) -> RefusalKind | None:
@@ -63,10 +63,10 @@
 
 
 def on_run(state: BalancerState, event: RunAsked, now: float) -> list[Effect]:
-    """Start a request, or tell why it is not started.
+    """Start a request, or return why it is not started.
 
-    Only what both the caller and the text call idempotent is ever tried again
-    after it may have run.
+    A request that may have run is retried only if both the caller and the text
+    declare it idempotent.
     """
     parsed = RequestId.parse(event.request)
     members = state.members
@@ -82,7 +82,7 @@
     request = state.requests.by_id.get(event.request)
     if request is None:
         return [Settle(event.request, unknown(UnknownKind.ISSUER_GONE))]
-    if request.phase is not Phase.RESERVED and state.requests.once:
+    if request.phase is not Phase.RESERVED and state.requests.at_most_once:
         return [Settle(event.request, unknown(UnknownKind.STARTED))]
     request.group = event.group
     spec = spec_of(state, event.service)
@@ -101,10 +101,10 @@
     dependency = blocked_dependency(state, spec, now)
     if dependency is not None:
         return _refuse(state, request, RefusalKind.DEPENDENCY, dependency)
-    budget = state.requests.budget_by_service.get(request.service, 1.0)
-    state.requests.budget_by_service[request.service] = min(
-        _BUDGET_MOST,
-        budget + _BUDGET_SHARE,
+    budget = state.requests.retry_budget_by_service.get(request.service, 1.0)
+    state.requests.retry_budget_by_service[request.service] = min(
+        _MAX_RETRY_BUDGET,
+        budget + _RETRY_BUDGET_SHARE,
     )
     state.requests.begin(request)
     return _ask(state, request, now)
@@ -117,20 +117,20 @@
     detail: str = '',
     retry_s: float = 0,
 ) -> list[Effect]:
-    """End the id first and then tell the caller that it was not run."""
+    """End the id, then report to the caller that the request was not run."""
     state.requests.end(request)
     outcome = not_run(kind, detail or request.service, retry_s)
     return [Settle(request.request, outcome)]
 
 
 def _ask(state: BalancerState, request: Request, now: float) -> list[Effect]:
-    """Ask the service's slot keeper for a slot."""
+    """Request a slot from the service's slot keeper; without a keeper, choose an upstream here."""
     me = state.members.me.name
     keeper = keeper_of(state, request.service, now)
     request.keeper = keeper
-    request.ask_at = now + _ASK_AGAIN_S
+    request.ask_at = now + _RETRY_S
     wait_ms = max(0, int((request.deadline - now) * _MILLISECONDS))
-    asked = SlotAsk(
+    ask = SlotAsk(
         me,
         request.service,
         request.request,
@@ -139,18 +139,18 @@
         wait_ms,
     )
     if not keeper:
-        return _attempt_locally(state, request, now)
-    return [Say(keeper, asked)]
+        return _attempt_without_keeper(state, request, now)
+    return [Say(keeper, ask)]
 
 
-def _attempt_locally(
+def _attempt_without_keeper(
     state: BalancerState,
     request: Request,
     now: float,
 ) -> list[Effect]:
-    """Choose by this balancer's own counts while no keeper can be reached."""
+    """Choose an upstream by this balancer's own counts while no keeper can be reached."""
     spec = spec_of(state, request.service)
-    endpoint = local_choice(state, spec, request, now) if spec else None
+    endpoint = choose_without_keeper(state, spec, request, now) if spec else None
     if endpoint is None:
         request.ask_at = now
         return []
@@ -161,13 +161,13 @@
     request.phase = Phase.RUNNING
     request.upstream = endpoint
     request.attempts += 1
-    counts = state.requests.local_by_endpoint
+    counts = state.requests.attempts_by_endpoint
     counts[endpoint] = counts.get(endpoint, 0) + 1
     return [Attempt(request.request, endpoint, request.deadline)]
 
 
 def on_grant(state: BalancerState, grant: SlotGrant, now: float) -> list[Effect]:
-    """Use a granted slot, or return it when the request waits no more."""
+    """Use a granted slot, or return it if the request no longer waits."""
     request = state.requests.by_id.get(grant.request)
     waits = request is not None and request.phase is Phase.WAITING
     if request is None or not waits or now >= request.deadline:
@@ -183,13 +183,13 @@
     return _attempt(state, request, grant.upstream)
 
 
-def on_refuse(state: BalancerState, refused: SlotRefuse, now: float) -> list[Effect]:
-    """Tell the caller at once what the keeper refuses, and when to come back."""
-    request = state.requests.by_id.get(refused.request)
+def on_refuse(state: BalancerState, refusal: SlotRefuse, now: float) -> list[Effect]:
+    """Report a keeper's refusal to the caller at once, with the time to retry."""
+    request = state.requests.by_id.get(refusal.request)
     if request is None or request.phase is not Phase.WAITING:
         return []
-    retry_s = refused.retry_ms / _MILLISECONDS
-    return _refuse(state, request, RefusalKind(refused.kind), retry_s=retry_s)
+    retry_s = refusal.retry_ms / _MILLISECONDS
+    return _refuse(state, request, RefusalKind(refusal.kind), retry_s=retry_s)
 
 
 def on_attempt_ended(
@@ -197,23 +197,23 @@
     event: AttemptEnded,
     now: float,
 ) -> list[Effect]:
-    """Return the slot; retry what is safe to retry, else tell the outcome."""
+    """Return the slot, then retry if that is safe, or settle the outcome."""
     request = state.requests.by_id.get(event.request)
     if request is None or request.phase is not Phase.RUNNING:
         return []
     effects = _return_slot(state, request, event, now)
     if event.ended in {AttemptEnd.SHED, AttemptEnd.UNREACHED}:
-        effects.extend(_not_run_here(state, request, event, now))
+        effects.extend(_retry_or_refuse(state, request, event, now))
     elif event.ended == AttemptEnd.LOST and request.idempotent:
-        effects.extend(_retry(state, request, event, now) or _lost(state, request))
+        effects.extend(_retry(state, request, event, now) or _settle_answer_lost(state, request))
     elif event.ended == AttemptEnd.ANSWERED:
         state.requests.end(request)
     else:
-        effects.extend(_lost(state, request))
+        effects.extend(_settle_answer_lost(state, request))
     return effects
 
 
-def _lost(state: BalancerState, request: Request) -> list[Effect]:
+def _settle_answer_lost(state: BalancerState, request: Request) -> list[Effect]:
     state.requests.end(request)
     return [Settle(request.request, unknown(UnknownKind.ANSWER_LOST))]
 
@@ -224,7 +224,7 @@
     event: AttemptEnded,
     now: float,
 ) -> list[Effect]:
-    counts = state.requests.local_by_endpoint
+    counts = state.requests.attempts_by_endpoint
     counts[event.upstream] = max(0, counts.get(event.upstream, 0) - 1)
     spec = spec_of(state, request.service)
     me = state.members.me.name
@@ -236,17 +236,17 @@
     return [Say(request.keeper, done)]
 
 
-def _not_run_here(
+def _retry_or_refuse(
     state: BalancerState,
     request: Request,
     event: AttemptEnded,
     now: float,
 ) -> list[Effect]:
-    """Go elsewhere with a request that the upstream did not take."""
+    """Retry a request that the upstream did not accept, or refuse it as overloaded."""
     retried = _retry(state, request, event, now)
     if retried:
         return retried
-    return _refuse(state, request, RefusalKind.OVERLOADED, retry_s=_ASK_AGAIN_S)
+    return _refuse(state, request, RefusalKind.OVERLOADED, retry_s=_RETRY_S)
 
 
 def _retry(
@@ -255,22 +255,22 @@
     event: AttemptEnded,
     now: float,
 ) -> list[Effect]:
-    """Ask for another slot if budget and deadline allow, else return nothing.
+    """Request another slot if the retry budget and the deadline allow it, else do nothing.
 
-    What goes wrong without a budget: when most upstreams are out, every
-    request is tried on each, and the rest drown in the repeats.
+    Without a budget, an outage of most upstreams would cause every request to be
+    tried on each of them, and the retries would overload the remaining ones.
     """
-    budget = state.requests.budget_by_service.get(request.service, 0)
+    budget = state.requests.retry_budget_by_service.get(request.service, 0)
     if budget < 1 or now >= request.deadline:
         return []
-    state.requests.budget_by_service[request.service] = budget - 1
+    state.requests.retry_budget_by_service[request.service] = budget - 1
     request.avoid = (*request.avoid, event.upstream)
     request.phase = Phase.WAITING
     return _ask(state, request, now)
 
 
 def on_caller_gone(state: BalancerState, event: CallerGone) -> list[Effect]:
-    """End a request whose caller left; cancel it where it runs."""
+    """Cancel the attempt of a request whose caller is gone, or end the request."""
     request = state.requests.by_id.get(event.request)
     if request is None:
         return []
@@ -281,16 +281,16 @@
 
 
 def on_tick(state: BalancerState, now: float) -> list[Effect]:
-    """Give up what is late, ask again what was lost, forget what is past."""
+    """Refuse requests past their deadline, repeat lost slot requests, forget old ids."""
     effects: list[Effect] = []
     for request in list(state.requests.active_by_id.values()):
         if request.phase is Phase.WAITING:
-            effects.extend(_press(state, request, now))
+            effects.extend(_advance_waiting(state, request, now))
     state.requests.forget(now)
     return effects
 
 
-def _press(state: BalancerState, request: Request, now: float) -> list[Effect]:
+def _advance_waiting(state: BalancerState, request: Request, now: float) -> list[Effect]:
     if now >= request.deadline:
         return _refuse(state, request, RefusalKind.DEADLINE)
     if now < request.ask_at:
--- a/src/bronzekeel/core/requests/state.py
+++ b/src/bronzekeel/core/requests/state.py
@@ -1,4 +1,4 @@
-"""Hold requests in progress and the slots of upstreams."""
+"""State of requests in progress and of the slots of upstreams."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class Phase(IntEnum):
-    """Tell how far a request has come; it only ever moves down this list."""
+    """Phase of a request, in the order of its progress; only a retry goes back, to WAITING."""
 
     RESERVED = 0
     WAITING = 1
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """Hold one request whose id this balancer issued."""
+    """A request whose id this balancer issued."""
 
     request: str
     service: str
@@ -34,8 +34,8 @@
 
 
 @dataclass(slots=True)
-class Waiting:
-    """Hold one ask for a slot that waits at the slot keeper."""
+class QueuedAsk:
+    """A request for a slot that is queued at the slot keeper."""
 
     sender: str
     request: str
@@ -46,50 +46,51 @@
 
 @dataclass(slots=True)
 class Slots:
-    """Hold a service's queue and the slots it granted.
+    """A service's queues, one per group, and the slots granted from them.
 
-    `expiry_by_holder` maps request and upstream to the deadline of the slot;
-    `served_by_endpoint` counts grants, for fairness between upstreams.
+    `group_rotation` is the round-robin order of the groups; `expiry_by_holder` maps
+    a request and its upstream to the time at which the slot expires;
+    `grants_by_endpoint` counts grants, for fairness between upstreams.
     """
 
-    queue_by_group: dict[str, deque[Waiting]] = field(default_factory=dict)
-    turn: deque[str] = field(default_factory=deque)
+    queue_by_group: dict[str, deque[QueuedAsk]] = field(default_factory=dict)
+    group_rotation: deque[str] = field(default_factory=deque)
     queued: int = 0
     expiry_by_holder: dict[tuple[str, str], float] = field(default_factory=dict)
     used_by_endpoint: dict[str, int] = field(default_factory=dict)
-    served_by_endpoint: dict[str, int] = field(default_factory=dict)
+    grants_by_endpoint: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Requests:
-    """Hold the requests domain of one balancer.
+    """State of the requests domain of one balancer.
 
-    `once` is on; a failure test switches it off to show what it is for.
+    `at_most_once` is disabled only by a test that shows the failure it prevents.
     """
 
     by_id: dict[str, Request] = field(default_factory=dict)
     active_by_id: dict[str, Request] = field(default_factory=dict)
-    forgetting: list[tuple[float, str]] = field(default_factory=list)
+    expiry_heap: list[tuple[float, str]] = field(default_factory=list)
     slots_by_service: dict[str, Slots] = field(default_factory=dict)
-    budget_by_service: dict[str, float] = field(default_factory=dict)
+    retry_budget_by_service: dict[str, float] = field(default_factory=dict)
     down_by_sender: dict[str, tuple[frozenset[str], float]] = field(default_factory=dict)
-    local_by_endpoint: dict[str, int] = field(default_factory=dict)
-    told_down: frozenset[str] = frozenset()
-    tell_at: float = 0
-    look_at: float = 0
+    attempts_by_endpoint: dict[str, int] = field(default_factory=dict)
+    announced_down: frozenset[str] = frozenset()
+    announce_at: float = 0
+    check_at: float = 0
     required: frozenset[str] = frozenset()
     issued: int = 0
-    once: bool = True
+    at_most_once: bool = True
 
     @property
     def in_progress(self) -> bool:
-        """Whether a request waits or runs here."""
+        """Whether a request is waiting or running here."""
         return bool(self.active_by_id)
 
     def add(self, request: Request) -> None:
-        """Remember a request until it is past."""
+        """Remember a request until its `forget_at`."""
         self.by_id[request.request] = request
-        heappush(self.forgetting, (request.forget_at, request.request))
+        heappush(self.expiry_heap, (request.forget_at, request.request))
 
     def begin(self, request: Request) -> None:
         """Count a request as in progress."""
@@ -97,17 +98,17 @@
         self.active_by_id[request.request] = request
 
     def end(self, request: Request) -> None:
-        """End a request for good; its id is remembered until it is past."""
+        """End a request permanently; its id is remembered until its `forget_at`."""
         request.phase = Phase.ENDED
         self.active_by_id.pop(request.request, None)
 
     def forget(self, now: float) -> None:
-        """Forget the requests that are past, but not one that still runs."""
-        while self.forgetting and self.forgetting[0][0] <= now:
-            _, text = heappop(self.forgetting)
-            request = self.active_by_id.get(text)
+        """Remove the requests past their `forget_at`, except those still in progress."""
+        while self.expiry_heap and self.expiry_heap[0][0] <= now:
+            _, request_id = heappop(self.expiry_heap)
+            request = self.active_by_id.get(request_id)
             if request is None:
-                self.by_id.pop(text, None)
+                self.by_id.pop(request_id, None)
                 continue
             request.forget_at = now + 1
-            heappush(self.forgetting, (request.forget_at, text))
+            heappush(self.expiry_heap, (request.forget_at, request_id))
--- a/src/bronzekeel/core/rollout/reducer.py
+++ b/src/bronzekeel/core/rollout/reducer.py
@@ -1,9 +1,9 @@
-"""Accept newer texts, never older ones, and fetch what peers have.
+"""Accept newer texts, never older ones, and fetch newer texts from peers.
 
-What goes wrong without the rule: the platform answers from a copy that is
-behind, or a peer comes back from a long pause, and a balancer returns to an
-old text.  A generation only ever rises on a host, and a fresh host serves
-nothing before the platform or most of its peers have spoken.
+The generation in force on a host only ever increases.  Without this rule, a
+balancer would return to an old text when the platform answers from a stale copy or
+a peer resumes after a long pause.  A fresh host serves nothing until the platform
+or most of its peers have confirmed that its text is current.
 """
 
 from msgspec.msgpack import encode
@@ -20,46 +20,46 @@
 from bronzekeel.core.rollout.state import Change, Rollout
 
 
-#: Balancers of a data centre that hold the watch on the platform.
+#: Number of balancers per data centre that watch the platform.
 WATCHERS = 2
 
 
 def on_text(rollout: Rollout, event: TextAccepted) -> tuple[bool, list[Effect]]:
-    """Put a newer text in force; return whether it was newer."""
+    """Put a text in force if it is newer; return whether it was, and the effects."""
     rollout.confirmed = rollout.confirmed or event.from_platform
     generation = event.catalogue.generation
     if generation < rollout.generation and rollout.monotonic:
-        rollout.older_refused += 1
+        rollout.older_rejected += 1
         detail = f'{generation} < {rollout.generation}'
         return False, [Log(LogNumber.TEXT_OLDER, detail)]
     if generation == rollout.generation:
         return False, []
     names = _changed(rollout, event.catalogue)
     rollout.history.append(Change(rollout.generation, generation, names))
-    rollout.digest = _digest_with(rollout, event.catalogue, names)
+    rollout.digest = _digest_after(rollout, event.catalogue, names)
     rollout.catalogue = event.catalogue
     in_force = Log(LogNumber.TEXT_IN_FORCE, str(generation))
     return True, [InForce(generation), in_force]
 
 
-def _changed(rollout: Rollout, latter: Catalogue) -> frozenset[str]:
-    """Return the services that differ between the text in force and a later one."""
-    former = rollout.catalogue.services_by_name if rollout.catalogue else {}
-    services = latter.services_by_name
-    changed = {name for name, spec in services.items() if former.get(name) != spec}
-    return frozenset(changed | (former.keys() - services.keys()))
+def _changed(rollout: Rollout, later: Catalogue) -> frozenset[str]:
+    """Return the names of services that differ between the text in force and a later one."""
+    earlier = rollout.catalogue.services_by_name if rollout.catalogue else {}
+    services = later.services_by_name
+    changed = {name for name, spec in services.items() if earlier.get(name) != spec}
+    return frozenset(changed | (earlier.keys() - services.keys()))
 
 
-def _digest_with(rollout: Rollout, latter: Catalogue, names: frozenset[str]) -> int:
+def _digest_after(rollout: Rollout, later: Catalogue, names: frozenset[str]) -> int:
     """Return the digest of a text that differs from the one in force in `names`.
 
-    The digest of a text is the exclusive or of its services' hashes, so a
-    change costs as much as it changes and not as much as the text is long.
+    The digest of a text is the exclusive or of its services' hashes, so its
+    update costs time in proportion to the changes, not to the length of the text.
     """
-    former = rollout.catalogue.services_by_name if rollout.catalogue else {}
+    earlier = rollout.catalogue.services_by_name if rollout.catalogue else {}
     digest = rollout.digest
     for name in names:
-        for services in (former, latter.services_by_name):
+        for services in (earlier, later.services_by_name):
             spec = services.get(name)
             if spec is not None:
                 digest ^= xxh3_64_intdigest(encode(spec))
@@ -67,7 +67,7 @@
 
 
 def on_text_pull(rollout: Rollout, me: str, pull: TextPull) -> list[Effect]:
-    """Give a peer what changed since its text, or the whole text."""
+    """Send a peer the changes since its generation, or the whole text."""
     if rollout.catalogue is None or rollout.generation <= pull.generation:
         return []
     services = rollout.catalogue.services_by_name
@@ -86,7 +86,7 @@
 
 
 def _changed_since(rollout: Rollout, generation: int) -> set[str] | None:
-    """Return the services changed since a generation, None if it is not kept."""
+    """Return the services changed since a generation, or None if the history lacks it."""
     names: set[str] = set()
     for change in reversed(rollout.history):
         names |= change.names
@@ -96,9 +96,10 @@
 
 
 def rebuild(rollout: Rollout, body: TextBody) -> Catalogue | None:
-    """Return the whole text that a peer's body makes with the one in force here.
+    """Return the text that results from applying a peer's body to the text in force.
 
-    None when it does not fit: then the whole has to be asked for.
+    Return None if the body has another base or the digest does not match; the
+    whole text has to be requested then.
     """
     services: dict[str, ServiceSpec] = {}
     if body.since and rollout.catalogue is not None:
@@ -109,31 +110,31 @@
         services.pop(name, None)
     services.update({spec.name: spec for spec in body.services})
     catalogue = Catalogue(body.generation, services)
-    digest = _digest_with(rollout, catalogue, _changed(rollout, catalogue))
+    digest = _digest_after(rollout, catalogue, _changed(rollout, catalogue))
     return catalogue if digest == body.digest else None
 
 
-def ask_whole(rollout: Rollout, me: str, body: TextBody) -> list[Effect]:
-    """Ask for the whole text when its changes did not fit."""
+def request_full_text(rollout: Rollout, me: str, body: TextBody) -> list[Effect]:
+    """Request the whole text when a peer's changes could not be applied."""
     if body.generation <= rollout.generation or not body.since:
         return []
     return [Say(body.sender, TextPull(me, 0))]
 
 
 def fetch(rollout: Rollout, members: Membership, now: float) -> list[Effect]:
-    """Ask a peer in contact for its text if it is newer."""
+    """Request the newest text of the peers in contact if it is newer than the one in force."""
     if now < rollout.pull_at:
         return []
     newer = [member for member in members.contacts(now) if member.generation > rollout.generation]
     if not newer:
         return []
     rollout.pull_at = now + RESEND_S
-    best = max(newer, key=lambda member: member.generation)
-    return [Say(best.host.name, TextPull(members.me.name, rollout.generation))]
+    newest = max(newer, key=lambda member: member.generation)
+    return [Say(newest.host.name, TextPull(members.me.name, rollout.generation))]
 
 
 def confirm(rollout: Rollout, members: Membership, now: float) -> None:
-    """Note that this balancer is not behind once most peers say so."""
+    """Confirm the text once a majority of peers is in contact and no peer has a newer one."""
     if rollout.confirmed or not rollout.generation:
         return
     if not members.by_name or now >= members.valid_until():
@@ -142,11 +143,12 @@
     rollout.confirmed = newest <= rollout.generation
 
 
-def watch(rollout: Rollout, members: Membership, now: float) -> list[Effect]:
-    """Take up or lay down the watch on the platform.
+def update_watch(rollout: Rollout, members: Membership, now: float) -> list[Effect]:
+    """Start or stop the watch on the platform.
 
-    A few per data centre, by rendezvous among the hosts in contact: two
-    watchers too many cost two calls, none too few cost a heartbeat's delay.
+    Rendezvous hashing over the hosts in contact chooses a few watchers per data
+    centre.  The hosts may disagree for a short time: an extra watcher costs one more
+    call, a missing one the delay of a heartbeat.
     """
     centre = members.me.data_centre
     names = [
@@ -155,8 +157,8 @@
         if member.host.data_centre == centre and not member.leaving
     ]
     names.append(members.me.name)
-    holders = rendezvous_order(f'watch/{centre}', names)[:WATCHERS]
-    active = members.me.name in holders or not rollout.generation
+    watchers = rendezvous_order(f'watch/{centre}', names)[:WATCHERS]
+    active = members.me.name in watchers or not rollout.generation
     if active == rollout.watching:
         return []
     rollout.watching = active
--- a/src/bronzekeel/entry/daemon.py
+++ b/src/bronzekeel/entry/daemon.py
@@ -35,7 +35,7 @@
 from bronzekeel.core.routing.placement import EqualWork, LeastBusy, Placement
 from bronzekeel.core.routing.reducer import TICK_S, reduce
 from bronzekeel.core.routing.steering import ConnectionIdSteering
-from bronzekeel.core.store_waits import ANSWER_S
+from bronzekeel.core.store_waits import ANSWER_TIMEOUT_S
 from bronzekeel.entry.decision_log import LineDecisionLog
 from bronzekeel.entry.http_client import Call, HttpConnection
 from bronzekeel.entry.http_server import (
@@ -193,11 +193,13 @@
 
     def _read_page(self, effect: ReadPage, now: float) -> None:
         target = self._store_format.page_target(effect)
-        self._call_store(effect.collection, target, now + ANSWER_S, self._store_format.read_page)
+        self._call_store(
+            effect.collection, target, now + ANSWER_TIMEOUT_S, self._store_format.read_page
+        )
 
     def _watch(self, effect: WatchChanges, now: float) -> None:
         target = self._store_format.watch_target(effect)
-        deadline_at = now + effect.wait_s + ANSWER_S
+        deadline_at = now + effect.wait_s + ANSWER_TIMEOUT_S
         self._call_store(effect.collection, target, deadline_at, self._store_format.read_changes)
 
     def _call_store(
--- a/tests/test_connection_ids.py
+++ b/tests/test_connection_ids.py
@@ -14,7 +14,7 @@
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.steering import DUPLICATE_WINDOW_S
 from bronzekeel.core.routing.verdicts import Deliver
-from bronzekeel.core.store_waits import ANSWER_S, WATCH_S
+from bronzekeel.core.store_waits import ANSWER_TIMEOUT_S, WATCH_WAIT_S
 from tests.routing_cases import (
     INTAKE,
     INTAKE_KEY,
@@ -132,7 +132,7 @@
         """
         balancer = steering(ready_state(entry(1)))
         unknown_key = bytes((198, 18, 0, 9, 0, 80))
-        late = WATCH_S + ANSWER_S + 1
+        late = WATCH_WAIT_S + ANSWER_TIMEOUT_S + 1
         self.assertEqual(
             'Discard no_route',
             delivered_to(balancer.decide(opening(1, key=unknown_key), late)),
@@ -323,7 +323,7 @@
         given = entry(1).short_number ^ route(PORTAL_KEY, PORTAL).seal
         balancer.decide(asking(1, given), 0.5)
         remove(state, entry(1), 1)
-        late = 1 + WATCH_S + ANSWER_S + 1
+        late = 1 + WATCH_WAIT_S + ANSWER_TIMEOUT_S + 1
         for repeat in range(5):
             verdict = balancer.decide(asking(1, given), late + repeat)
             self.assertEqual(entry(1).name, delivered_to(verdict))
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -20,7 +20,7 @@
     MAX_WATCHERS_PER_CENTRE,
     MIN_WATCHERS_SINGLE_CENTRE,
 )
-from bronzekeel.core.store_waits import ANSWER_S, PROVING_WATCH_S, WATCH_S
+from bronzekeel.core.store_waits import ANSWER_TIMEOUT_S, PROBE_WATCH_S, WATCH_WAIT_S
 from bronzekeel.replay.routing_fleet import RoutingFleet
 from tests.routing_cases import (
     asking,
@@ -35,7 +35,7 @@
 )
 
 
-_SETTLED_S = 2 * WATCH_S + 1
+_SETTLED_S = 2 * WATCH_WAIT_S + 1
 
 #: Bound on a change in seconds, also for a data centre whose watchers are stalled.
 _CHANGE_BOUND_S = 3
@@ -182,7 +182,7 @@
         stalled = [name for name in _watching(fleet) if name.startswith('dc-a')][:2]
         fleet.lose_store(stalled, 'silent')
         put_text(fleet)
-        fleet.run(MAX_WATCH_LAG_S + PROVING_WATCH_S + ANSWER_S + 1)
+        fleet.run(MAX_WATCH_LAG_S + PROBE_WATCH_S + ANSWER_TIMEOUT_S + 1)
         working = [name for name in _watching(fleet) if name.startswith('dc-a')]
         self.assertEqual(MAX_WATCHERS_PER_CENTRE, len(working))
         self.assertFalse(set(working) & set(stalled))
@@ -221,11 +221,11 @@
         fleet = fleet_of(1, ('dc-a',))
         fleet.run(1)
         fleet.lose_store(['dc-a-1'], 'silent')
-        fleet.run(2 * WATCH_S)
+        fleet.run(2 * WATCH_WAIT_S)
         self.assertFalse(fleet.running[0].state.is_current(fleet.now))
         newest = put_text(fleet)
         fleet.lose_store(['dc-a-1'], 'serves')
-        fleet.run(WATCH_S)
+        fleet.run(WATCH_WAIT_S)
         self.assertEqual(newest, fleet.running[0].state.text_revision)
 
 
@@ -263,7 +263,7 @@
         cut_off = fleet.node_by_name['dc-a-1']
         self.assertLess(cut_off.state.text_revision, newest)
         fleet.cut_centres.clear()
-        fleet.run(2 * WATCH_S)
+        fleet.run(2 * WATCH_WAIT_S)
         for node in fleet.running:
             self.assertEqual(newest, node.state.text_revision)
             self.assertEqual(sorted(node.text_orders), node.text_orders)
