--- a/src/bronzekeel/platform/archive_writer.py
+++ b/src/bronzekeel/platform/archive_writer.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from types import ModuleType
 
-from bronzekeel.platform.module_archive import ARCHIVE_NAME, ArchivedModule, interpreter_mark
+from bronzekeel.platform.module_archive import ARCHIVE_NAME, ArchivedModule, interpreter_tag
 
 
 #: Level at which documentation is left out of the code.
@@ -24,7 +24,7 @@
         archived = _archived(getattr(module, '__spec__', None), root)
         if archived is not None:
             archived_by_name[name] = archived
-    written = encode_code((interpreter_mark(), archived_by_name))
+    written = encode_code((interpreter_tag(), archived_by_name))
     Path(folder, ARCHIVE_NAME).write_bytes(written)
     return list(archived_by_name)
 
--- a/src/bronzekeel/platform/bodies.py
+++ b/src/bronzekeel/platform/bodies.py
@@ -11,7 +11,7 @@
 
 
 #: What a body that is no JSON raises.  One that is nested deeply passes the interpreter's stack.
-BODY_FAULTS = (ValueError, RecursionError)
+DECODE_ERRORS = (ValueError, RecursionError)
 
 #: Depth of the brackets inside which the objects of a page or of a watch stand.
 _LISTED_DEPTH = 2
@@ -25,12 +25,12 @@
 def decode_body(body: bytes) -> Any:
     """Return a decoded body; of objects that cannot be read only what names them.
 
-    Raises one of ``BODY_FAULTS``.
+    Raises one of ``DECODE_ERRORS``.
     """
     text = body.decode('utf-8', 'surrogateescape')
     try:
         return _DECODER.decode(text)
-    except BODY_FAULTS:
+    except DECODE_ERRORS:
         return _PATIENT_DECODER.decode(_readable(text))
 
 
@@ -80,7 +80,7 @@
     """Return an object that can be read: itself, or only what names it."""
     try:
         _PATIENT_DECODER.decode(text)
-    except BODY_FAULTS:
+    except DECODE_ERRORS:
         return _named(text)
     return text
 
@@ -91,7 +91,7 @@
     meta = found[1] if found else 'null'
     try:
         _PATIENT_DECODER.decode(meta)
-    except BODY_FAULTS:
+    except DECODE_ERRORS:
         meta = 'null'
     tombstone = 'true' if re.search(_TOMBSTONE, text) else 'false'
     return f'{{"meta":{meta},"object":{{"meta":{meta}}},"tombstone":{tombstone}}}'
--- a/src/bronzekeel/platform/client.py
+++ b/src/bronzekeel/platform/client.py
@@ -20,7 +20,7 @@
 from bronzekeel.core.store_waits import ANSWER_S, WATCH_S
 from bronzekeel.entry.http_client import Call, HttpConnection, Reply
 from bronzekeel.platform.calls import list_target, object_target, watch_target
-from bronzekeel.platform.incarnations import incarnation_told
+from bronzekeel.platform.incarnations import read_incarnation
 from bronzekeel.text.submission import ObjectStore, Stored, StoreLost, StoreRefused
 
 
@@ -55,7 +55,7 @@
         return Stored(version, b64decode(item['spec']['content']), self.incarnation)
 
 
-class Key(Struct, frozen=True):
+class ObjectId(Struct, frozen=True):
     """Hold the store's kind and name of one of our keys."""
 
     kind: str
@@ -95,7 +95,7 @@
 
     async def read(self, key: str) -> Stored:
         """Return an object.  Raises StoreLost or StoreRefused."""
-        place = Key.of(key)
+        place = ObjectId.of(key)
         answer = await self._call('GET', object_target(place.kind, place.name))
         if answer.status == _NOT_FOUND:
             return Stored(0, incarnation=answer.incarnation)
@@ -107,7 +107,7 @@
 
         Raises StoreLost or StoreRefused.
         """
-        place = Key.of(key)
+        place = ObjectId.of(key)
         seen = max(after, self._seen_by_key.get(key, 0))
         if not seen:
             return await self._read_first(key, place)
@@ -126,7 +126,7 @@
 
     async def write(self, key: str, body: bytes, version: int) -> Stored | None:
         """Replace the object at `version`; None when it has another."""
-        place = Key.of(key)
+        place = ObjectId.of(key)
         meta = {'name': place.name, 'revision': number_of(version), 'finalizers': ()}
         content = {'meta': meta, 'spec': spec_of(body)}
         if version:
@@ -146,7 +146,7 @@
             connection.close()
         self._idle.clear()
 
-    async def _relist(self, key: str, place: Key, after: int) -> Stored | None:
+    async def _relist(self, key: str, place: ObjectId, after: int) -> Stored | None:
         """Read anew what a watch could not go on with.
 
         What goes wrong without the refusal: a store that can go on with no watch answers each at
@@ -160,7 +160,7 @@
         stored = await self._read_first(key, place)
         return stored if stored is not None and stored.version > after else None
 
-    async def _read_first(self, key: str, place: Key) -> Stored | None:
+    async def _read_first(self, key: str, place: ObjectId) -> Stored | None:
         """Read an object and from which revision it is to be watched."""
         answer = await self._call('GET', list_target(place.kind))
         _expect(answer, _OK)
@@ -180,7 +180,7 @@
         body = b'' if content is None else encode(content)
         reply = await self._reply(method, target, body, monotonic() + within_s)
         try:
-            incarnation = incarnation_told(reply.header_by_name)
+            incarnation = read_incarnation(reply.header_by_name)
             if reply.status not in {_OK, _CREATED}:
                 return _Answer(reply.status, {}, incarnation)
             return _Answer(reply.status, decode(reply.body, type=dict[str, Any]), incarnation)
--- a/src/bronzekeel/platform/machine.py
+++ b/src/bronzekeel/platform/host_description.py
@@ -12,7 +12,7 @@
 _Address = tuple[str, int]
 
 
-class HostPlace:
+class HostDescription:
     """Say who a host is and where it listens."""
 
     __slots__ = ('data_centre', 'name', 'packets', 'peers', 'readiness')
@@ -33,8 +33,8 @@
         self.peers = peers
 
 
-def host_fields(
-    place: HostPlace,
+def template_fields(
+    place: HostDescription,
     store: _Address,
     seeds: list[_Address],
     stop_within_s: int,
--- a/src/bronzekeel/platform/incarnations.py
+++ b/src/bronzekeel/platform/incarnations.py
@@ -9,7 +9,7 @@
 _KEY = INCARNATION_HEADER.lower()
 
 
-def incarnation_told(header_by_name: Mapping[str, str]) -> int:
+def read_incarnation(header_by_name: Mapping[str, str]) -> int:
     """Return the incarnation, zero where it is not told.  Raises FieldError."""
     told = header_by_name.get(_KEY, '0')
     digits = told.strip()
--- a/src/bronzekeel/platform/module_archive.py
+++ b/src/bronzekeel/platform/module_archive.py
@@ -25,7 +25,7 @@
 _UNREADABLE = (OSError, EOFError, TypeError, ValueError)
 
 
-class ArchivedModules:
+class ArchiveImporter:
     """Find and load the modules of an archive, before any other finder is asked."""
 
     def __init__(self, archived_by_name: dict[str, ArchivedModule], root: str) -> None:
@@ -70,7 +70,7 @@
     if archived_by_name is None:
         return False
     root = folder.rpartition('/')[0]
-    sys.meta_path.insert(0, ArchivedModules(archived_by_name, root))
+    sys.meta_path.insert(0, ArchiveImporter(archived_by_name, root))
     return True
 
 
@@ -81,11 +81,11 @@
             interpreter, archived_by_name = decode_code(archive.read())
     except _UNREADABLE:
         return None
-    if interpreter != interpreter_mark():
+    if interpreter != interpreter_tag():
         return None
     return archived_by_name
 
 
-def interpreter_mark() -> str:
+def interpreter_tag() -> str:
     """Return what tells the interpreter that can run an archive's code from all others."""
     return f'{sys.version} {sys.prefix}'
--- a/src/bronzekeel/platform/objects.py
+++ b/src/bronzekeel/platform/objects.py
@@ -41,9 +41,9 @@
 )
 from bronzekeel.core.routing.revisions import number_of, revision_of
 from bronzekeel.entry.ports import NO_HEADERS, StoreCalls
-from bronzekeel.platform.bodies import BODY_FAULTS, decode_body
+from bronzekeel.platform.bodies import DECODE_ERRORS, decode_body
 from bronzekeel.platform.entries import read_entry
-from bronzekeel.platform.incarnations import incarnation_told
+from bronzekeel.platform.incarnations import read_incarnation
 from bronzekeel.platform.calls import (
     EVACUATIONS_KIND,
     TEXT_KIND,
@@ -68,7 +68,7 @@
 
 #: What a field of the wrong kind raises while it is read.
 _FORMAT_FAULTS = (
-    *BODY_FAULTS,
+    *DECODE_ERRORS,
     KeyError,
     TypeError,
     AttributeError,
@@ -102,7 +102,7 @@
         if status != _OK:
             return CallFailed(collection, f'the store answered {status}')
         try:
-            incarnation = incarnation_told(header_by_name)
+            incarnation = read_incarnation(header_by_name)
             page = decode_body(body)
             return PageRead(
                 collection,
@@ -122,7 +122,7 @@
     ) -> Event:
         """Return what the answer to a watch tells."""
         try:
-            incarnation = incarnation_told(header_by_name)
+            incarnation = read_incarnation(header_by_name)
             if status == _GONE:
                 return HistoryLost(collection, incarnation)
             if status != _OK:
--- a/src/bronzekeel/soak/hosts.py
+++ b/src/bronzekeel/soak/hosts.py
@@ -12,7 +12,7 @@
 from sys import path as module_path
 
 from bronzekeel.core.log_numbers import LogNumber
-from bronzekeel.platform.machine import HostPlace, host_fields
+from bronzekeel.platform.host_description import HostDescription, template_fields
 from bronzekeel.platform.start import SETTINGS_VARIABLE
 from bronzekeel.soak.contact import Contact
 from bronzekeel.soak.links import Address, DatagramProxy, StreamProxy, loopback
@@ -92,10 +92,12 @@
 
     def write_settings(self, seeds: list[Address], stop_within_s: int = STOP_S) -> None:
         """Write the settings that the template gives, in one piece."""
-        place = HostPlace(self.name, self.data_centre, self.packets, self.readiness, self.peers)
+        place = HostDescription(
+            self.name, self.data_centre, self.packets, self.readiness, self.peers
+        )
         store = ('127.0.0.1', self.store.port)
         template = _TEMPLATE.read_text(encoding='utf-8')
-        fields = decode_json(filled(template, host_fields(place, store, seeds, stop_within_s)))
+        fields = decode_json(filled(template, template_fields(place, store, seeds, stop_within_s)))
         fields['peers_advertised'] = f'{self.advertised[0]}:{self.advertised[1]}'
         fresh = self._path.with_suffix('.new')
         fresh.write_text(encode_json(fields), encoding='utf-8')
--- a/src/bronzekeel/standins/platform.py
+++ b/src/bronzekeel/standins/platform.py
@@ -27,7 +27,7 @@
     WAIT_MS,
     WATCH,
 )
-from bronzekeel.platform.client import Key, spec_of
+from bronzekeel.platform.client import ObjectId, spec_of
 
 
 _MOST_BYTES = 2 * 1024 * 1024
@@ -132,7 +132,7 @@
 
     def put(self, key: str, body: bytes) -> None:
         """Write an object of ours, as another process would."""
-        place = Key.of(key)
+        place = ObjectId.of(key)
         self.put_object(place.kind, place.name, spec_of(body))
 
     def put_text(
--- a/tests/test_module_archive.py
+++ b/tests/test_module_archive.py
@@ -13,7 +13,7 @@
 from tomllib import loads as decode_toml
 from unittest import TestCase
 
-from bronzekeel.platform.module_archive import ARCHIVE_NAME, interpreter_mark, read_archive
+from bronzekeel.platform.module_archive import ARCHIVE_NAME, interpreter_tag, read_archive
 
 
 _ROOT = Path(__file__).resolve().parent.parent
@@ -45,44 +45,44 @@
 class ArchiveTest(TestCase):
     """One file in place of a hundred."""
 
-    def test_it_holds_all_that_a_start_imports(self) -> None:
+    def test_archive_holds_all_modules_of_a_start(self) -> None:
         """Guards against a module of a start that the build leaves out of the archive."""
         told = run(_started(_archived))
         self.assertEqual(['True', '[]'], told[:2])
         self.assertTrue(told[2].endswith('/bronzekeel/entry/daemon.py'))
         self.assertEqual('HttpRequestParser', told[3])
 
-    def test_a_start_without_one_loads_modules_from_their_files(self) -> None:
+    def test_start_without_archive_uses_source_files(self) -> None:
         """Guards against hosts that do not start when the build wrote no archive."""
         told = run(_started(_nothing))
         self.assertEqual('False', told[0])
         self.assertIn('bronzekeel.entry.daemon', told[1])
         self.assertEqual('HttpRequestParser', told[3])
 
-    def test_a_start_loads_no_names_of_types(self) -> None:
+    def test_start_does_not_import_typing(self) -> None:
         """Guards against a tenth of a start that is spent on names that only checkers read."""
         typing_of_start = run(_started(_archived))[-2]
         self.assertTrue(typing_of_start.endswith('/platform/annotation_names.py'))
 
-    def test_all_else_of_typing_is_the_library_s_own(self) -> None:
+    def test_other_typing_names_come_from_the_library(self) -> None:
         """Guards against a late import that finds a name of ``typing`` missing."""
         cast_and_file = run(_started(_archived))[-1]
         self.assertTrue(cast_and_file.startswith('5 '))
         self.assertTrue(cast_and_file.endswith('/typing.py'))
 
-    def test_one_of_another_interpreter_is_not_used(self) -> None:
+    def test_archive_of_another_interpreter_is_ignored(self) -> None:
         """Guards against code that a newer interpreter cannot run."""
         self.assertIsNone(_read(encode_code(('3.10 elsewhere', {}))))
-        self.assertEqual({}, _read(encode_code((interpreter_mark(), {}))))
+        self.assertEqual({}, _read(encode_code((interpreter_tag(), {}))))
 
-    def test_a_damaged_one_is_not_used(self) -> None:
+    def test_damaged_archive_is_ignored(self) -> None:
         """Guards against hosts that do not start when the archive was cut short."""
-        whole = encode_code((interpreter_mark(), {'a': (b'code', 'a.py', '')}))
+        whole = encode_code((interpreter_tag(), {'a': (b'code', 'a.py', '')}))
         self.assertIsNone(_read(whole[:-4]))
         self.assertIsNone(_read(b''))
         self.assertIsNone(_read(encode_code(5)))
 
-    def test_a_build_leaves_no_former_one(self) -> None:
+    def test_build_removes_the_previous_archive(self) -> None:
         """Guards against an archive of former modules that outlives them."""
         text = Path(_ROOT, 'deploy', 'system.toml').read_text(encoding='utf-8')
         steps = decode_toml(text)['build'].split(' && ')
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -104,7 +104,7 @@
     return {'meta': meta, 'spec': plain, 'status': None}
 
 
-def incarnation_told(event: Event) -> int | None:
+def incarnation_of_event(event: Event) -> int | None:
     """Return which incarnation of the store an answer is from."""
     if isinstance(event, HistoryLost):
         return event.incarnation
@@ -223,7 +223,7 @@
         second = found.route_by_key[bytes.fromhex('c612000220fb')]
         self.assertEqual([9, 1], [share.weight for share in second.shares])
 
-    def test_rates_of_cold_upstreams_and_homes_are_read(self) -> None:
+    def test_cold_rates_and_allowed_regions_are_read(self) -> None:
         """A rate of zero is none; a route without homes may lead anywhere."""
         homes = {**_ROUTE, 'host': '198.18.0.2', 'allowedRegions': ['north', 'south']}
         services = [
@@ -266,7 +266,7 @@
         kinds = [type(item.content) for item in event.objects]
         self.assertEqual([Unreadable, UpstreamEntry], kinds)
 
-    def test_answers_that_are_no_answers(self) -> None:
+    def test_error_responses_are_failures(self) -> None:
         """Refusals and broken bodies are failures with words; 410 is its own kind."""
         for status, body in ((503, b''), (429, b''), (200, b'{'), (200, b'[]'), (200, b'{}')):
             self.assertIsInstance(_STORE.read_page('text', status, body), CallFailed)
@@ -285,7 +285,7 @@
                 _STORE.read_changes('text', 410, b'', headers),
             )
             for event in told:
-                self.assertEqual(incarnation, incarnation_told(event), event)
+                self.assertEqual(incarnation, incarnation_of_event(event), event)
 
     def test_an_unreadable_incarnation_fails_the_call(self) -> None:
         """An answer that does not say clearly where it is from is not believed."""
@@ -352,7 +352,7 @@
 class PeerMessageTest(TestCase):
     """Read what peers tell."""
 
-    def test_messages_come_back_as_they_were(self) -> None:
+    def test_messages_round_trip(self) -> None:
         """A heartbeat and a view survive the wire."""
         me = PeerAddress('a1', 'dc-a', ('10.1.0.1', 9))
         heartbeat = Heartbeat(me, 7, 8, {3: 2}, (me,), direct=True, stopping=True)
@@ -373,7 +373,7 @@
             self.fail('no text')
         self.assertEqual(state.text_revision, view.text.revision)
 
-    def test_revisions_come_back_with_their_incarnation(self) -> None:
+    def test_revisions_round_trip_with_their_incarnation(self) -> None:
         """What orders texts, entries and evacuations is the same on all hosts."""
         me = PeerAddress('a1', 'dc-a', ('10.1.0.1', 9))
         told = Heartbeat(
@@ -397,7 +397,7 @@
         self.assertEqual(entries[0].revision, view.entries[0].revision)
         self.assertEqual(missing[0].revision, view.missing[0].revision)
 
-    def test_rates_and_shares_come_back_as_they_were(self) -> None:
+    def test_rates_and_shares_round_trip(self) -> None:
         """What a data centre asks for, and where its flows go."""
         me = PeerAddress('a1', 'dc-a', ('10.1.0.1', 9))
         shares = (FlowShare('portal', 'dc-b', 0.25),)
@@ -408,7 +408,7 @@
         told = [(share.service, share.data_centre, share.share) for share in back.shares or ()]
         self.assertEqual([('portal', 'dc-b', 0.25)], told)
 
-    def test_loads_and_room_come_back_as_they_were(self) -> None:
+    def test_loads_and_allowances_round_trip(self) -> None:
         """How busy a data centre is, and what others have room for."""
         me = PeerAddress('a1', 'dc-a', ('10.1.0.1', 9))
         room = (Allowance('portal', 'dc-b', 2.5),)
@@ -419,7 +419,7 @@
         self.assertEqual([('portal', 'dc-b', 2.5)], told)
         self.assertIsNone(decode_heartbeat(encode_heartbeat(Heartbeat(me, 7, 8, {}))).allowances)
 
-    def test_how_urgent_a_route_is_comes_back_as_it_was(self) -> None:
+    def test_route_priority_round_trips(self) -> None:
         """Symptom: after a restart from its peers' word a balancer lets feeds go first.
 
         Sequence: it learns the text from a peer and not from the store.
@@ -433,7 +433,7 @@
             told = back.route_by_key[sent.key]
             self.assertEqual((sent.priority, sent.timeout_s), (told.priority, told.timeout_s))
 
-    def test_figures_that_cannot_be_reckoned_with_are_refused(self) -> None:
+    def test_invalid_numbers_are_refused(self) -> None:
         """Symptom: a balancer logs a fault at each tick and shares nothing out.
 
         Sequence: a peer tells a rate or a share that is no number, endless or negative.
@@ -451,7 +451,7 @@
                 with self.subTest(figure=figure), self.assertRaises(MessageError):
                     decode_heartbeat(raw)
 
-    def test_a_large_text_is_small_on_the_wire(self) -> None:
+    def test_large_text_is_encoded_compactly(self) -> None:
         """Symptom: a data centre of thirty hosts takes seconds to pass a text on.
 
         Sequence: a text of two thousand routes to two services, links of 10 Mbit/s.
@@ -467,7 +467,7 @@
             self.fail('no text')
         self.assertEqual({item.key for item in routes}, set(back.route_by_key))
 
-    def test_many_upstreams_are_small_on_the_wire(self) -> None:
+    def test_many_upstreams_are_encoded_compactly(self) -> None:
         """Symptom: hosts that start together get no view from their neighbours.
 
         Sequence: three thousand upstreams; forty hosts ask two for them over links of 20 Mbit/s.
@@ -492,7 +492,7 @@
         with self.assertRaises(MessageError):
             unpacked(packed(raw)[:-1])
 
-    def test_a_body_that_would_fill_the_memory(self) -> None:
+    def test_decompression_bomb_is_refused(self) -> None:
         """A few bytes may stand for gigabytes."""
         with self.assertRaises(MessageError):
             unpacked(packed(bytes(20_000_000)))
@@ -506,7 +506,7 @@
                 decode(raw)
 
 
-class FolderTest(TestCase):
+class PlatformNamesTest(TestCase):
     """The adapter alone knows the platform's names."""
 
     def test_no_name_of_the_platform_outside_its_folder(self) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from unittest import TestCase
 
-from bronzekeel.platform.machine import HostPlace, host_fields
+from bronzekeel.platform.host_description import HostDescription, template_fields
 from bronzekeel.soak.checks import Checks, Promise
 from bronzekeel.soak.faults import FAULTS
 from bronzekeel.soak.schedule import FIRST_S, QUIET_S, drawn
@@ -60,8 +60,8 @@
 
     def test_the_settings_template_is_filled(self) -> None:
         """Addresses and the list of seeds come out as JSON that the balancer reads."""
-        place = HostPlace('dc-a-1', 'dc-a', ('1.2.3.4', 5), ('1.2.3.4', 6), ('1.2.3.4', 7))
-        fields = host_fields(place, ('9.9.9.9', 80), [('1.1.1.1', 1), ('2.2.2.2', 2)], 6)
+        place = HostDescription('dc-a-1', 'dc-a', ('1.2.3.4', 5), ('1.2.3.4', 6), ('1.2.3.4', 7))
+        fields = template_fields(place, ('9.9.9.9', 80), [('1.1.1.1', 1), ('2.2.2.2', 2)], 6)
         settings = decode_json(filled(_SETTINGS.read_text(encoding='utf-8'), fields))
         self.assertEqual('dc-a-1', settings['name'])
         self.assertEqual('1.2.3.4:5', settings['packets'])
@@ -73,8 +73,8 @@
 
     def test_a_value_that_is_not_there_leaves_its_section_out(self) -> None:
         """A platform without bounds on cold upstreams and links is one that states none."""
-        place = HostPlace('dc-a-1', 'dc-a', ('1.2.3.4', 5), ('1.2.3.4', 6), ('1.2.3.4', 7))
-        fields = host_fields(place, ('9.9.9.9', 80), [], 6)
+        place = HostDescription('dc-a-1', 'dc-a', ('1.2.3.4', 5), ('1.2.3.4', 6), ('1.2.3.4', 7))
+        fields = template_fields(place, ('9.9.9.9', 80), [], 6)
         fields.pop('limits')
         fields['bounds'].update({'warmupOverage': 1.5, 'warmupSlack': 5})
         settings = decode_json(filled(_SETTINGS.read_text(encoding='utf-8'), fields))
