--- a/src/bronzekeel/platform/__init__.py
+++ b/src/bronzekeel/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translate the users' platform: its names, formats and calls.  Nothing is decided here."""
+"""Translate the names, formats and calls of the users' platform; no decisions are made here."""
--- a/src/bronzekeel/platform/annotation_names.py
+++ b/src/bronzekeel/platform/annotation_names.py
@@ -1,52 +1,52 @@
-"""Stand in for ``typing`` in a start: its names say nothing to a program that runs.
+"""Replace ``typing`` at start with stubs, since a running program does not use its names.
 
-What goes wrong without it: importing ``typing`` is a tenth of a start's processor time, all of it
-for names that only checkers of types read.  The archive of a start holds this module under that
-name.  Whatever else is asked for is answered by the standard library's own.
+Without this, importing ``typing`` takes a tenth of the processor time of a start, only to provide
+names that type checkers read.  The start archive holds this module under the name ``typing``.
+Names that are not defined here come from the standard library's module.
 """
 
 
 class Any:
-    """Stand for any type."""
+    """Stub for any type."""
 
 
-class _Subscribed:
-    """Take types in brackets and be what it is without them."""
+class _Subscriptable:
+    """Accept types in brackets and return the class unchanged."""
 
     def __class_getitem__(cls, types: object) -> type:
         return cls
 
 
-class Generic(_Subscribed):
-    """Be the base of classes that name types in brackets."""
+class Generic(_Subscriptable):
+    """Stub base of generic classes."""
 
 
-class Protocol(_Subscribed):
-    """Be the base of classes that describe others."""
+class Protocol(_Subscriptable):
+    """Stub base of protocol classes."""
 
 
-class ClassVar(_Subscribed):
-    """Mark an attribute of a class."""
+class ClassVar(_Subscriptable):
+    """Stub that marks a class attribute."""
 
 
-class Optional(_Subscribed):
-    """Stand for a type or none."""
+class Optional(_Subscriptable):
+    """Stub for a type or None."""
 
 
-def TypeVar(name: str, *bounds: object, **limits: object) -> str:  # noqa: N802 (as in typing)
-    """Return what stands for a type that varies."""
+def TypeVar(name: str, *constraints: object, **options: object) -> str:  # noqa: N802 (as in typing)
+    """Return a stub of a type variable."""
     return name
 
 
-def __getattr__(name: str) -> object:  # noqa: WPS413 (the way to answer for a module)
-    """Return any other name of ``typing``; the interpreter asks for some of its own."""
+def __getattr__(name: str) -> object:  # noqa: WPS413 (the only hook for attributes of a module)
+    """Return any other name of ``typing``; the interpreter itself looks some of them up."""
     if name.startswith('__'):
         raise AttributeError(name)
-    return getattr(_whole_typing(), name)
+    return getattr(_load_typing(), name)
 
 
-def _whole_typing() -> object:
-    """Load the standard library's module from its own file."""
+def _load_typing() -> object:
+    """Load the standard library's module from its source file."""
     import sys
     from importlib.machinery import PathFinder
     from importlib.util import module_from_spec
@@ -54,7 +54,7 @@
     spec = PathFinder.find_spec('typing')
     if spec is None or spec.loader is None:
         raise AttributeError('typing')
-    whole = module_from_spec(spec)
-    spec.loader.exec_module(whole)
-    sys.modules['typing'] = whole
-    return whole
+    module = module_from_spec(spec)
+    spec.loader.exec_module(module)
+    sys.modules['typing'] = module
+    return module
--- a/src/bronzekeel/platform/answers.py
+++ b/src/bronzekeel/platform/answers.py
@@ -1,4 +1,4 @@
-"""Spell what lies in the platform's store and what it answers, for stand-ins of it."""
+"""Build the objects and the response bodies of the platform's store, for stand-ins of it."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -7,19 +7,19 @@
 def object_content(  # noqa: WPS211 (the fields of one object)
     name: str,
     revision: int,
-    created: int,
+    create_revision: int,
     finalizers: list[str],
     spec: Any,
     status: Any,
     *,
     deleting: bool,
 ) -> dict[str, Any]:
-    """Return an object as it goes over the wire."""
+    """Return an object as the store sends it."""
     return {
         'meta': {
             'name': name,
             'revision': revision,
-            'createRevision': created,
+            'createRevision': create_revision,
             'finalizers': list(finalizers),
             'deleting': deleting,
         },
@@ -29,7 +29,7 @@
 
 
 def page_content(items: list[dict[str, Any]], revision: int, *, more: bool) -> dict[str, Any]:
-    """Return a page of a list."""
+    """Return the response body of one page of a list."""
     return {'items': items, 'hasMore': more, 'storeRevision': revision}
 
 
@@ -37,13 +37,13 @@
     changes: list[tuple[dict[str, Any], bool]],
     revision: int,
 ) -> dict[str, Any]:
-    """Return the answer to a watch, from objects and whether each was removed."""
+    """Return the response body of a watch, from pairs of an object and whether it was removed."""
     events = [{'object': content, 'tombstone': removed} for content, removed in changes]
     return {'events': events, 'storeRevision': revision}
 
 
 def upstream_name(number: int) -> str:
-    """Return the name of an upstream's entry, which holds its number."""
+    """Return the name of an upstream's entry, which ends in its number as hex digits."""
     digits = format(number, '08x')
     return f'i-{digits}'
 
@@ -57,7 +57,7 @@
     slots: int = 3,
     started_ms: int | None = None,
 ) -> dict[str, Any]:
-    """Return what an upstream writes of itself; `started_ms` only if it tells that."""
+    """Return the spec that an upstream writes of itself; it omits `born` without `started_ms`."""
     started = {} if started_ms is None else {'born': started_ms}
     return {
         **started,
@@ -79,7 +79,7 @@
 ) -> dict[str, Any]:
     """Return an operators' text with a route for each address and port.
 
-    Routes to a service state its latency objective if there is one.
+    Routes to a service carry its latency objective if it has one.
     """
     routes: list[dict[str, Any]] = [
         {
--- a/src/bronzekeel/platform/bodies.py
+++ b/src/bronzekeel/platform/bodies.py
@@ -1,8 +1,8 @@
-"""Decode what the platform's store answers, as far as it can be read.
+"""Decode response bodies of the platform's store, as far as they are readable.
 
-What goes wrong without it: one object with bytes that are no text, a number of thousands of
-digits, or brackets nested a thousand deep makes the whole page unreadable.  It is asked for
-again and again, and all upstreams are lost with the one.
+Without this, one object with invalid UTF-8, a number of thousands of digits, or brackets nested a
+thousand deep makes the whole page unreadable.  The page is then requested again and again, and
+all of its upstreams are lost along with that one object.
 """
 
 import re
@@ -10,20 +10,20 @@
 from typing import Any
 
 
-#: What a body that is no JSON raises.  One that is nested deeply passes the interpreter's stack.
+#: What decoding invalid JSON raises.  Deep nesting exceeds the interpreter's recursion limit.
 DECODE_ERRORS = (ValueError, RecursionError)
 
-#: Depth of the brackets inside which the objects of a page or of a watch stand.
-_LISTED_DEPTH = 2
+#: Nesting depth at which the objects of a page or of a watch begin.
+_OBJECT_DEPTH = 2
 
-#: Patterns are compiled when they are needed: a host that starts is in the dark meanwhile.
+#: Patterns are compiled on first use: a host serves nobody while it starts.
 _TOKEN = r'(?s)"(?:[^"\\]|\\.)*"|[][{},]'
 _META = r'"meta"\s*:\s*(\{[^{}]*\})'
 _TOMBSTONE = r'"tombstone"\s*:\s*true'
 
 
 def decode_body(body: bytes) -> Any:
-    """Return a decoded body; of objects that cannot be read only what names them.
+    """Return a decoded body; unreadable objects are reduced to their metadata.
 
     Raises one of ``DECODE_ERRORS``.
     """
@@ -31,11 +31,11 @@
     try:
         return _DECODER.decode(text)
     except DECODE_ERRORS:
-        return _PATIENT_DECODER.decode(_readable(text))
+        return _LENIENT_DECODER.decode(_repaired(text))
 
 
-def _whole_number(digits: str) -> int | None:
-    """Return a number; None for one of more digits than the interpreter takes."""
+def _parse_int(digits: str) -> int | None:
+    """Return an integer; None if it has more digits than the interpreter converts."""
     try:
         return int(digits)
     except ValueError:
@@ -43,54 +43,57 @@
 
 
 _DECODER = JSONDecoder(strict=False)
-_PATIENT_DECODER = JSONDecoder(strict=False, parse_int=_whole_number)
+_LENIENT_DECODER = JSONDecoder(strict=False, parse_int=_parse_int)
 
 
-def _readable(text: str) -> str:
-    """Return a body whose listed objects can all be read."""
+def _repaired(text: str) -> str:
+    """Return a body with each unreadable object of its list reduced to its metadata."""
     parts = []
-    kept_to = 0
-    for begin, end in _listed(text):
-        parts.append(text[kept_to:begin])
-        parts.append(_object(text[begin:end]))
-        kept_to = end
-    parts.append(text[kept_to:])
+    copied_to = 0
+    for begin, end in _object_spans(text):
+        parts.append(text[copied_to:begin])
+        parts.append(_repaired_object(text[begin:end]))
+        copied_to = end
+    parts.append(text[copied_to:])
     return ''.join(parts)
 
 
-def _listed(text: str) -> list[tuple[int, int]]:
-    """Return where the objects of a page begin and end."""
-    places = []
+def _object_spans(text: str) -> list[tuple[int, int]]:
+    """Return the begin and end offsets of the objects of a page or of a watch."""
+    spans = []
     depth = 0
     begin = 0
     for token in re.finditer(_TOKEN, text):
         bracket = token[0]
         if bracket in '{[':
-            if depth == _LISTED_DEPTH:
+            if depth == _OBJECT_DEPTH:
                 begin = token.start()
             depth += 1
         elif bracket in '}]':
             depth -= 1
-            if depth == _LISTED_DEPTH:
-                places.append((begin, token.end()))
-    return places
+            if depth == _OBJECT_DEPTH:
+                spans.append((begin, token.end()))
+    return spans
 
 
-def _object(text: str) -> str:
-    """Return an object that can be read: itself, or only what names it."""
+def _repaired_object(text: str) -> str:
+    """Return an object unchanged if it is readable, else reduced to its metadata."""
     try:
-        _PATIENT_DECODER.decode(text)
+        _LENIENT_DECODER.decode(text)
     except DECODE_ERRORS:
-        return _named(text)
+        return _metadata_only(text)
     return text
 
 
-def _named(text: str) -> str:
-    """Return the name and the revision of an object of a page or of a watch."""
+def _metadata_only(text: str) -> str:
+    """Return an object of a page or of a watch with only its metadata and tombstone flag.
+
+    The metadata holds the name and the revision; it is null if it is unreadable too.
+    """
     found = re.search(_META, text)
     meta = found[1] if found else 'null'
     try:
-        _PATIENT_DECODER.decode(meta)
+        _LENIENT_DECODER.decode(meta)
     except DECODE_ERRORS:
         meta = 'null'
     tombstone = 'true' if re.search(_TOMBSTONE, text) else 'false'
--- a/src/bronzekeel/platform/calls.py
+++ b/src/bronzekeel/platform/calls.py
@@ -1,24 +1,24 @@
-"""Spell the targets of calls to the platform's object store."""
+"""Build the request targets of calls to the platform's object store."""
 
-#: Where lists and watches of a kind are, with the kind's place to be filled in.
+#: Path template for lists and watches of a kind.
 LIST_PATH = '/v1/objects/{kind}'
 
-#: Where one object is.
+#: Path template for a single object.
 OBJECT_PATH = '/v1/objects/{kind}/{name}'
 
 AFTER = 'after'
 WATCH = 'watch'
 WAIT_MS = 'waitMs'
 
-#: Header of all answers of the store.  It rises by one each time that the store comes back from
-#: a copy; revisions are told apart by it, since they are given out again from there.
+#: Header of every response, with the store's incarnation.  It rises by one each time the store is
+#: restored from a backup.  It distinguishes revisions, since a restored store issues them again.
 INCARNATION_HEADER = 'Store-Era'
 
-#: Allows an answer that is seconds old; the store charges a tenth for it.
+#: Permits a response that is seconds old; the store charges a tenth of the usual cost for it.
 STALE = 'serializable=1'
 
-#: Kinds and the name that the users' page gives to texts, upstreams and evacuations; one of
-#: these lies under the name of its data centre.
+#: Kinds of texts, upstreams and evacuations, and the name of the text, as the users' platform
+#: documents them.  An evacuation is stored under the name of its data centre.
 TEXT_KIND = 'config'
 TEXT_NAME = 'main'
 UPSTREAMS_KIND = 'servers'
@@ -28,13 +28,13 @@
 
 
 def list_target(kind: str, after: str = '', *, stale: bool = False) -> str:
-    """Return the target that lists a kind, the names after `after`."""
+    """Return the target that lists the objects of a kind whose names sort after `after`."""
     parts = [f'{AFTER}={_percent_encoded(after)}'] if after else []
     return _with_query(kind, parts, stale=stale)
 
 
 def watch_target(kind: str, revision: int, wait_s: float, *, stale: bool = False) -> str:
-    """Return the target that waits for a kind's changes after a revision."""
+    """Return the target that waits up to `wait_s` for changes of a kind after a revision."""
     parts = [f'{WATCH}={revision}', f'{WAIT_MS}={round(wait_s * _MS)}']
     return _with_query(kind, parts, stale=stale)
 
@@ -48,14 +48,14 @@
     if stale:
         parts.append(STALE)
     query = '&'.join(parts)
-    mark = '?' if query else ''
-    return f'{LIST_PATH.format(kind=kind)}{mark}{query}'
+    separator = '?' if query else ''
+    return f'{LIST_PATH.format(kind=kind)}{separator}{query}'
 
 
 def _percent_encoded(name: str) -> str:
-    """Return a name for a query, every byte of it encoded.
+    """Return a name with every byte percent-encoded, for use in a query.
 
-    The library's function takes 11 ms of processor time to import.
+    Importing the standard library's function takes 11 ms of processor time.
     """
-    octets = name.encode().hex('%')
-    return f'%{octets}'
+    encoded = name.encode().hex('%')
+    return f'%{encoded}'
--- a/src/bronzekeel/platform/client.py
+++ b/src/bronzekeel/platform/client.py
@@ -1,8 +1,8 @@
-"""Keep the product's own objects in the platform's store.
+"""Store the product's own objects in the platform's store.
 
-A key of ours is a kind and a name of the store; the bytes lie in its `spec`.
-The version of an object is the store's revision of its last change, with the
-store's incarnation (`core.routing.revisions`): numbers are given out again by a restored store.
+A key maps to a kind and a name in the store; the bytes are kept in the object's `spec`.
+The version of an object is the store's revision of its last change, combined with the store's
+incarnation (`core.routing.revisions`), since a restored store issues revision numbers again.
 """
 
 from asyncio import CancelledError, Future, get_running_loop
@@ -34,8 +34,8 @@
 _HTTP_PORT = 80
 
 
-class _Answer:
-    """Hold an answer of the store, decoded."""
+class _Response:
+    """A decoded response of the store."""
 
     __slots__ = ('content', 'incarnation', 'status')
 
@@ -46,99 +46,108 @@
 
     @property
     def revision(self) -> int:
-        """The revision up to which a list or a watch tells."""
+        """The revision up to which a list or a watch is complete."""
         return revision_of(self.incarnation, int(self.content['storeRevision']))
 
     def stored(self, item: dict[str, Any]) -> Stored:
-        """Return an object of the answer."""
+        """Return an object of the response."""
         version = revision_of(self.incarnation, int(item['meta']['revision']))
         return Stored(version, b64decode(item['spec']['content']), self.incarnation)
 
 
 class ObjectId(Struct, frozen=True):
-    """Hold the store's kind and name of one of our keys."""
+    """The store's kind and name of the object under one of the product's keys."""
 
     kind: str
     name: str
 
     @classmethod
-    def of(cls, key: str) -> 'Key':
-        """Return the place of a key; its first word is the kind."""
+    def of(cls, key: str) -> 'ObjectId':
+        """Return the id of a key: the kind before the first slash, then the name.
+
+        Slashes in the name become hyphens.
+        """
         kind, _, name = key.partition('/')
         return cls(kind, name.replace('/', '-'))
 
 
 def spec_of(body: bytes) -> dict[str, str]:
-    """Return the `spec` that holds `body`."""
+    """Return the `spec` of an object that holds `body`."""
     return {'content': b64encode(body).decode()}
 
 
 class PlatformClient(ObjectStore):
-    """Call the store; counts its calls in `calls`."""
+    """Read, watch and write objects of the store; `calls` counts the calls made to it."""
 
     def __init__(self, url: str) -> None:
-        """Use the store at `url`."""
+        """Use the store at `url`, without connecting yet."""
         self.calls = 0
         parts = urlsplit(url)
         self._address = (parts.hostname or '', parts.port or _HTTP_PORT)
         self._idle: list[HttpConnection] = []
-        self._seen_by_key: dict[str, int] = {}
+        self._watched_revision_by_key: dict[str, int] = {}
         self._relisted: set[str] = set()
 
     async def __aenter__(self) -> Self:
-        """Return the client; it connects with its first call."""
+        """Return the client; it connects on its first call."""
         return self
 
-    async def __aexit__(self, *fault: object) -> None:
+    async def __aexit__(self, *exc_info: object) -> None:
         """Close the connections."""
         await self.close()
 
     async def read(self, key: str) -> Stored:
-        """Return an object.  Raises StoreLost or StoreRefused."""
-        place = ObjectId.of(key)
-        answer = await self._call('GET', object_target(place.kind, place.name))
-        if answer.status == _NOT_FOUND:
-            return Stored(0, incarnation=answer.incarnation)
-        _expect(answer, _OK)
-        return answer.stored(answer.content)
+        """Return an object, with version zero if it does not exist.
+
+        Raises StoreLost or StoreRefused.
+        """
+        object_id = ObjectId.of(key)
+        response = await self._call('GET', object_target(object_id.kind, object_id.name))
+        if response.status == _NOT_FOUND:
+            return Stored(0, incarnation=response.incarnation)
+        _require_status(response, _OK)
+        return response.stored(response.content)
 
     async def watch(self, key: str, after: int) -> Stored | None:
-        """Return an object newer than `after`, None when it did not change in time.
+        """Wait for a version of an object newer than `after`; None if there was none in time.
 
         Raises StoreLost or StoreRefused.
         """
-        place = ObjectId.of(key)
-        seen = max(after, self._seen_by_key.get(key, 0))
-        if not seen:
-            return await self._read_first(key, place)
-        target = watch_target(place.kind, number_of(seen), WATCH_S)
-        answer = await self._call('GET', target, within_s=WATCH_S + ANSWER_S)
-        if answer.status == _HISTORY_GONE or answer.incarnation != incarnation_of(seen):
-            return await self._relist(key, place, after)
-        _expect(answer, _OK)
+        object_id = ObjectId.of(key)
+        revision = max(after, self._watched_revision_by_key.get(key, 0))
+        if not revision:
+            return await self._read_first(key, object_id)
+        target = watch_target(object_id.kind, number_of(revision), WATCH_S)
+        response = await self._call('GET', target, timeout_s=WATCH_S + ANSWER_S)
+        if response.status == _HISTORY_GONE or response.incarnation != incarnation_of(revision):
+            return await self._relist(key, object_id, after)
+        _require_status(response, _OK)
         self._relisted.discard(key)
-        self._seen_by_key[key] = answer.revision
+        self._watched_revision_by_key[key] = response.revision
         newest: Stored | None = None
-        for event in answer.content['events']:
-            if event['object']['meta']['name'] == place.name and not event['tombstone']:
-                newest = answer.stored(event['object'])
+        for event in response.content['events']:
+            if event['object']['meta']['name'] == object_id.name and not event['tombstone']:
+                newest = response.stored(event['object'])
         return newest
 
     async def write(self, key: str, body: bytes, version: int) -> Stored | None:
-        """Replace the object at `version`; None when it has another."""
-        place = ObjectId.of(key)
-        meta = {'name': place.name, 'revision': number_of(version), 'finalizers': ()}
+        """Replace an object if its version is `version`, zero to create it; return the new one.
+
+        None if the object has another version or does not exist.  Raises StoreLost or StoreRefused.
+        """
+        object_id = ObjectId.of(key)
+        meta = {'name': object_id.name, 'revision': number_of(version), 'finalizers': ()}
         content = {'meta': meta, 'spec': spec_of(body)}
         if version:
-            target = object_target(place.kind, place.name)
-            answer = await self._call('PUT', target, content=content)
+            target = object_target(object_id.kind, object_id.name)
+            response = await self._call('PUT', target, content=content)
         else:
-            target = list_target(place.kind)
-            answer = await self._call('POST', target, content=content)
-        if answer.status in {_CONFLICT, _NOT_FOUND}:
+            target = list_target(object_id.kind)
+            response = await self._call('POST', target, content=content)
+        if response.status in {_CONFLICT, _NOT_FOUND}:
             return None
-        _expect(answer, _OK, _CREATED)
-        return answer.stored(answer.content)
+        _require_status(response, _OK, _CREATED)
+        return response.stored(response.content)
 
     async def close(self) -> None:
         """Close the connections."""
@@ -146,25 +155,28 @@
             connection.close()
         self._idle.clear()
 
-    async def _relist(self, key: str, place: ObjectId, after: int) -> Stored | None:
-        """Read anew what a watch could not go on with.
+    async def _relist(self, key: str, object_id: ObjectId, after: int) -> Stored | None:
+        """Read the object again after a watch could not be continued; None if it is not newer.
 
-        What goes wrong without the refusal: a store that can go on with no watch answers each at
-        once, and its caller comes again without a pause.  Raises StoreLost or StoreRefused.
+        Refuses when this happens twice in a row: a store that can continue no watch responds to
+        each at once, and the caller would retry without a pause.  Raises StoreLost or StoreRefused.
         """
-        self._seen_by_key.pop(key, None)
+        self._watched_revision_by_key.pop(key, None)
         if key in self._relisted:
             self._relisted.discard(key)
-            raise StoreRefused('the platform can go on with no watch; try again later')
+            raise StoreRefused('the platform cannot continue any watch; try again later')
         self._relisted.add(key)
-        stored = await self._read_first(key, place)
+        stored = await self._read_first(key, object_id)
         return stored if stored is not None and stored.version > after else None
 
-    async def _read_first(self, key: str, place: ObjectId) -> Stored | None:
-        """Read an object and from which revision it is to be watched."""
-        answer = await self._call('GET', list_target(place.kind))
-        _expect(answer, _OK)
-        self._seen_by_key[key] = answer.revision
+    async def _read_first(self, key: str, object_id: ObjectId) -> Stored | None:
+        """Read an object and note the revision from which to watch it.
+
+        Return None if it does not exist.  Raises StoreLost or StoreRefused.
+        """
+        response = await self._call('GET', list_target(object_id.kind))
+        _require_status(response, _OK)
+        self._watched_revision_by_key[key] = response.revision
         stored = await self.read(key)
         return stored if stored.version else None
 
@@ -173,39 +185,41 @@
         method: str,
         target: str,
         content: dict[str, Any] | None = None,
-        within_s: float = ANSWER_S,
-    ) -> _Answer:
-        """Return an answer.  Raises StoreLost."""
+        timeout_s: float = ANSWER_S,
+    ) -> _Response:
+        """Make a call and decode its response.  Raises StoreLost."""
         self.calls += 1
         body = b'' if content is None else encode(content)
-        reply = await self._reply(method, target, body, monotonic() + within_s)
+        reply = await self._reply(method, target, body, monotonic() + timeout_s)
         try:
             incarnation = read_incarnation(reply.header_by_name)
             if reply.status not in {_OK, _CREATED}:
-                return _Answer(reply.status, {}, incarnation)
-            return _Answer(reply.status, decode(reply.body, type=dict[str, Any]), incarnation)
-        except (DecodeError, FieldError) as fault:
-            raise StoreLost(f'answer from the platform unreadable: {fault}') from fault
+                return _Response(reply.status, {}, incarnation)
+            return _Response(reply.status, decode(reply.body, type=dict[str, Any]), incarnation)
+        except (DecodeError, FieldError) as error:
+            raise StoreLost(f'unreadable response from the platform: {error}') from error
 
-    async def _reply(self, method: str, target: str, body: bytes, until: float) -> Reply:
+    async def _reply(self, method: str, target: str, body: bytes, deadline: float) -> Reply:
         """Make a call on an idle connection or a new one.  Raises StoreLost."""
         loop = get_running_loop()
         if self._idle:
             connection = self._idle.pop()
         else:
             connection = HttpConnection(AsyncioLoop(loop), self._address)
-        replied: Future[Reply] = loop.create_future()
+        reply_future: Future[Reply] = loop.create_future()
         call = Call(
             target,
-            until,
-            lambda reply: _settle(replied, reply),
-            lambda problem: _settle(replied, StoreLost(f'no answer from the platform: {problem}')),
+            deadline,
+            lambda reply: _resolve(reply_future, reply),
+            lambda problem: _resolve(
+                reply_future, StoreLost(f'no response from the platform: {problem}')
+            ),
             method=method,
             body=body,
         )
         connection.ask(call)
         try:
-            reply = await replied
+            reply = await reply_future
         except CancelledError:
             connection.close()
             raise
@@ -213,17 +227,19 @@
         return reply
 
 
-def _settle(replied: Future[Reply], outcome: Reply | StoreLost) -> None:
-    """Give a call its outcome; one that nobody waits for any more is left."""
-    if replied.done():
+def _resolve(reply_future: Future[Reply], outcome: Reply | StoreLost) -> None:
+    """Set the outcome of a call, unless its future is done, for example cancelled."""
+    if reply_future.done():
         return
     if isinstance(outcome, StoreLost):
-        replied.set_exception(outcome)
+        reply_future.set_exception(outcome)
     else:
-        replied.set_result(outcome)
+        reply_future.set_result(outcome)
 
 
-def _expect(answer: _Answer, *statuses: int) -> None:
-    """Raise StoreRefused unless an answer has one of these statuses."""
-    if answer.status not in statuses:
-        raise StoreRefused(f'the platform answered {answer.status}; try again when it takes calls')
+def _require_status(response: _Response, *statuses: int) -> None:
+    """Raise StoreRefused unless a response has one of these statuses."""
+    if response.status not in statuses:
+        raise StoreRefused(
+            f'the platform answered {response.status}; try again when it accepts calls'
+        )
--- a/src/bronzekeel/platform/entries.py
+++ b/src/bronzekeel/platform/entries.py
@@ -1,7 +1,7 @@
-"""Read what upstreams write of themselves into the platform's store.
+"""Parse the entries that upstreams write about themselves into the platform's store.
 
-Other writers may leave anything there.  An entry that lacks a field, or has one of another type
-or out of its bounds, names no upstream.
+Other writers may store anything there.  An entry that lacks a field, or has one of the wrong type
+or out of bounds, is rejected and yields no upstream.
 """
 
 from typing import Any
@@ -20,22 +20,22 @@
 
 _MS = 1000
 _HEX = 16
-_MOST_DIGITS = 16
-_MOST_PORT_DIGITS = 5
+_MAX_ID_DIGITS = 16
+_MAX_PORT_DIGITS = 5
 _STATES = ('ready', 'draining')
 
 
 def read_entry(name: str, revision: int, spec: Any) -> UpstreamEntry:
-    """Return the entry that lies under `name`.  Raises FieldError.
+    """Return the entry that is stored under `name`.  Raises FieldError.
 
-    - `capacity` is how many requests it works on at once;
-    - `warmupLeftMs` counts from when the entry was written;
-    - `born`, which older upstreams do not tell, is the Unix millisecond of its start.
+    - `capacity` is the number of requests that the upstream processes concurrently;
+    - `warmupLeftMs` counts from the moment the entry was written;
+    - `born`, absent from entries of older upstreams, is the Unix time of the start in milliseconds.
     """
     if not isinstance(spec, dict):
-        raise FieldError('spec', spec, 'a table')
+        raise FieldError('spec', spec, 'an object')
     if not isinstance(spec.get('version'), str):
-        raise FieldError('version', spec.get('version'), 'a text')
+        raise FieldError('version', spec.get('version'), 'a string')
     whole_number('sequence', spec.get('sequence'))
     return UpstreamEntry(
         name=name,
@@ -52,17 +52,17 @@
 
 
 def _number(name: str) -> int:
-    """Return the number that stands before packets: the hex digits of the id."""
+    """Return the upstream number that prefixes its packets: the hex digits at the end of its id."""
     digits = name.rpartition('-')[2]
-    if len(digits) > _MOST_DIGITS or not digits.isalnum() or not digits.isascii():
-        raise FieldError('name', name, f'an id that ends in up to {_MOST_DIGITS} hex digits')
+    if len(digits) > _MAX_ID_DIGITS or not digits.isalnum() or not digits.isascii():
+        raise FieldError('name', name, f'an id that ends in up to {_MAX_ID_DIGITS} hex digits')
     return int(digits, _HEX)
 
 
 def _address(found: Any) -> tuple[str, int]:
     host, _, port = found.rpartition(':') if isinstance(found, str) else ('', '', '')
-    if not port.isascii() or not port.isdecimal() or len(port) > _MOST_PORT_DIGITS:
-        raise FieldError('address', found, 'an address with a port')
+    if not port.isascii() or not port.isdecimal() or len(port) > _MAX_PORT_DIGITS:
+        raise FieldError('address', found, 'an address and a port')
     return address('address', host, int(port))
 
 
--- a/src/bronzekeel/platform/host_description.py
+++ b/src/bronzekeel/platform/host_description.py
@@ -1,19 +1,19 @@
-"""Spell what the platform knows of a host, from which it fills in the settings template."""
+"""Build the platform's description of a host, which fills in the settings template."""
 
 from typing import Any
 
 
-#: The one region in which stand-ins of hosts are.
+#: The region of all stand-in hosts.
 _REGION = 'here'
 
-#: Rate of their links, wide enough for loopback.
+#: Link rate of stand-in hosts, high enough not to limit loopback.
 _LINK_MBPS = 1000
 
 _Address = tuple[str, int]
 
 
 class HostDescription:
-    """Say who a host is and where it listens."""
+    """Identity and listening addresses of a host."""
 
     __slots__ = ('data_centre', 'name', 'packets', 'peers', 'readiness')
 
@@ -25,7 +25,7 @@
         readiness: _Address,
         peers: _Address,
     ) -> None:
-        """Keep name, data centre and addresses."""
+        """Describe a host by its name, data centre and listening addresses."""
         self.name = name
         self.data_centre = data_centre
         self.packets = packets
@@ -34,28 +34,28 @@
 
 
 def template_fields(
-    place: HostDescription,
+    host: HostDescription,
     store: _Address,
     seeds: list[_Address],
     stop_within_s: int,
 ) -> dict[str, Any]:
-    """Return the fields of a host that the template asks for."""
+    """Return the values with which the platform fills in the settings template of a host."""
     return {
-        'nodeName': place.name,
-        'zone': place.data_centre,
-        'zones': {place.data_centre: _REGION},
+        'nodeName': host.name,
+        'zone': host.data_centre,
+        'zones': {host.data_centre: _REGION},
         'listenAddrs': {
-            'datagramAddr': _spelled(place.packets),
-            'ready': _spelled(place.readiness),
-            'control': _spelled(place.peers),
+            'datagramAddr': _format_address(host.packets),
+            'ready': _format_address(host.readiness),
+            'control': _format_address(host.peers),
         },
-        'seeds': [_spelled(seed) for seed in seeds],
-        'platform': {'address': _spelled(store)},
+        'seeds': [_format_address(seed) for seed in seeds],
+        'platform': {'address': _format_address(store)},
         'limits': {'linkMbps': _LINK_MBPS},
         'bounds': {'graceS': stop_within_s},
     }
 
 
-def _spelled(address: _Address) -> str:
-    host, port = address
-    return f'{host}:{port}'
+def _format_address(address: _Address) -> str:
+    ip, port = address
+    return f'{ip}:{port}'
--- a/src/bronzekeel/platform/module_archive.py
+++ b/src/bronzekeel/platform/module_archive.py
@@ -1,9 +1,9 @@
 """Load the modules of a start from one file.
 
-What goes wrong without it: a hundred modules are searched for, opened and read one by one, 1,500
-system calls on a host with a fifth of a core, and callers wait meanwhile.  The build writes the
-file.  Without it, or with one that another interpreter wrote, modules are imported from where
-they are.
+Without this, a start searches for, opens and reads a hundred modules one by one.  That takes 1,500
+system calls, on a host with a fifth of a core, and callers wait in the meantime.  The build writes
+the file.  If it is missing, or another interpreter wrote it, modules are imported from their own
+files.
 """
 
 import sys
@@ -12,59 +12,59 @@
 from marshal import loads as decode_code
 
 
-#: Name of the archive in the folder of the package.  The build replaces the folder whole, so no
-#: archive of former modules stays.
+#: Name of the archive in the package's folder.  The build replaces the whole folder, so that no
+#: archive of previous modules remains.
 ARCHIVE_NAME = 'start.modules'
 
-#: Of one module: its code, empty if a library of the interpreter's is loaded; its file; the folder
-#: of a package, empty of others.  Files and folders of this deployment count from the folder that
-#: holds the package.
+#: Code, file and folder of a module.  The code is empty for an extension module, the folder for a
+#: module that is not a package.  Paths below the folder that holds this package are relative to it.
 ArchivedModule = tuple[bytes, str, str]
 
-#: What a missing, cut or foreign file ends with.
+#: What reading a missing, truncated or foreign file raises.
 _UNREADABLE = (OSError, EOFError, TypeError, ValueError)
 
 
 class ArchiveImporter:
-    """Find and load the modules of an archive, before any other finder is asked."""
+    """Find and load the modules of an archive, ahead of all other finders."""
 
     def __init__(self, archived_by_name: dict[str, ArchivedModule], root: str) -> None:
-        """Offer these modules; `root` is the folder that holds the package."""
+        """Import these modules; `root` is the folder that holds the package."""
         self._archived_by_name = archived_by_name
         self._root = root
 
     def find_spec(self, name: str, path: object = None, target: object = None) -> ModuleSpec | None:
-        """Return how a module is loaded, None if the archive does not hold it."""
+        """Return the spec of a module, None if the archive does not hold it."""
         archived = self._archived_by_name.get(name)
         if archived is None:
             return None
         code, file_name, folder = archived
-        origin = self._whole(file_name)
+        origin = self._absolute_path(file_name)
         loader = self if code else ExtensionFileLoader(name, origin)
         found = ModuleSpec(name, loader, origin=origin)  # type: ignore[arg-type]
         if folder:
-            found.submodule_search_locations = [self._whole(folder)]
+            found.submodule_search_locations = [self._absolute_path(folder)]
         return found
 
     def create_module(self, spec: ModuleSpec) -> None:
-        """Leave it to the interpreter to make the module."""
+        """Return None, so that the interpreter creates the module."""
 
     def exec_module(self, module: object) -> None:
         """Run a module's code in its namespace.
 
-        Its file is set here: the interpreter would reckon the name of its cached code too.
+        ``__file__`` is set here because the interpreter, if it set it, would also compute the path
+        of the cached bytecode.
         """
-        namespace = vars(module)  # noqa: WPS421 (a loader has to do this)
+        namespace = vars(module)  # noqa: WPS421 (as a loader must)
         code, file_name, _ = self._archived_by_name[namespace['__name__']]
-        namespace['__file__'] = self._whole(file_name)
+        namespace['__file__'] = self._absolute_path(file_name)
         exec(decode_code(code), namespace)  # noqa: S102, WPS421 (likewise)
 
-    def _whole(self, path: str) -> str:
+    def _absolute_path(self, path: str) -> str:
         return path if path.startswith('/') else f'{self._root}/{path}'
 
 
 def use_archive() -> bool:
-    """Load modules from the archive of this package from now on; return whether there is one."""
+    """Import modules from the archive of this package; return whether it is usable."""
     folder = __file__.rpartition('/platform/')[0]
     archived_by_name = read_archive(f'{folder}/{ARCHIVE_NAME}')
     if archived_by_name is None:
@@ -75,7 +75,7 @@
 
 
 def read_archive(path: str) -> dict[str, ArchivedModule] | None:
-    """Return the modules of an archive by name, None without one that this interpreter wrote."""
+    """Return the modules of an archive by name, None unless this interpreter wrote one there."""
     try:
         with open(path, 'rb', buffering=0) as archive:
             interpreter, archived_by_name = decode_code(archive.read())
@@ -87,5 +87,5 @@
 
 
 def interpreter_tag() -> str:
-    """Return what tells the interpreter that can run an archive's code from all others."""
+    """Return what identifies the interpreter that can run the code of an archive."""
     return f'{sys.version} {sys.prefix}'
--- a/src/bronzekeel/platform/objects.py
+++ b/src/bronzekeel/platform/objects.py
@@ -1,11 +1,11 @@
-"""Spell calls to the platform's object store, and read its objects.
+"""Build calls to the platform's object store and parse its objects.
 
-Its names are decoded here once.  Those that mislead:
+The store's field names are translated only here.  Those that are misleading:
 
-- `pathPrefix` of a route is a port between slashes, `host` an IP number;
-- `sloMs` of a route is the latency that its callers want;
-- `storeRevision` is the store's newest revision, `revision` an object's;
-- the header `Store-Era` has the store's incarnation, zero where it is not told.
+- `pathPrefix` of a route is a port between slashes, `host` an IP address;
+- `sloMs` of a route is its latency objective;
+- `storeRevision` is the store's newest revision, `revision` that of an object;
+- the header `Store-Era` holds the store's incarnation, which is zero if the header is absent.
 """
 
 from collections.abc import Mapping
@@ -66,8 +66,8 @@
 _MS = 1000
 _DEFAULT_IDLE_MS = 15_000
 
-#: What a field of the wrong kind raises while it is read.
-_FORMAT_FAULTS = (
+#: What parsing a field of the wrong type or format raises.
+_FORMAT_ERRORS = (
     *DECODE_ERRORS,
     KeyError,
     TypeError,
@@ -78,15 +78,15 @@
 
 
 class PlatformStore(StoreCalls):
-    """Translate between the balancer's collections and the store's kinds."""
+    """Translate calls and responses between the balancer's collections and the store's kinds."""
 
     def page_target(self, effect: ReadPage) -> str:
-        """Return the target that lists a kind."""
+        """Return the request target of a page of a collection."""
         kind = _KIND_BY_COLLECTION[effect.collection]
         return list_target(kind, effect.after, stale=effect.stale)
 
     def watch_target(self, effect: WatchChanges) -> str:
-        """Return the target that waits for a kind's changes."""
+        """Return the request target that waits for changes of a collection."""
         kind = _KIND_BY_COLLECTION[effect.collection]
         number = number_of(effect.revision)
         return watch_target(kind, number, effect.wait_s, stale=effect.stale)
@@ -98,7 +98,10 @@
         body: bytes,
         header_by_name: Mapping[str, str] = NO_HEADERS,
     ) -> Event:
-        """Return what the answer to a page tells."""
+        """Return the event for the response to the request of a page.
+
+        It is a CallFailed if the request failed or the response is unreadable.
+        """
         if status != _OK:
             return CallFailed(collection, f'the store answered {status}')
         try:
@@ -106,12 +109,15 @@
             page = decode_body(body)
             return PageRead(
                 collection,
-                [_stored(collection, item, incarnation, removed=False) for item in page['items']],
+                [
+                    _stored_object(collection, item, incarnation, removed=False)
+                    for item in page['items']
+                ],
                 _store_revision(incarnation, page),
                 more=bool(page.get('hasMore')),
             )
-        except _FORMAT_FAULTS as fault:
-            return CallFailed(collection, f'page unreadable: {fault!r}')
+        except _FORMAT_ERRORS as error:
+            return CallFailed(collection, f'page unreadable: {error!r}')
 
     def read_changes(
         self,
@@ -120,48 +126,52 @@
         body: bytes,
         header_by_name: Mapping[str, str] = NO_HEADERS,
     ) -> Event:
-        """Return what the answer to a watch tells."""
+        """Return the event for the response to a watch.
+
+        It is a HistoryLost if the store no longer has the changes after the watched revision, a
+        CallFailed if the request failed or the response is unreadable.
+        """
         try:
             incarnation = read_incarnation(header_by_name)
             if status == _GONE:
                 return HistoryLost(collection, incarnation)
             if status != _OK:
                 return CallFailed(collection, f'the store answered {status}')
-            answer = decode_body(body)
-            changes = answer.get('events') or ()
+            response = decode_body(body)
+            changes = response.get('events') or ()
             return ChangesRead(
                 collection,
-                [_changed(collection, change, incarnation) for change in changes],
-                _store_revision(incarnation, answer),
+                [_changed_object(collection, change, incarnation) for change in changes],
+                _store_revision(incarnation, response),
             )
-        except _FORMAT_FAULTS as fault:
-            return CallFailed(collection, f'changes unreadable: {fault!r}')
+        except _FORMAT_ERRORS as error:
+            return CallFailed(collection, f'changes unreadable: {error!r}')
 
 
-def _store_revision(incarnation: int, answer: Any) -> int:
-    """Return up to where an answer tells.  Raises FieldError."""
-    number = int(answer['storeRevision'])
+def _store_revision(incarnation: int, response: Any) -> int:
+    """Return the revision up to which a response is complete.  Raises FieldError."""
+    number = int(response['storeRevision'])
     return revision_of(incarnation, whole_number('storeRevision', number))
 
 
-def _changed(collection: str, change: Any, incarnation: int) -> StoredObject:
-    """Return the object of a change."""
+def _changed_object(collection: str, change: Any, incarnation: int) -> StoredObject:
+    """Return the changed object; its content is None if it was removed."""
     if not isinstance(change, dict):
-        return StoredObject('', 0, Unreadable('a change that is no table'))
+        return StoredObject('', 0, Unreadable('change is not an object'))
     removed = change.get('tombstone') is True
-    return _stored(collection, change.get('object'), incarnation, removed=removed)
+    return _stored_object(collection, change.get('object'), incarnation, removed=removed)
 
 
-def _stored(collection: str, item: Any, incarnation: int, *, removed: bool) -> StoredObject:
-    """Return an object; one whose content is unreadable is marked so.
+def _stored_object(collection: str, item: Any, incarnation: int, *, removed: bool) -> StoredObject:
+    """Return an object of the store; unreadable content is replaced by an ``Unreadable``.
 
-    One whose name or revision cannot be read has neither.
+    If its name or its revision is unreadable, it has an empty name and revision zero.
     """
     try:
         name = label('name', item['meta']['name'])
         number = whole_number('revision', item['meta']['revision'])
-    except _FORMAT_FAULTS as fault:
-        return StoredObject('', 0, Unreadable(repr(fault)))
+    except _FORMAT_ERRORS as error:
+        return StoredObject('', 0, Unreadable(repr(error)))
     revision = revision_of(incarnation, number)
     if removed:
         return StoredObject(name, revision, None)
@@ -171,13 +181,13 @@
         if collection == Collection.UPSTREAMS:
             return StoredObject(name, revision, read_entry(name, revision, item['spec']))
         if name != TEXT_NAME:
-            return StoredObject(name, revision, Unreadable('no text under this name'))
-        return StoredObject(name, revision, _text(revision, item['spec']))
-    except _FORMAT_FAULTS as fault:
-        return StoredObject(name, revision, Unreadable(repr(fault)))
+            return StoredObject(name, revision, Unreadable('unexpected name of a text'))
+        return StoredObject(name, revision, _routing_text(revision, item['spec']))
+    except _FORMAT_ERRORS as error:
+        return StoredObject(name, revision, Unreadable(repr(error)))
 
 
-def _text(revision: int, spec: dict[str, Any]) -> RoutingText:
+def _routing_text(revision: int, spec: dict[str, Any]) -> RoutingText:
     route_by_key = {}
     for item in spec['routes']:
         route = _route(item)
@@ -194,9 +204,9 @@
 
 
 def _cold_rates(services: list[dict[str, Any]]) -> dict[str, float]:
-    """Return the requests a second that cold upstreams bear, where a service states any.
+    """Return the requests per second that a cold upstream can process, by service.
 
-    `warmupPerS` is zero for a service that states none.
+    Services whose `warmupPerS` is absent or zero state no such rate and are left out.
     """
     rates = {
         label('name', item['name']): figure('warmupPerS', item.get('warmupPerS') or 0, MOST_RATE)
@@ -227,9 +237,9 @@
 
 
 def _objective_s(item: dict[str, Any]) -> float:
-    """Return the latency objective of a route, zero if it states none.
+    """Return the latency objective of a route in seconds, zero if it has none.
 
-    One that cannot be read counts as none: it must not keep the text from being in force.
+    An unreadable objective counts as none, so that it does not keep the text from taking effect.
     """
     found = item.get('sloMs')
     if isinstance(found, bool) or not isinstance(found, int | float):
--- a/tests/test_module_archive.py
+++ b/tests/test_module_archive.py
@@ -19,8 +19,8 @@
 _ROOT = Path(__file__).resolve().parent.parent
 _WRITER = _ROOT / 'deploy' / 'archive_modules.py'
 
-#: Imports what a start imports; tells whether the archive is used, what was found outside of it,
-#: and whether a library of a package in it works.
+#: Imports what a start imports.  Prints whether the archive is used, which modules were loaded from
+#: source files, and whether an extension module of an archived package works.
 _START_CODE = """
 import sys
 known = frozenset(sys.modules)
@@ -43,47 +43,47 @@
 
 
 class ArchiveTest(TestCase):
-    """One file in place of a hundred."""
+    """A start loads its modules from one file instead of a hundred."""
 
     def test_archive_holds_all_modules_of_a_start(self) -> None:
-        """Guards against a module of a start that the build leaves out of the archive."""
-        told = run(_started(_archived))
-        self.assertEqual(['True', '[]'], told[:2])
-        self.assertTrue(told[2].endswith('/bronzekeel/entry/daemon.py'))
-        self.assertEqual('HttpRequestParser', told[3])
+        """Guards against a build that leaves a module of a start out of the archive."""
+        lines = run(_output_of_start(_write_archive))
+        self.assertEqual(['True', '[]'], lines[:2])
+        self.assertTrue(lines[2].endswith('/bronzekeel/entry/daemon.py'))
+        self.assertEqual('HttpRequestParser', lines[3])
 
     def test_start_without_archive_uses_source_files(self) -> None:
-        """Guards against hosts that do not start when the build wrote no archive."""
-        told = run(_started(_nothing))
-        self.assertEqual('False', told[0])
-        self.assertIn('bronzekeel.entry.daemon', told[1])
-        self.assertEqual('HttpRequestParser', told[3])
+        """Guards against hosts that fail to start if the build wrote no archive."""
+        lines = run(_output_of_start(_write_nothing))
+        self.assertEqual('False', lines[0])
+        self.assertIn('bronzekeel.entry.daemon', lines[1])
+        self.assertEqual('HttpRequestParser', lines[3])
 
     def test_start_does_not_import_typing(self) -> None:
-        """Guards against a tenth of a start that is spent on names that only checkers read."""
-        typing_of_start = run(_started(_archived))[-2]
+        """Guards against spending a tenth of a start on names that only type checkers read."""
+        typing_of_start = run(_output_of_start(_write_archive))[-2]
         self.assertTrue(typing_of_start.endswith('/platform/annotation_names.py'))
 
     def test_other_typing_names_come_from_the_library(self) -> None:
-        """Guards against a late import that finds a name of ``typing`` missing."""
-        cast_and_file = run(_started(_archived))[-1]
+        """Guards against a later import that fails because a name of ``typing`` is missing."""
+        cast_and_file = run(_output_of_start(_write_archive))[-1]
         self.assertTrue(cast_and_file.startswith('5 '))
         self.assertTrue(cast_and_file.endswith('/typing.py'))
 
     def test_archive_of_another_interpreter_is_ignored(self) -> None:
-        """Guards against code that a newer interpreter cannot run."""
+        """Guards against running code that was compiled for another interpreter."""
         self.assertIsNone(_read(encode_code(('3.10 elsewhere', {}))))
         self.assertEqual({}, _read(encode_code((interpreter_tag(), {}))))
 
     def test_damaged_archive_is_ignored(self) -> None:
-        """Guards against hosts that do not start when the archive was cut short."""
-        whole = encode_code((interpreter_tag(), {'a': (b'code', 'a.py', '')}))
-        self.assertIsNone(_read(whole[:-4]))
+        """Guards against hosts that fail to start if the archive is truncated."""
+        encoded = encode_code((interpreter_tag(), {'a': (b'code', 'a.py', '')}))
+        self.assertIsNone(_read(encoded[:-4]))
         self.assertIsNone(_read(b''))
         self.assertIsNone(_read(encode_code(5)))
 
     def test_build_removes_the_previous_archive(self) -> None:
-        """Guards against an archive of former modules that outlives them."""
+        """Guards against an archive of previous modules that remains after a build."""
         text = Path(_ROOT, 'deploy', 'system.toml').read_text(encoding='utf-8')
         steps = decode_toml(text)['build'].split(' && ')
         removal = steps.index('rm -rf target/deps/bronzekeel')
@@ -91,22 +91,22 @@
         self.assertIn('deploy/archive_modules.py', steps[-1])
 
 
-def _read(written: bytes) -> object:
+def _read(encoded: bytes) -> object:
     with TemporaryDirectory() as folder:
         path = Path(folder, ARCHIVE_NAME)
-        path.write_bytes(written)
+        path.write_bytes(encoded)
         return read_archive(str(path))
 
 
-async def _archived(folder: Path) -> None:
+async def _write_archive(folder: Path) -> None:
     await _output_of(folder, str(_WRITER))
 
 
-async def _nothing(folder: Path) -> None:
+async def _write_nothing(folder: Path) -> None:
     """Write no archive."""
 
 
-async def _started(prepare: Callable[[Path], Awaitable[None]]) -> list[str]:
+async def _output_of_start(prepare: Callable[[Path], Awaitable[None]]) -> list[str]:
     with TemporaryDirectory() as folder:
         copytree(
             _ROOT / 'src' / 'bronzekeel',
@@ -118,14 +118,14 @@
 
 
 async def _output_of(folder: Path, *arguments: str) -> str:
-    """Return what an interpreter without ``site`` writes; our modules are in `folder`."""
-    others = [found for found in module_path if found.endswith('site-packages')]
+    """Return the output of an interpreter without ``site`` that imports from `folder`."""
+    libraries = [path for path in module_path if path.endswith('site-packages')]
     process = await create_subprocess_exec(
         executable,
         '-S',
         *arguments,
         stdout=PIPE,
-        env={**environ, 'PYTHONPATH': pathsep.join((str(folder), *others))},
+        env={**environ, 'PYTHONPATH': pathsep.join((str(folder), *libraries))},
     )
-    written, _ = await process.communicate()
-    return written.decode().strip()
+    output, _ = await process.communicate()
+    return output.decode().strip()
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Test what the platform's words are translated to, and that bad ones harm nobody."""
+"""Test the translation of the platform's formats, and that malformed input does no harm."""
 
 from json import dumps as encode_json
 from pathlib import Path
@@ -90,7 +90,7 @@
 
 
 def opened() -> FlowPacket:
-    """Return the page's opening packet, decoded."""
+    """Return the opening packet of the specification's example, decoded."""
     packet = _FORMAT.read(_OPENING)
     if isinstance(packet, str):
         raise AssertionError(packet)
@@ -98,14 +98,14 @@
 
 
 def stored(name: str, spec: Any, revision: int = 9) -> dict[str, Any]:
-    """Return an object as the store answers it."""
+    """Return an object as the store sends it."""
     meta = {'name': name, 'revision': revision, 'createRevision': 1, 'finalizers': []}
     plain = dict(spec) if isinstance(spec, MappingProxyType) else spec
     return {'meta': meta, 'spec': plain, 'status': None}
 
 
 def incarnation_of_event(event: Event) -> int | None:
-    """Return which incarnation of the store an answer is from."""
+    """Return the incarnation of the store that an event states, None if it states none."""
     if isinstance(event, HistoryLost):
         return event.incarnation
     if isinstance(event, PageRead | ChangesRead):
@@ -114,16 +114,16 @@
 
 
 def read_page(collection: str, *items: dict[str, Any], more: bool = False) -> Event:
-    """Return what a page of items tells."""
+    """Return the event for a page with these items."""
     body = {'items': items, 'hasMore': more, 'storeRevision': 530}
     return _STORE.read_page(collection, 200, encode_json(body).encode())
 
 
 class PacketTest(TestCase):
-    """Read and write packets as the page's example has them."""
+    """Packets match the example of the platform's specification."""
 
     def test_the_example_is_read(self) -> None:
-        """Each field of the example is where the page says."""
+        """Each field of the example is at the specified offset."""
         packet = opened()
         self.assertTrue(packet.opens)
         self.assertEqual(0, packet.copy)
@@ -132,13 +132,13 @@
         self.assertEqual(bytes.fromhex('644000079c41c612000101bb'), packet.flow)
 
     def test_the_example_is_reset(self) -> None:
-        """A reset is the page's, byte by byte, at the callers' port."""
+        """A reset equals the example byte for byte and goes to the callers' port."""
         raw, address = _FORMAT.reset(opened())
         self.assertEqual(_RESET, raw)
         self.assertEqual(('100.64.0.7', _CALLER_PORT), address)
 
     def test_a_reset_is_within_the_caller_s_window(self) -> None:
-        """A caller takes a reset only near what it has confirmed."""
+        """A caller accepts a reset only near the sequence that it has acknowledged."""
         confirmed = (5000).to_bytes(4, 'big')
         packet = _FORMAT.read(b''.join((_OPENING[:22], b'\x80', _OPENING[23:27], confirmed)))
         if isinstance(packet, str):
@@ -147,10 +147,10 @@
         self.assertEqual(confirmed, raw[23:27])
 
     def test_a_delivery_names_its_upstream(self) -> None:
-        """Symptom: a process that was given the address takes another's packets.
+        """Guards against an upstream that accepts packets meant for another.
 
-        Sequence: an address is used again while packets are under way.
-        Cause: datagrams that any process at the address may take.
+        An address may be reused while packets are in flight, so each datagram to an upstream
+        starts with the upstream's number.
         """
         upstream = Upstream(entry(0x7F3A91C2), 0)
         raw, address = _FORMAT.delivery(opened(), upstream, 0x11020304)
@@ -161,24 +161,24 @@
         self.assertEqual(_OPENING[22:], raw[30:])
 
     def test_packets_of_open_flows_are_not_changed(self) -> None:
-        """Without a new id the packet goes on as it came."""
+        """Without a new connection id, the packet is forwarded unchanged."""
         raw, _ = _FORMAT.delivery(opened(), Upstream(entry(1), 0), 0)
         self.assertEqual(_OPENING, raw[8:])
 
     @_DERANDOMIZED
     @given(st.binary(max_size=1300))
     def test_random_bytes_have_a_fault_or_a_flow(self, raw: bytes) -> None:
-        """Random bytes are a packet or a fault's name; nothing raises."""
+        """Random bytes yield a packet or the name of a fault; nothing raises."""
         self.assertIsInstance(_FORMAT.read(raw), (FlowPacket, str))
 
     @_DERANDOMIZED
     @given(st.integers(0, len(_OPENING) - 1))
     def test_truncated_packets_are_faults(self, length: int) -> None:
-        """A packet that is cut short is dropped."""
+        """A packet shorter than its header is reported as truncated."""
         self.assertEqual('truncated', _FORMAT.read(_OPENING[:length]))
 
     def test_oversized_and_forged_packets_are_faults(self) -> None:
-        """Lengths that do not fit, and answers that came the wrong way."""
+        """Wrong lengths are refused, and so are flags that only an upstream sends."""
         self.assertEqual('wrong_length', _FORMAT.read(b''.join((_OPENING, b'x'))))
         large = b''.join(((1201).to_bytes(2, 'big'), _OPENING[2:], bytes(1201)))
         self.assertEqual('wrong_length', _FORMAT.read(large))
@@ -188,10 +188,10 @@
 
 
 class StoreTest(TestCase):
-    """Read the store's objects."""
+    """Responses and objects of the store are parsed."""
 
     def test_a_server_is_an_upstream(self) -> None:
-        """Names that mislead become fields that say what they hold."""
+        """A server's fields are translated to those of an upstream entry."""
         event = read_page('upstreams', stored('i-7f3a91c2', _SERVER))
         if not isinstance(event, PageRead):
             self.fail(event)
@@ -205,7 +205,7 @@
         self.assertFalse(found.draining)
 
     def test_routes_are_addresses_and_ports(self) -> None:
-        """A route's address is a number and a port between slashes."""
+        """The key of a route is its IP address and the port between slashes."""
         split = {**_ROUTE, 'host': '198.18.0.2'}
         split.pop('service')
         split['backends'] = [{'service': 'a', 'weight': 9}, {'service': 'b', 'weight': 1}]
@@ -224,7 +224,7 @@
         self.assertEqual([9, 1], [share.weight for share in second.shares])
 
     def test_cold_rates_and_allowed_regions_are_read(self) -> None:
-        """A rate of zero is none; a route without homes may lead anywhere."""
+        """A rate of zero counts as none; a route without regions is allowed in all of them."""
         homes = {**_ROUTE, 'host': '198.18.0.2', 'allowedRegions': ['north', 'south']}
         services = [
             {'name': 'huvo', 'warmupS': 2.0, 'warmupPerS': 7.5},
@@ -241,7 +241,7 @@
         self.assertFalse(by_key[bytes.fromhex('c612000120fb')].homes)
 
     def test_an_evacuation_is_named_by_its_object(self) -> None:
-        """Whatever else it holds; one that is taken back has no content."""
+        """Its spec is ignored; an evacuation that was removed has no content."""
         for spec in ({}, None, [], 'by whom'):
             event = read_page('evacuations', stored('rs-hal-a', spec))
             if not isinstance(event, PageRead):
@@ -258,7 +258,7 @@
         self.assertIsNone(changes.objects[0].content)
 
     def test_malformed_objects_are_marked_one_by_one(self) -> None:
-        """A bad object does not hide the good one beside it."""
+        """A malformed object does not hide a valid one on the same page."""
         bad = stored('i-1', {**_SERVER, 'address': 'nowhere'})
         event = read_page('upstreams', bad, stored('i-2', _SERVER))
         if not isinstance(event, PageRead):
@@ -267,32 +267,32 @@
         self.assertEqual([Unreadable, UpstreamEntry], kinds)
 
     def test_error_responses_are_failures(self) -> None:
-        """Refusals and broken bodies are failures with words; 410 is its own kind."""
+        """Error statuses and malformed bodies are failed calls; 410 is a lost history."""
         for status, body in ((503, b''), (429, b''), (200, b'{'), (200, b'[]'), (200, b'{}')):
             self.assertIsInstance(_STORE.read_page('text', status, body), CallFailed)
             self.assertIsInstance(_STORE.read_changes('text', status, body), CallFailed)
         self.assertIsInstance(_STORE.read_changes('text', 410, b''), HistoryLost)
 
     def test_the_incarnation_of_the_store_is_read(self) -> None:
-        """All answers tell which incarnation of the store gives them; zero where they do not."""
+        """The header states the store's incarnation; without it the incarnation is zero."""
         marked = {'content-type': 'application/json', 'store-era': '7'}
         page_body = b'{"items": [], "hasMore": false, "storeRevision": 530}'
         changes_body = b'{"events": [], "storeRevision": 530}'
         for headers, incarnation in ((marked, 7), ({}, 0)):
-            told = (
+            events = (
                 _STORE.read_page('text', 200, page_body, headers),
                 _STORE.read_changes('text', 200, changes_body, headers),
                 _STORE.read_changes('text', 410, b'', headers),
             )
-            for event in told:
+            for event in events:
                 self.assertEqual(incarnation, incarnation_of_event(event), event)
 
     def test_an_unreadable_incarnation_fails_the_call(self) -> None:
-        """An answer that does not say clearly where it is from is not believed."""
+        """A response with an invalid incarnation header is not used."""
         page_body = b'{"items": [], "hasMore": false, "storeRevision": 530}'
         changes_body = b'{"events": [], "storeRevision": 530}'
-        for told in ('', '-1', '1.5', 'seven', '\u0663', '9' * 5000):
-            headers = {'store-era': told}
+        for header in ('', '-1', '1.5', 'seven', '\u0663', '9' * 5000):
+            headers = {'store-era': header}
             self.assertIsInstance(_STORE.read_page('text', 200, page_body, headers), CallFailed)
             changes = _STORE.read_changes('text', 200, changes_body, headers)
             self.assertIsInstance(changes, CallFailed)
@@ -316,20 +316,20 @@
     @_DERANDOMIZED
     @given(_ANYTHING)
     def test_any_spec_is_read_or_marked(self, spec: Any) -> None:
-        """Whatever lies in the store, reading it raises nothing."""
+        """Reading an object with an arbitrary spec raises nothing."""
         for collection, name in (('text', 'main'), ('upstreams', 'i-3'), ('evacuations', 'x')):
             self.assertIsInstance(read_page(collection, stored(name, spec)), PageRead)
 
     @_DERANDOMIZED
     @given(_ANYTHING)
     def test_any_answer_is_read_or_failed(self, answer: Any) -> None:
-        """Whatever the store answers, reading it raises nothing."""
+        """Reading an arbitrary response body raises nothing."""
         body = encode_json(answer).encode()
         self.assertIsInstance(_STORE.read_page('text', 200, body), Event)
         self.assertIsInstance(_STORE.read_changes('upstreams', 200, body), Event)
 
     def test_targets(self) -> None:
-        """Calls are spelled as the page has them; names are encoded."""
+        """Targets match the platform's specification; names are percent-encoded."""
         self.assertEqual(
             '/v1/objects/servers?watch=530&waitMs=20000',
             _STORE.watch_target(WatchChanges('upstreams', 530, 20)),
@@ -350,10 +350,10 @@
 
 
 class PeerMessageTest(TestCase):
-    """Read what peers tell."""
+    """Messages between peers are encoded and decoded."""
 
     def test_messages_round_trip(self) -> None:
-        """A heartbeat and a view survive the wire."""
+        """A heartbeat and a view are unchanged by encoding and decoding."""
         me = PeerAddress('a1', 'dc-a', ('10.1.0.1', 9))
         heartbeat = Heartbeat(me, 7, 8, {3: 2}, (me,), direct=True, stopping=True)
         back = decode_heartbeat(encode_heartbeat(heartbeat))
@@ -365,7 +365,7 @@
         state = ready_state(entry(1), entry(2))
         state.directory.note_removed(entry(2).name, 40, 0)
         view = decode_view(encode_view(view_since(state, Known(0, 0, 0), 0)))
-        self.assertEqual([entry(1).address], [told.address for told in view.entries])
+        self.assertEqual([entry(1).address], [listed.address for listed in view.entries])
         self.assertEqual(
             [(entry(2).name, 40)], [(gone.entry.name, gone.revision) for gone in view.missing]
         )
@@ -374,19 +374,19 @@
         self.assertEqual(state.text_revision, view.text.revision)
 
     def test_revisions_round_trip_with_their_incarnation(self) -> None:
-        """What orders texts, entries and evacuations is the same on all hosts."""
+        """Texts, entries and evacuations keep their order when they are sent between hosts."""
         me = PeerAddress('a1', 'dc-a', ('10.1.0.1', 9))
-        told = Heartbeat(
+        sent_heartbeat = Heartbeat(
             me,
             text_order_of(17, revision_of(2, 14)),
             revision_of(2, 15),
             {},
             evacuated=Evacuated(revision_of(2, 16), frozenset(('dc-b',))),
         )
-        back = decode_heartbeat(encode_heartbeat(told))
-        self.assertEqual(told.text_order, back.text_order)
-        self.assertEqual(told.upstreams_revision, back.upstreams_revision)
-        self.assertEqual(told.evacuated.as_of, back.evacuated.as_of)
+        back = decode_heartbeat(encode_heartbeat(sent_heartbeat))
+        self.assertEqual(sent_heartbeat.text_order, back.text_order)
+        self.assertEqual(sent_heartbeat.upstreams_revision, back.upstreams_revision)
+        self.assertEqual(sent_heartbeat.evacuated.as_of, back.evacuated.as_of)
         entries = [entry(1, revision=revision_of(3, 1))]
         missing = [MissingEntry(entry(2), revision_of(3, 2), 1, left=False)]
         sent = View(text(revision_of(3, 4)), revision_of(3, 5), entries, missing, revision_of(3, 6))
@@ -398,46 +398,50 @@
         self.assertEqual(missing[0].revision, view.missing[0].revision)
 
     def test_rates_and_shares_round_trip(self) -> None:
-        """What a data centre asks for, and where its flows go."""
+        """Request rates by service, and shares of flows by data centre, are unchanged."""
         me = PeerAddress('a1', 'dc-a', ('10.1.0.1', 9))
         shares = (FlowShare('portal', 'dc-b', 0.25),)
         back = decode_heartbeat(
             encode_heartbeat(Heartbeat(me, 7, 8, {}, (), {'portal': 12}, shares))
         )
         self.assertEqual({'portal': 12}, back.rate_by_service)
-        told = [(share.service, share.data_centre, share.share) for share in back.shares or ()]
-        self.assertEqual([('portal', 'dc-b', 0.25)], told)
+        received = [(share.service, share.data_centre, share.share) for share in back.shares or ()]
+        self.assertEqual([('portal', 'dc-b', 0.25)], received)
 
     def test_loads_and_allowances_round_trip(self) -> None:
-        """How busy a data centre is, and what others have room for."""
+        """Loads by service, and allowances by data centre, are unchanged."""
         me = PeerAddress('a1', 'dc-a', ('10.1.0.1', 9))
-        room = (Allowance('portal', 'dc-b', 2.5),)
-        sent = Heartbeat(me, 7, 8, {}, load_by_service={'portal': 1.25}, allowances=room)
+        allowances = (Allowance('portal', 'dc-b', 2.5),)
+        sent = Heartbeat(me, 7, 8, {}, load_by_service={'portal': 1.25}, allowances=allowances)
         back = decode_heartbeat(encode_heartbeat(sent))
         self.assertEqual({'portal': 1.25}, back.load_by_service)
-        told = [(item.service, item.data_centre, item.requests) for item in back.allowances or ()]
-        self.assertEqual([('portal', 'dc-b', 2.5)], told)
+        received = [
+            (item.service, item.data_centre, item.requests) for item in back.allowances or ()
+        ]
+        self.assertEqual([('portal', 'dc-b', 2.5)], received)
         self.assertIsNone(decode_heartbeat(encode_heartbeat(Heartbeat(me, 7, 8, {}))).allowances)
 
     def test_route_priority_round_trips(self) -> None:
-        """Symptom: after a restart from its peers' word a balancer lets feeds go first.
+        """Guards against a restarted balancer that serves low-priority feeds first.
 
-        Sequence: it learns the text from a peer and not from the store.
-        Cause: passing on where routes lead and not how urgent they are.
+        It gets the text from a peer instead of the store, so a view has to include the priority
+        and the timeout of each route as well as its services.
         """
         routes = (route(PORTAL_KEY, 'portal', 1, 0.8), route(INTAKE_KEY, 'portal', 2, 3))
         back = decode_view(encode_view(View(text(1, *routes), 1, [], [], 1))).text
         if back is None:
             self.fail('no text')
         for sent in routes:
-            told = back.route_by_key[sent.key]
-            self.assertEqual((sent.priority, sent.timeout_s), (told.priority, told.timeout_s))
+            received = back.route_by_key[sent.key]
+            self.assertEqual(
+                (sent.priority, sent.timeout_s), (received.priority, received.timeout_s)
+            )
 
     def test_invalid_numbers_are_refused(self) -> None:
-        """Symptom: a balancer logs a fault at each tick and shares nothing out.
+        """Guards against a balancer that logs an error at each tick and computes no shares.
 
-        Sequence: a peer tells a rate or a share that is no number, endless or negative.
-        Cause: taking whatever reads as a float.
+        This happens when a rate or a share from a peer is NaN, infinite, negative or no number,
+        and whatever parses as a float is accepted.
         """
         me = PeerAddress('a1', 'dc-a', ('10.1.0.1', 9))
         for figure in ('NaN', 'Infinity', '-1', '"x"'):
@@ -452,10 +456,10 @@
                     decode_heartbeat(raw)
 
     def test_large_text_is_encoded_compactly(self) -> None:
-        """Symptom: a data centre of thirty hosts takes seconds to pass a text on.
+        """Guards against a data centre of thirty hosts that takes seconds to spread a text.
 
-        Sequence: a text of two thousand routes to two services, links of 10 Mbit/s.
-        Cause: an object a route.
+        With one object per route, a text of two thousand routes to two services is too large for
+        links of 10 Mbit/s.
         """
         routes = [
             route(number.to_bytes(6, 'big'), f'service-{number % 2}') for number in range(2000)
@@ -468,10 +472,10 @@
         self.assertEqual({item.key for item in routes}, set(back.route_by_key))
 
     def test_many_upstreams_are_encoded_compactly(self) -> None:
-        """Symptom: hosts that start together get no view from their neighbours.
+        """Guards against hosts that start together and get no view from their neighbours.
 
-        Sequence: three thousand upstreams; forty hosts ask two for them over links of 20 Mbit/s.
-        Cause: a name for each field of each entry; two views take longer than an asker waits.
+        Forty hosts request three thousand upstreams from two others over links of 20 Mbit/s.  With
+        a name for each field of each entry, two views take longer than the requester waits.
         """
         entries = [entry(number, revision=number + 1) for number in range(1, 3001)]
         for number, listed in enumerate(entries):
@@ -486,31 +490,31 @@
     @_DERANDOMIZED
     @given(st.binary(max_size=200))
     def test_what_was_not_packed_is_a_fault(self, raw: bytes) -> None:
-        """Other bytes, a cut body, and one that would fill the memory."""
+        """Bytes that are not compressed, and a truncated body, raise MessageError."""
         with self.assertRaises(MessageError):
             unpacked(raw)
         with self.assertRaises(MessageError):
             unpacked(packed(raw)[:-1])
 
     def test_decompression_bomb_is_refused(self) -> None:
-        """A few bytes may stand for gigabytes."""
+        """A few compressed bytes may expand to gigabytes."""
         with self.assertRaises(MessageError):
             unpacked(packed(bytes(20_000_000)))
 
     @_DERANDOMIZED
     @given(st.binary(max_size=100) | _ANYTHING.map(lambda made: encode_json(made).encode()))
     def test_anything_else_is_one_kind_of_fault(self, raw: bytes) -> None:
-        """Bytes that are no message raise the one error that is counted."""
+        """Bytes that are not a message raise MessageError, which is counted."""
         for decode in (decode_heartbeat, decode_view):
             with self.assertRaises(MessageError):
                 decode(raw)
 
 
 class PlatformNamesTest(TestCase):
-    """The adapter alone knows the platform's names."""
+    """Only the adapter uses the platform's names."""
 
     def test_no_name_of_the_platform_outside_its_folder(self) -> None:
-        """Names of the platform's pages stand in its folder only."""
+        """Names from the platform's specification appear only in the adapter's folder."""
         names = (
             'warmupLeftMs',
             'storeRevision',
