--- a/src/bronzekeel/adapters/callers.py
+++ b/src/bronzekeel/adapters/callers.py
@@ -11,7 +11,7 @@
 from grpclib.exceptions import StreamTerminatedError
 from grpclib.server import Server, Stream
 
-from bronzekeel.adapters.faults import CALL_FAULTS
+from bronzekeel.adapters.errors import CALL_ERRORS
 from bronzekeel.adapters.upstreams import Answer, EndMark
 from bronzekeel.core.events import CallerGone, Event, ReserveAsked, RunAsked
 from bronzekeel.core.messages import HostEntry
@@ -25,13 +25,13 @@
 _MILLISECONDS = 1000
 
 #: Largest request body; callers stream nothing larger than a document.
-MOST_BODY = 0x1000000
+MAX_BODY_BYTES = 0x1000000
 
 _Runs: TypeAlias = 'Stream[proto.RunRequest, proto.RunReply]'
 _Reserves: TypeAlias = 'Stream[proto.ReserveRequest, proto.ReserveReply]'
 
 
-_OUTCOME_WORDS: Mapping[type, str] = MappingProxyType(
+_OUTCOME_NAMES: Mapping[type, str] = MappingProxyType(
     {
         EndMark: 'answered',
         NotRun: 'not_run',
@@ -62,17 +62,17 @@
         self,
         emit: Callable[[Event], None],
         clock: Callable[[], float],
-        ended: Callable[[CallEnd], None],
+        on_end: Callable[[CallEnd], None],
     ) -> None:
         """Use `emit` for events, `clock` for deadlines; tell `ended` of each call."""
-        self.ended = ended
+        self.on_end = on_end
         self.answers: dict[str, Answer] = {}
         self.relays: dict[str, HostEntry] = {}
         self._emit = emit
         self._clock = clock
         self._server = Server([self])
-        self._settling: set[Task[None]] = set()
-        self._reserving: Future[str | NotRun] | None = None
+        self._settle_tasks: set[Task[None]] = set()
+        self._reservation: Future[str | NotRun] | None = None
         self._channels: dict[str, Channel] = {}
 
     async def open(self, address: str, port: int) -> int:
@@ -90,8 +90,8 @@
 
     def reserved(self, outcome: str | NotRun) -> None:
         """Give the id, or the refusal, to the call that is being reduced."""
-        if self._reserving is not None and not self._reserving.done():
-            self._reserving.set_result(outcome)
+        if self._reservation is not None and not self._reservation.done():
+            self._reservation.set_result(outcome)
 
     def settle(self, request: str, outcome: NotRun | Unknown) -> None:
         """Give a request's outcome to the call that waits for it."""
@@ -102,18 +102,18 @@
         answer = self.answers.get(request)
         if answer is not None:
             task = create_task(answer.pieces.put(outcome))
-            self._settling.add(task)
-            task.add_done_callback(self._settling.discard)
+            self._settle_tasks.add(task)
+            task.add_done_callback(self._settle_tasks.discard)
 
     async def Reserve(self, stream: _Reserves) -> None:
         """Serve the call that reserves an id."""
-        asked = await stream.recv_message()
-        if asked is None:
+        message = await stream.recv_message()
+        if message is None:
             return
-        self._reserving = get_running_loop().create_future()
-        deadline = self._clock() + asked.deadline_ms / _MILLISECONDS
-        self._emit(ReserveAsked(asked.service, deadline))
-        outcome = await self._reserving
+        self._reservation = get_running_loop().create_future()
+        deadline = self._clock() + message.deadline_ms / _MILLISECONDS
+        self._emit(ReserveAsked(message.service, deadline))
+        outcome = await self._reservation
         if isinstance(outcome, NotRun):
             await stream.send_message(proto.ReserveReply(not_run=_refusal(outcome)))
             return
@@ -121,73 +121,73 @@
 
     async def Run(self, stream: _Runs) -> None:
         """Serve the call that runs a request."""
-        asked = await stream.recv_message()
-        if asked is None:
+        message = await stream.recv_message()
+        if message is None:
             return
-        if asked.id in self.answers:
+        if message.id in self.answers:
             await _send(stream, unknown(UnknownKind.STARTED))
             return
-        if len(asked.body) > MOST_BODY:
+        if len(message.body) > MAX_BODY_BYTES:
             outcome = not_run(RefusalKind.OVERLOADED, 'body over 16 MiB')
             await _send(stream, outcome)
             return
-        answer = Answer(asked.id, asked.service, asked.body)
-        self.answers[asked.id] = answer
+        answer = Answer(message.id, message.service, message.body)
+        self.answers[message.id] = answer
         try:
-            await self._run(stream, asked, answer)
+            await self._run(stream, message, answer)
         except (CancelledError, StreamTerminatedError, ConnectionError):
-            self._emit(CallerGone(asked.id))
+            self._emit(CallerGone(message.id))
             raise
         finally:
-            self.answers.pop(asked.id, None)
+            self.answers.pop(message.id, None)
 
-    async def _run(self, stream: _Runs, asked: proto.RunRequest, answer: Answer) -> None:
-        begun_at = self._clock()
-        deadline = begun_at + asked.deadline_ms / _MILLISECONDS
+    async def _run(self, stream: _Runs, message: proto.RunRequest, answer: Answer) -> None:
+        started_at = self._clock()
+        deadline = started_at + message.deadline_ms / _MILLISECONDS
         self._emit(
             RunAsked(
-                asked.id,
-                asked.service,
-                asked.group,
-                asked.idempotent,
+                message.id,
+                message.service,
+                message.group,
+                message.idempotent,
                 deadline,
             )
         )
-        host = self.relays.pop(asked.id, None)
+        host = self.relays.pop(message.id, None)
         if host is not None:
-            await self._pass_on(stream, asked, host)
+            await self._forward(stream, message, host)
             return
         while True:
             piece = await answer.pieces.get()
             if not isinstance(piece, bytes):
-                self._note(asked, piece, begun_at)
+                self._report_end(message, piece, started_at)
             await _send(stream, piece)
             if not isinstance(piece, bytes):
                 return
 
-    def _note(
+    def _report_end(
         self,
-        asked: proto.RunRequest,
+        message: proto.RunRequest,
         piece: EndMark | NotRun | Unknown,
-        begun_at: float,
+        started_at: float,
     ) -> None:
         """Tell how a call ended, and how long it took."""
         kind = '' if isinstance(piece, EndMark) else str(piece.kind)
-        word = _OUTCOME_WORDS[type(piece)]
-        took_s = self._clock() - begun_at
-        self.ended(CallEnd(asked.service, asked.group, word, kind, took_s))
+        word = _OUTCOME_NAMES[type(piece)]
+        took_s = self._clock() - started_at
+        self.on_end(CallEnd(message.service, message.group, word, kind, took_s))
 
-    async def _pass_on(
+    async def _forward(
         self,
         stream: _Runs,
-        asked: proto.RunRequest,
+        message: proto.RunRequest,
         host: HostEntry,
     ) -> None:
         """Let the balancer that issued the id run it, and pass its answer on."""
-        if asked.relayed:
+        if message.relayed:
             await _send(stream, unknown(UnknownKind.ISSUER_GONE))
             return
-        asked.relayed = True
+        message.relayed = True
         channel = self._channels.get(host.name)
         if channel is None:
             channel = Channel(host.address, host.callers)
@@ -195,14 +195,14 @@
         ended = False
         try:
             async with RequestsStub(channel).Run.open(
-                timeout=asked.deadline_ms / _MILLISECONDS,
-            ) as onward:
-                await onward.send_message(asked, end=True)
-                async for reply in onward:
+                timeout=message.deadline_ms / _MILLISECONDS,
+            ) as issuer_stream:
+                await issuer_stream.send_message(message, end=True)
+                async for reply in issuer_stream:
                     ended = not reply.HasField('chunk')
                     await stream.send_message(reply)
-        except CALL_FAULTS:
-            _logger.debug('relay of %s failed', asked.id)
+        except CALL_ERRORS:
+            _logger.debug('relay of %s failed', message.id)
         if not ended:
             await _send(stream, unknown(UnknownKind.ISSUER_GONE))
 
--- a/src/bronzekeel/adapters/faults.py
+++ b/src/bronzekeel/adapters/errors.py
@@ -3,4 +3,4 @@
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
 #: What a gRPC call raises when its answer does not come.
-CALL_FAULTS = (OSError, TimeoutError, GRPCError, StreamTerminatedError)
+CALL_ERRORS = (OSError, TimeoutError, GRPCError, StreamTerminatedError)
--- a/src/bronzekeel/adapters/health.py
+++ b/src/bronzekeel/adapters/health.py
@@ -8,11 +8,11 @@
 from grpclib.health.v1.health_grpc import HealthStub
 from grpclib.health.v1.health_pb2 import HealthCheckRequest, HealthCheckResponse
 
-from bronzekeel.adapters.faults import CALL_FAULTS
+from bronzekeel.adapters.errors import CALL_ERRORS
 from bronzekeel.core.events import Event, HealthHint
 
 #: Interval of the questions, spread at random; an answer may take as long.
-_EVERY_S = 2.0
+_PROBE_INTERVAL_S = 2.0
 
 
 class HealthProber:
@@ -24,12 +24,12 @@
     def __init__(
         self,
         emit: Callable[[Event], None],
-        kept: Callable[[], list[tuple[str, str]]],
+        list_upstreams: Callable[[], list[tuple[str, str]]],
         channel_to: Callable[[str], Channel],
     ) -> None:
-        """Ask those that `kept` names, as service and endpoint, and feed `emit`."""
+        """Ask those that `list_upstreams` names, as service and endpoint, and feed `emit`."""
         self._emit = emit
-        self._kept = kept
+        self._list_upstreams = list_upstreams
         self._channel_to = channel_to
         self._task: Task[None] | None = None
 
@@ -44,14 +44,16 @@
 
     async def _run(self) -> None:
         while True:
-            await gather(*(self._ask(service, endpoint) for service, endpoint in self._kept()))
-            await sleep(_EVERY_S * (0.5 + random()))
+            await gather(
+                *(self._probe(service, endpoint) for service, endpoint in self._list_upstreams())
+            )
+            await sleep(_PROBE_INTERVAL_S * (0.5 + random()))
 
-    async def _ask(self, service: str, endpoint: str) -> None:
+    async def _probe(self, service: str, endpoint: str) -> None:
         stub = HealthStub(self._channel_to(endpoint))
         try:
-            answer = await stub.Check(HealthCheckRequest(), timeout=_EVERY_S)
-        except CALL_FAULTS:
+            answer = await stub.Check(HealthCheckRequest(), timeout=_PROBE_INTERVAL_S)
+        except CALL_ERRORS:
             return
         serving = answer.status == HealthCheckResponse.SERVING
         self._emit(HealthHint(service, endpoint, serving))
--- a/src/bronzekeel/adapters/packets.py
+++ b/src/bronzekeel/adapters/packets.py
@@ -6,16 +6,16 @@
 from socket import AF_INET, SO_RCVBUF, SOCK_DGRAM, SOL_SOCKET, socket
 from time import monotonic
 
-from bronzekeel.adapters.codec import hand_header, read_packet
+from bronzekeel.adapters.codec import hand_off_header, read_packet
 from bronzekeel.core.effects import Drop, Forward, Hand
 from bronzekeel.core.events import Packet
 from bronzekeel.core.steering.packets import DropReason, Verdict
 
 
 #: Datagrams taken at once before other work gets its turn.
-_BATCH = 64
-_MOST_DATAGRAM = 65535
-_RECEIVE_BUFFER = 4 * 1024 * 1024
+_MAX_BATCH = 64
+_MAX_DATAGRAM_BYTES = 65535
+_RECEIVE_BUFFER_BYTES = 4 * 1024 * 1024
 
 _Address = tuple[str, int]
 _Decide = Callable[[Packet, float], Verdict]
@@ -37,13 +37,13 @@
     ) -> None:
         """Bind the socket; port 0 takes a free one."""
         self.counts: Counter[str] = Counter()
-        self._decide: _Decide = _drop_unready
+        self._decide: _Decide = _drop_not_ready
         self._clock = clock
         self._address_of = address_of
         self._endpoints: dict[str, _Address] = {}
         self._loop: AbstractEventLoop | None = None
         self._socket = socket(AF_INET, SOCK_DGRAM)
-        self._socket.setsockopt(SOL_SOCKET, SO_RCVBUF, _RECEIVE_BUFFER)
+        self._socket.setsockopt(SOL_SOCKET, SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
         self._socket.setblocking(False)
         self._socket.bind((address, port))
 
@@ -55,7 +55,7 @@
     def open(self, loop: AbstractEventLoop) -> None:
         """Start to take packets."""
         self._loop = loop
-        loop.add_reader(self._socket.fileno(), self.take_batch)
+        loop.add_reader(self._socket.fileno(), self.receive_batch)
 
     def steer_by(self, decide: _Decide) -> None:
         """Let `decide` give the verdict on each packet, with the batch's time."""
@@ -67,7 +67,7 @@
             self._loop.remove_reader(self._socket.fileno())
         self._socket.close()
 
-    def take_batch(self) -> None:
+    def receive_batch(self) -> None:
         """Take the packets that wait, a batch at most."""
         receive = self._socket.recv
         send = self._socket.sendto
@@ -76,8 +76,8 @@
         endpoints = self._endpoints
         forwarded = 0
         try:
-            for _ in range(_BATCH):
-                packet = read_packet(receive(_MOST_DATAGRAM))
+            for _ in range(_MAX_BATCH):
+                packet = read_packet(receive(_MAX_DATAGRAM_BYTES))
                 if not isinstance(packet, Packet):
                     self.counts[packet] += 1
                     continue
@@ -112,7 +112,7 @@
             self.counts[DropReason.NO_KEEPER] += 1
             return
         self.counts['handed'] += 1
-        self._send(hand_header(verdict.hops) + verdict.raw, address)
+        self._send(hand_off_header(verdict.hops) + verdict.raw, address)
 
     def _endpoint(self, endpoint: str) -> _Address:
         """Return an endpoint as a socket address, split only once."""
@@ -131,5 +131,5 @@
             self.counts['send_error'] += 1
 
 
-def _drop_unready(packet: Packet, now: float) -> Verdict:
+def _drop_not_ready(packet: Packet, now: float) -> Verdict:
     return Drop(DropReason.NOT_READY)
--- a/src/bronzekeel/adapters/peers.py
+++ b/src/bronzekeel/adapters/peers.py
@@ -28,19 +28,19 @@
 from msgspec import DecodeError, Struct, ValidationError
 from msgspec.msgpack import Decoder, Encoder
 
-from bronzekeel.adapters.faults import CALL_FAULTS
+from bronzekeel.adapters.errors import CALL_ERRORS
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.messages import Heartbeat, HostEntry, Message
 from bronzekeel.entry.port_pair import MAX_BIND_ATTEMPTS, bind_pair
-from bronzekeel.wire import WireError, decode, encode, sent_bytes
+from bronzekeel.wire import WireError, decode, encode, wire_bytes
 
 
 _logger = getLogger(__name__)
 
 _PATH = '/bronzekeel.Peers/Deliver'
-_CALL_S = 2.0
-_QUEUE = 4096
-_BATCH = 256
+_CALL_TIMEOUT_S = 2.0
+_MAX_QUEUED = 4096
+_MAX_BATCH = 256
 
 
 class _Batch(Struct, frozen=True, array_like=True):
@@ -49,7 +49,7 @@
     messages: tuple[Message, ...]
 
 
-class _Taken(Struct, frozen=True, array_like=True):
+class _Ack(Struct, frozen=True, array_like=True):
     """Confirm a call."""
 
 
@@ -62,7 +62,7 @@
         self._encoder = Encoder()
         self._decoders: dict[type, Decoder[Any]] = {
             _Batch: Decoder(_Batch),
-            _Taken: Decoder(_Taken),
+            _Ack: Decoder(_Ack),
         }
 
     def encode(self, message: Any, message_type: Any) -> bytes:
@@ -73,34 +73,34 @@
         """Return the message of a call.  Raises WireError for bad bytes."""
         try:
             return self._decoders[message_type].decode(data)
-        except (DecodeError, ValidationError, RecursionError) as fault:
-            raise WireError(f'not a peer call, drop it: {fault}') from fault
+        except (DecodeError, ValidationError, RecursionError) as error:
+            raise WireError(f'not a peer call, drop it: {error}') from error
 
 
 class _Service:
     """Serve the calls of peers."""
 
-    def __init__(self, take: Callable[[Message], None]) -> None:
-        self._take = take
+    def __init__(self, on_message: Callable[[Message], None]) -> None:
+        self._on_message = on_message
 
-    async def deliver(self, stream: Stream[_Batch, _Taken]) -> None:
+    async def deliver(self, stream: Stream[_Batch, _Ack]) -> None:
         batch = await stream.recv_message()
         if batch is not None:
             for message in batch.messages:
-                self._take(message)
-        await stream.send_message(_Taken())
+                self._on_message(message)
+        await stream.send_message(_Ack())
 
     def __mapping__(self) -> dict[str, Handler]:  # noqa: PLW3201 (grpclib asks for it)
         return {
-            _PATH: Handler(self.deliver, Cardinality.UNARY_UNARY, _Batch, _Taken),
+            _PATH: Handler(self.deliver, Cardinality.UNARY_UNARY, _Batch, _Ack),
         }
 
 
 class _Datagrams(DatagramProtocol):
     """Take heartbeats; anything that is none is counted and dropped."""
 
-    def __init__(self, take: Callable[[Message], None], counts: Counter[str]) -> None:
-        self._take = take
+    def __init__(self, on_message: Callable[[Message], None], counts: Counter[str]) -> None:
+        self._on_message = on_message
         self._counts = counts
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
@@ -109,7 +109,7 @@
         except WireError:
             self._counts['bad_datagram'] += 1
             return
-        self._take(message)
+        self._on_message(message)
 
 
 class _Outbox:
@@ -117,7 +117,7 @@
 
     def __init__(self, host: HostEntry, codec: CodecBase) -> None:
         self.host = host
-        self._queue: Queue[Message] = Queue(_QUEUE)
+        self._queue: Queue[Message] = Queue(_MAX_QUEUED)
         self._channel = Channel(host.address, host.peers, codec=codec)
         self._task: Task[None] = create_task(self._run())
         self.failed = 0
@@ -135,14 +135,14 @@
         self._channel.close()
 
     async def _run(self) -> None:
-        method = UnaryUnaryMethod(self._channel, _PATH, _Batch, _Taken)
+        method = UnaryUnaryMethod(self._channel, _PATH, _Batch, _Ack)
         while True:
             batch = [await self._queue.get()]
-            while not self._queue.empty() and len(batch) < _BATCH:
+            while not self._queue.empty() and len(batch) < _MAX_BATCH:
                 batch.append(self._queue.get_nowait())
             try:
-                await method(_Batch(tuple(batch)), timeout=_CALL_S)
-            except CALL_FAULTS:
+                await method(_Batch(tuple(batch)), timeout=_CALL_TIMEOUT_S)
+            except CALL_ERRORS:
                 self.failed += 1
                 _logger.debug(
                     'peer %s not reached',
@@ -154,13 +154,13 @@
 class Peers:
     """Own the sockets towards other balancers."""
 
-    def __init__(self, take: Callable[[Message], None]) -> None:
-        """Pass every message that arrives to `take`."""
+    def __init__(self, on_message: Callable[[Message], None]) -> None:
+        """Pass every message that arrives to `on_message`."""
         self.counts: Counter[str] = Counter()
         self.bytes_by_kind: Counter[str] = Counter()
-        self._take = take
+        self._on_message = on_message
         self._codec = _PeerCodec()
-        self._server = Server([_Service(take)], codec=self._codec)
+        self._server = Server([_Service(on_message)], codec=self._codec)
         self._transport: DatagramTransport | None = None
         self._outboxes: dict[str, _Outbox] = {}
 
@@ -169,7 +169,7 @@
         loop: AbstractEventLoop = get_running_loop()
         datagrams, calls = bind_pair(address, repeat(port, MAX_BIND_ATTEMPTS))
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Datagrams(self._take, self.counts),
+            lambda: _Datagrams(self._on_message, self.counts),
             sock=datagrams,
         )
         self._transport = transport
@@ -179,7 +179,7 @@
     def send(self, host: HostEntry, message: Message) -> None:
         """Send a message to a peer; it may be lost."""
         raw = encode(message)
-        self.bytes_by_kind[type(message).__name__] += sent_bytes(message, raw)
+        self.bytes_by_kind[type(message).__name__] += wire_bytes(message, raw)
         if isinstance(message, Heartbeat):
             if self._transport is not None:
                 self._transport.sendto(raw, (host.address, host.peers))
--- a/src/bronzekeel/adapters/rollout.py
+++ b/src/bronzekeel/adapters/rollout.py
@@ -13,7 +13,7 @@
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.core.messages import HostEntry
 from bronzekeel.core.store_waits import retry_wait_s
-from bronzekeel.text.checks import catalogue_of, parse_text
+from bronzekeel.text.checks import build_catalogue, parse_text
 from bronzekeel.text.faults import TextError
 from bronzekeel.text.submission import (
     HEAD_KEY,
@@ -29,11 +29,11 @@
 
 #: Interval in seconds at which a watcher reads the list of hosts.  Source: the
 #: platform's own list lags by about as much.
-_HOSTS_EVERY_S = 10.0
+_HOSTS_INTERVAL_S = 10.0
 
 #: Interval in seconds while the list was never read: peers are found by it alone.
-_HOSTS_UNREAD_S = 1.0
-_READ_FAULTS = (StoreLost, StoreRefused, DecodeError, ValidationError)
+_HOSTS_UNREAD_INTERVAL_S = 1.0
+_READ_ERRORS = (StoreLost, StoreRefused, DecodeError, ValidationError)
 
 
 class TextSource:
@@ -54,7 +54,7 @@
         self._emit = emit
         self._version = 0
         self._tasks: dict[str, Task[None]] = {}
-        self._lost = False
+        self._platform_lost = False
 
     def open(self) -> None:
         """Start to read the list of hosts."""
@@ -81,10 +81,10 @@
                 if stored is not None:
                     await self._read_text(stored.version, stored.body)
                 failures = 0
-                self._note_lost(lost=False)
+                self._set_platform_lost(lost=False)
             except (StoreLost, StoreRefused):
                 failures += 1
-                self._note_lost(lost=True)
+                self._set_platform_lost(lost=True)
                 known = bool(self._version)
                 await sleep(retry_wait_s(failures, f'{self._host}/{HEAD_KEY}', known=known))
 
@@ -101,9 +101,9 @@
 
     def _accept(self, generation: int, body: bytes) -> None:
         try:
-            catalogue = catalogue_of(parse_text(body), generation)
-        except TextError as fault:
-            _logger.error('text refused: %s', fault, extra={'event': LogNumber.TEXT_BAD})
+            catalogue = build_catalogue(parse_text(body), generation)
+        except TextError as error:
+            _logger.error('text refused: %s', error, extra={'event': LogNumber.TEXT_BAD})
             return
         self._emit(TextAccepted(catalogue, from_platform=True))
 
@@ -117,7 +117,7 @@
         while True:
             if not version or 'watch' in self._tasks:
                 version = max(version, await self._read_hosts(version))
-            wait_s = _HOSTS_EVERY_S if version else _HOSTS_UNREAD_S
+            wait_s = _HOSTS_INTERVAL_S if version else _HOSTS_UNREAD_INTERVAL_S
             await sleep(wait_s * (0.5 + random()))
 
     async def _read_hosts(self, version: int) -> int:
@@ -127,14 +127,14 @@
             if stored.version > version:
                 hosts = decode(stored.body, type=tuple[HostEntry, ...])
                 self._emit(HostsListed(hosts, stored.version))
-        except _READ_FAULTS:
+        except _READ_ERRORS:
             _logger.debug('list of hosts not read')
             return 0
         return stored.version
 
-    def _note_lost(self, *, lost: bool) -> None:
-        if lost == self._lost:
+    def _set_platform_lost(self, *, lost: bool) -> None:
+        if lost == self._platform_lost:
             return
-        self._lost = lost
+        self._platform_lost = lost
         number = LogNumber.PLATFORM_LOST if lost else LogNumber.PLATFORM_BACK
         _logger.info('platform %s', 'lost' if lost else 'back', extra={'event': number})
--- a/src/bronzekeel/adapters/upstreams.py
+++ b/src/bronzekeel/adapters/upstreams.py
@@ -17,7 +17,7 @@
 
 
 #: Pieces of an answer that wait for a slow caller before the upstream is held.
-_PIECES = 16
+_MAX_BUFFERED_PIECES = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     service: str
     body: bytes
     pieces: 'Queue[bytes | EndMark | NotRun | Unknown]' = field(
-        default_factory=lambda: Queue(_PIECES),
+        default_factory=lambda: Queue(_MAX_BUFFERED_PIECES),
     )
     size: int = 0
 
@@ -96,8 +96,8 @@
                 work = Work(id=answer.request, service=answer.service, body=answer.body)
                 await stream.send_message(work, end=True)
                 return await self._relay(stream, answer)
-        except GRPCError as fault:
-            if fault.status is Status.RESOURCE_EXHAUSTED and not answer.size:
+        except GRPCError as error:
+            if error.status is Status.RESOURCE_EXHAUSTED and not answer.size:
                 return AttemptEnd.SHED
         except (OSError, StreamTerminatedError, TimeoutError):
             if not sent:
--- a/src/bronzekeel/balancer/daemon.py
+++ b/src/bronzekeel/balancer/daemon.py
@@ -63,7 +63,7 @@
 #: Seconds in which the servers' last calls may end.  What goes wrong without it: a
 #: caller that holds a call open for ever keeps a stopped process alive.  Source: a
 #: call between balancers ends in 2 s or fails.
-CLOSING_S = 2.0
+CLOSE_TIMEOUT_S = 2.0
 _NANOSECONDS_IN_MS = 1_000_000
 
 
@@ -85,13 +85,13 @@
         self.in_force_at: dict[int, float] = {}
         self.events: Subject[Event] = Subject()
         self.effects: Subject[Effect] = Subject()
-        self.peers = Peers(self._take_message)
-        self.callers = Callers(self.events.on_next, clock, self._note_end)
+        self.peers = Peers(self._handle_message)
+        self.callers = Callers(self.events.on_next, clock, self._record_end)
         self.platform = PlatformClient(settings.platform)
         self.state: BalancerState | None = None
         self.me: HostEntry | None = None
         self._clock = clock
-        self._texts = TextSource(settings.name, self.platform, self.events.on_next)
+        self._text_source = TextSource(settings.name, self.platform, self.events.on_next)
         self._upstreams = Upstreams(self.events.on_next)
         self._packets = PacketSocket(
             settings.address,
@@ -108,7 +108,7 @@
         self._recorder = Recorder(settings.record)
         self._outcomes = OutcomeRecorder(settings.outcomes)
         self._handlers: dict[type, Callable[..., None]] = {
-            Say: self._say,
+            Say: self._send_message,
             Forward: self._packets.carry_out,
             Hand: self._packets.carry_out,
             Drop: self._packets.carry_out,
@@ -118,8 +118,8 @@
                 effect.detail,
                 settings.name,
             ),
-            Watch: lambda effect: self._texts.watch(active=effect.active),
-            InForce: self._note_in_force,
+            Watch: lambda effect: self._text_source.watch(active=effect.active),
+            InForce: self._record_in_force,
             Stopped: lambda effect: self._stopped.set(),
             Reserved: lambda effect: self.callers.reserved(effect.request),
             Settle: self._settle,
@@ -172,7 +172,7 @@
             .subscribe(self.events.on_next)
         )
         self._packets.open(loop)
-        self._texts.open()
+        self._text_source.open()
         self._prober.open()
         self._log(LogNumber.STARTED, encode(self.me).decode())
         return self.me
@@ -196,16 +196,16 @@
         self._packets.close()
         self._prober.close()
         self._upstreams.close()
-        await self._texts.close()
+        await self._text_source.close()
         try:
-            await wait_for(gather(self.callers.close(), self.peers.close()), CLOSING_S)
+            await wait_for(gather(self.callers.close(), self.peers.close()), CLOSE_TIMEOUT_S)
         except TimeoutError:
-            _logger.warning('calls did not end within %s s of the stop', CLOSING_S)
+            _logger.warning('calls did not end within %s s of the stop', CLOSE_TIMEOUT_S)
         await self.platform.close()
         self._recorder.close()
         self._outcomes.close()
 
-    def _take_message(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         self.events.on_next(PeerSaid(message))
 
     def _reduce(self, event: Event) -> None:
@@ -237,15 +237,15 @@
         member = self.state.members.by_name.get(name) if self.state else None
         return (member.host.address, member.host.packets) if member else None
 
-    def _say(self, effect: Say) -> None:
+    def _send_message(self, effect: Say) -> None:
         member = self.state.members.by_name.get(effect.host) if self.state else None
         if member is not None:
             self.peers.send(member.host, effect.message)
 
-    def _note_in_force(self, effect: InForce) -> None:
+    def _record_in_force(self, effect: InForce) -> None:
         self.in_force_at[effect.generation] = self._clock()
 
-    def _note_end(self, end: CallEnd) -> None:
+    def _record_end(self, end: CallEnd) -> None:
         self.counts[f'{end.service}.{end.outcome}'] += 1
         self._outcomes.record(
             OutcomeLine(time(), end.service, end.group, end.outcome, end.kind, end.took_s),
--- a/src/bronzekeel/balancer/logs.py
+++ b/src/bronzekeel/balancer/logs.py
@@ -8,8 +8,8 @@
 from bronzekeel.core.log_numbers import LogNumber
 
 
-_KEPT = 500
-_ROOT = 'bronzekeel'
+_MAX_RECENT_LINES = 500
+_ROOT_LOGGER = 'bronzekeel'
 
 
 class RecentEvents(Handler):
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         """Keep a fixed number of lines."""
         super().__init__()
-        self.lines: deque[str] = deque(maxlen=_KEPT)
+        self.lines: deque[str] = deque(maxlen=_MAX_RECENT_LINES)
 
     def emit(self, record: LogRecord) -> None:
         """Keep a record as it would be written."""
@@ -33,7 +33,7 @@
         rename_fields={'asctime': 'time', 'levelname': 'level', 'name': 'logger'},
     )
     recent = RecentEvents()
-    logger = getLogger(_ROOT)
+    logger = getLogger(_ROOT_LOGGER)
     logger.setLevel(level.upper())
     for handler in (StreamHandler(), recent):
         handler.setFormatter(formatter)
--- a/src/bronzekeel/balancer/settings.py
+++ b/src/bronzekeel/balancer/settings.py
@@ -11,9 +11,9 @@
 from bronzekeel.entry.settings import STEERING
 
 
-_MOST_PORT = 65535
-_MOST_STOP_S = 3600
-_Port = Annotated[int, Meta(ge=0, le=_MOST_PORT)]
+_MAX_PORT = 65535
+_MAX_STOP_S = 3600
+_Port = Annotated[int, Meta(ge=0, le=_MAX_PORT)]
 _Name = Annotated[str, Meta(pattern='^[a-z0-9][a-z0-9-]{0,62}$')]
 
 
@@ -69,7 +69,7 @@
     outcomes: str = ''
     steering: Literal['keepers'] = 'keepers'
     log_level: Literal['debug', 'info', 'warning', 'error'] = 'info'
-    stop_within_s: Annotated[float, Meta(gt=0, le=_MOST_STOP_S)] = 30
+    stop_within_s: Annotated[float, Meta(gt=0, le=_MAX_STOP_S)] = 30
 
     def __post_init__(self) -> None:
         """Check what the shape cannot say."""
@@ -84,16 +84,16 @@
     """
     try:
         return decode(path.read_bytes(), type=Settings)
-    except OSError as fault:
-        raise SettingsError(f'{path}: {fault.strerror}; name a readable file') from fault
-    except ValidationError as fault:
-        problem, _, place = str(fault).partition(' - at ')
+    except OSError as error:
+        raise SettingsError(f'{path}: {error.strerror}; name a readable file') from error
+    except ValidationError as error:
+        problem, _, place = str(error).partition(' - at ')
         where = place.strip('`') or '$'
         raise SettingsError(
             f'{path}: {where}: {problem}; correct this value, see docs/OPERATIONS.md',
-        ) from fault
-    except DecodeError as fault:
-        raise SettingsError(f'{path}: $: {fault}; write the settings as JSON') from fault
+        ) from error
+    except DecodeError as error:
+        raise SettingsError(f'{path}: $: {error}; write the settings as JSON') from error
 
 
 def steers_by_connection_ids(path: Path) -> bool:
@@ -103,13 +103,13 @@
     what is wrong with it.
     """
     try:
-        choice = decode(path.read_bytes(), type=_Choice)
+        choice = decode(path.read_bytes(), type=_SteeringChoice)
     except (OSError, DecodeError):
         return False
     return choice.steering == STEERING
 
 
-class _Choice(Struct):
+class _SteeringChoice(Struct):
     """Hold the one setting that both daemons have in common."""
 
     steering: str = ''
--- a/src/bronzekeel/balancer/web.py
+++ b/src/bronzekeel/balancer/web.py
@@ -52,18 +52,18 @@
         shards_kept=sum(item.owner == me.name for item in steering.owners),
         buckets_unsettled=len(steering.unsettled),
         members={
-            name: _word(member.dead, member.leaving, member.ready)
+            name: _member_state(member.dead, member.leaving, member.ready)
             for name, member in state.members.by_name.items()
         },
         packets=dict(balancer.packet_counts),
         requests=dict(balancer.counts),
         control_bytes=dict(balancer.peers.bytes_by_kind),
         platform_calls=balancer.platform.calls,
-        flows_recorded_by_upstream=_recorded(balancer),
+        flows_recorded_by_upstream=_recorded_flows(balancer),
     )
 
 
-def _word(dead: bool, leaving: bool, ready: bool) -> str:  # noqa: FBT001 (three flags of a member)
+def _member_state(dead: bool, leaving: bool, ready: bool) -> str:  # noqa: FBT001 (member flags)
     if dead:
         return 'dead'
     if leaving:
@@ -71,7 +71,7 @@
     return 'ready' if ready else 'starting'
 
 
-def _recorded(balancer: Balancer) -> dict[str, int]:
+def _recorded_flows(balancer: Balancer) -> dict[str, int]:
     """Count the flows this keeper knows on upstreams that left their bucket.
 
     A draining upstream may be switched off when it shows on no balancer.
@@ -83,11 +83,11 @@
     for table in steering.tables_by_name.values():
         for register in table.registers:
             if register is not None and steering.owns(register.shard):
-                _count(register, counts)
+                _count_flows(register, counts)
     return dict(counts)
 
 
-def _count(register: Register, counts: Counter[str]) -> None:
+def _count_flows(register: Register, counts: Counter[str]) -> None:
     counts.update(upstream for _, upstream in register.exceptions or ())
     counts.update(record.upstream for record in register.records.values())
     if not register.settled:
--- a/src/bronzekeel/bench/forward.py
+++ b/src/bronzekeel/bench/forward.py
@@ -103,7 +103,7 @@
                 self._time(self._floor_batch, self._floor_in.getsockname()[1], self._settled)
             )
             for path, packets in paths:
-                times[path].append(self._time(self._path.take_batch, self._path.port, packets))
+                times[path].append(self._time(self._path.receive_batch, self._path.port, packets))
             times['connection_id'].append(
                 self._time(self._by_id.take_batch, self._by_id.port, self._by_id.packets),
             )
--- a/src/bronzekeel/replay/fleet.py
+++ b/src/bronzekeel/replay/fleet.py
@@ -25,7 +25,7 @@
 from bronzekeel.core.reducer import packet_verdict, reduce
 from bronzekeel.core.state import BalancerState
 from bronzekeel.replay.sinks import Sink, Sprayed
-from bronzekeel.wire import encode, sent_bytes
+from bronzekeel.wire import encode, wire_bytes
 
 
 #: Time that a text takes to reach a watcher or a peer, at most.
@@ -215,7 +215,7 @@
             self.sink.carried_out(effect, node.name)
 
     def _say(self, node: Node, host: str, message: Message) -> None:
-        size = sent_bytes(message, encode(message))
+        size = wire_bytes(message, encode(message))
         node.bytes_by_kind[type(message).__name__] += size
         peer = self.by_name.get(host)
         if peer is None or (node.name, host) in self.cuts:
--- a/src/bronzekeel/replay/player.py
+++ b/src/bronzekeel/replay/player.py
@@ -27,7 +27,7 @@
     Unlist,
 )
 from bronzekeel.replay.traffic import FlowTraffic
-from bronzekeel.text.checks import catalogue_of
+from bronzekeel.text.checks import build_catalogue
 
 _AFTERWARDS_S = 30.0
 
@@ -99,7 +99,7 @@
 
     def _submit(self, act: Submit) -> None:
         self._generation += 1
-        catalogue = catalogue_of(act.text, self._generation)
+        catalogue = build_catalogue(act.text, self._generation)
         for spec in catalogue.services_by_name.values():
             traffic = self._traffic_by_service.get(spec.name)
             if traffic is None:
--- a/src/bronzekeel/standins/caller.py
+++ b/src/bronzekeel/standins/caller.py
@@ -5,7 +5,7 @@
 
 from grpclib.client import Channel
 
-from bronzekeel.adapters.faults import CALL_FAULTS
+from bronzekeel.adapters.errors import CALL_ERRORS
 from bronzekeel.proto import requests_pb2 as proto
 from bronzekeel.proto.requests_grpc import RequestsStub
 
@@ -65,7 +65,7 @@
                 proto.ReserveRequest(service=service, deadline_ms=_DEADLINE_MS),
                 timeout=_PATIENCE_S,
             )
-        except CALL_FAULTS:
+        except CALL_ERRORS:
             return self._note(Told('', 'not_reserved'))
         if reserved.HasField('not_run'):
             return self._note(Told('', 'not_run', reserved.not_run.kind))
@@ -91,7 +91,7 @@
         )
         try:
             told = await self._read(channel, asked)
-        except CALL_FAULTS:
+        except CALL_ERRORS:
             told = Told(request, 'unknown', 'connection_lost')
         if told.outcome == 'cut':
             self.cut += 1
--- a/src/bronzekeel/text/checks.py
+++ b/src/bronzekeel/text/checks.py
@@ -15,10 +15,10 @@
     Weighing,
 )
 from bronzekeel.text.faults import FaultKind, TextError, TextFault
-from bronzekeel.text.model import MOST_PORT, Document, ServiceText, UpstreamText
+from bronzekeel.text.model import MAX_PORT, Document, ServiceText, UpstreamText
 
 
-_PORTS = range(1, MOST_PORT + 1)
+_VALID_PORTS = range(1, MAX_PORT + 1)
 
 
 def parse_text(body: bytes) -> Document:
@@ -29,30 +29,30 @@
     """
     try:
         raw = decode(body)
-    except (DecodeError, UnicodeDecodeError, RecursionError) as fault:
+    except (DecodeError, UnicodeDecodeError, RecursionError) as error:
         problem = TextFault(
             FaultKind.SYNTAX,
             '$',
-            f'not JSON: {fault}',
+            f'not JSON: {error}',
             'correct the JSON at that byte',
         )
-        raise TextError((problem,)) from fault
+        raise TextError((problem,)) from error
     faults: list[TextFault] = []
-    services = _shapes(raw, faults)
+    services = _convert_services(raw, faults)
     faults.extend(_check_all(services))
     if faults:
         raise TextError(tuple(faults))
     return convert(raw, Document)
 
 
-def _shapes(raw: Any, faults: list[TextFault]) -> dict[str, ServiceText]:
+def _convert_services(raw: Any, faults: list[TextFault]) -> dict[str, ServiceText]:
     """Convert service by service, so that one fault does not hide the next."""
     listed = raw.get('services') if isinstance(raw, dict) else None
     if not isinstance(listed, dict):
-        faults.append(_shape('$.services', 'no object of services', 'add `services`'))
+        faults.append(_shape_fault('$.services', 'no object of services', 'add `services`'))
         return {}
     for key in raw.keys() - {'services', 'remark'}:
-        faults.append(_shape(f'$.{key}', 'unknown key', 'remove it'))
+        faults.append(_shape_fault(f'$.{key}', 'unknown key', 'remove it'))
     if not listed:
         faults.append(
             TextFault(FaultKind.EMPTY, '$.services', 'no service', 'add one service'),
@@ -61,16 +61,16 @@
     for name, service in listed.items():
         try:
             services[name] = convert({name: service}, dict[str, ServiceText])[name]
-        except ValidationError as fault:
-            problem, _, where = str(fault).partition(' - at ')
+        except ValidationError as error:
+            problem, _, where = str(error).partition(' - at ')
             place = where.strip('`').replace('$[...]', '')
             faults.append(
-                _shape(f'$.services.{name}{place}', problem, 'correct this value'),
+                _shape_fault(f'$.services.{name}{place}', problem, 'correct this value'),
             )
     return services
 
 
-def _shape(place: str, problem: str, remedy: str) -> TextFault:
+def _shape_fault(place: str, problem: str, remedy: str) -> TextFault:
     return TextFault(FaultKind.SHAPE, place, problem, remedy)
 
 
@@ -89,7 +89,7 @@
 
 
 def _check_addresses(services: dict[str, ServiceText]) -> Iterator[TextFault]:
-    holder_by_key: dict[tuple[str, int], str] = {}
+    owner_by_endpoint: dict[tuple[str, int], str] = {}
     for name, service in services.items():
         place = f'$.services.{name}.address'
         if not _is_ip(service.address):
@@ -99,12 +99,12 @@
                 f'{service.address!r} is no IP number',
                 'write the service address as an IP number',
             )
-        holder = holder_by_key.setdefault((service.address, service.port), name)
-        if holder != name:
+        owner = owner_by_endpoint.setdefault((service.address, service.port), name)
+        if owner != name:
             yield TextFault(
                 FaultKind.ADDRESS_TAKEN,
                 place,
-                f'{service.address} port {service.port} belongs to {holder}',
+                f'{service.address} port {service.port} belongs to {owner}',
                 'give one of the two another address or port',
             )
 
@@ -119,10 +119,10 @@
 
 def _is_endpoint(text: str) -> bool:
     host, _, port = text.rpartition(':')
-    return _is_ip(host) and port.isdecimal() and int(port) in _PORTS
+    return _is_ip(host) and port.isdecimal() and int(port) in _VALID_PORTS
 
 
-def _placed(name: str, service: ServiceText) -> Iterator[tuple[str, UpstreamText]]:
+def _upstreams_by_place(name: str, service: ServiceText) -> Iterator[tuple[str, UpstreamText]]:
     """Yield every upstream of a service with its place in the text."""
     for centre, upstreams in service.upstreams.items():
         for index, upstream in enumerate(upstreams):
@@ -132,7 +132,7 @@
 def _check_upstreams(services: dict[str, ServiceText]) -> Iterator[TextFault]:
     place_by_address: dict[str, str] = {}
     for name, service in services.items():
-        placed = list(_placed(name, service))
+        placed = list(_upstreams_by_place(name, service))
         if not placed:
             yield TextFault(
                 FaultKind.EMPTY,
@@ -160,12 +160,12 @@
 
 def _check_dependencies(services: dict[str, ServiceText]) -> Iterator[TextFault]:
     for name, service in services.items():
-        for index, needed in enumerate(service.depends_on):
-            if needed not in services:
+        for index, dependency in enumerate(service.depends_on):
+            if dependency not in services:
                 yield TextFault(
                     FaultKind.UNKNOWN_NAME,
                     f'$.services.{name}.depends_on[{index}]',
-                    f'no service is named {needed}',
+                    f'no service is named {dependency}',
                     'correct the name or add the service',
                 )
     for cycle in _cycles(services):
@@ -193,17 +193,17 @@
     seen = set(done)
     while paths:
         path = paths.pop()
-        for needed in services[path[-1]].depends_on:
-            if needed == start:
+        for dependency in services[path[-1]].depends_on:
+            if dependency == start:
                 return [*path, start]
-            if needed not in services or needed in seen:
+            if dependency not in services or dependency in seen:
                 continue
-            seen.add(needed)
-            paths.append([*path, needed])
+            seen.add(dependency)
+            paths.append([*path, dependency])
     return []
 
 
-def check_change(former: Document, latter: Document) -> None:
+def check_change(previous: Document, updated: Document) -> None:
     """Refuse changes that one submission cannot make safely.
 
     Raises TextError.  An upstream address that moves between services at once
@@ -211,38 +211,38 @@
     """
     service_by_address = {
         upstream.address: name
-        for name, service in former.services.items()
-        for _, upstream in _placed(name, service)
+        for name, service in previous.services.items()
+        for _, upstream in _upstreams_by_place(name, service)
     }
     faults = []
-    for name, service in latter.services.items():
-        for place, upstream in _placed(name, service):
-            holder = service_by_address.get(upstream.address, name)
-            if holder == name:
+    for name, service in updated.services.items():
+        for place, upstream in _upstreams_by_place(name, service):
+            owner = service_by_address.get(upstream.address, name)
+            if owner == name:
                 continue
             faults.append(
                 TextFault(
                     FaultKind.UPSTREAM_MOVED,
                     place,
-                    f'{upstream.address} belongs to {holder} in the text in force',
-                    f'remove it from {holder}, submit, wait until it is empty, then add it',
+                    f'{upstream.address} belongs to {owner} in the text in force',
+                    f'remove it from {owner}, submit, wait until it is empty, then add it',
                 )
             )
-        earlier = former.services.get(name)
-        if earlier and earlier.buckets != service.buckets:
+        previous_service = previous.services.get(name)
+        if previous_service and previous_service.buckets != service.buckets:
             faults.append(
                 TextFault(
                     FaultKind.BUCKETS,
                     f'$.services.{name}.buckets',
                     'the number of buckets of a service cannot change',
-                    f'leave it at {earlier.buckets}',
+                    f'leave it at {previous_service.buckets}',
                 )
             )
     if faults:
         raise TextError(tuple(faults))
 
 
-def catalogue_of(document: Document, generation: int) -> Catalogue:
+def build_catalogue(document: Document, generation: int) -> Catalogue:
     """Return a checked document in the form that decisions need."""
     services = {}
     for name, service in document.services.items():
--- a/src/bronzekeel/text/differences.py
+++ b/src/bronzekeel/text/differences.py
@@ -7,12 +7,12 @@
 from bronzekeel.text.model import Document, ServiceText, UpstreamText
 
 
-def differences(former: Document, latter: Document) -> list[str]:
+def differences(old_document: Document, new_document: Document) -> list[str]:
     """Return one line for each difference, empty when there is none."""
     lines = []
-    for name in sorted(former.services.keys() | latter.services.keys()):
-        old = former.services.get(name)
-        new = latter.services.get(name)
+    for name in sorted(old_document.services.keys() | new_document.services.keys()):
+        old = old_document.services.get(name)
+        new = new_document.services.get(name)
         if old is None:
             lines.append(f'+ service {name}')
         elif new is None:
@@ -36,8 +36,8 @@
         elif address not in listed_old:
             yield f'+ {name} upstream {address}'
         elif listed_old[address] != listed_new[address]:
-            before = _words(listed_old[address])
-            after = _words(listed_new[address])
+            before = _describe(listed_old[address])
+            after = _describe(listed_new[address])
             yield f'~ {name} upstream {address}: {before} -> {after}'
 
 
@@ -49,6 +49,6 @@
     }
 
 
-def _words(placed: tuple[str, UpstreamText]) -> str:
+def _describe(placed: tuple[str, UpstreamText]) -> str:
     centre, upstream = placed
     return f'{upstream.state} weight {upstream.weight} in {centre}'
--- a/src/bronzekeel/text/model.py
+++ b/src/bronzekeel/text/model.py
@@ -10,11 +10,11 @@
 
 
 _Name = Annotated[str, Meta(pattern='^[a-z0-9][a-z0-9-]{0,62}$')]
-MOST_PORT = 65535
-_MOST_IDLE_S = 86400
-_LEAST_BUCKETS = 16
-_MOST_BUCKETS = 65536
-_Port = Annotated[int, Meta(ge=1, le=MOST_PORT)]
+MAX_PORT = 65535
+_MAX_IDLE_S = 86400
+_MIN_BUCKETS = 16
+_MAX_BUCKETS = 65536
+_Port = Annotated[int, Meta(ge=1, le=MAX_PORT)]
 _Positive = Annotated[int, Meta(ge=1, le=1000)]
 
 
@@ -36,8 +36,8 @@
     upstreams: dict[_Name, tuple[UpstreamText, ...]]
     protocol: Literal['tcp'] = 'tcp'
     idempotent: bool = False
-    idle_s: Annotated[float, Meta(ge=1, le=_MOST_IDLE_S)] = 120
-    buckets: Annotated[int, Meta(ge=_LEAST_BUCKETS, le=_MOST_BUCKETS)] = 512
+    idle_s: Annotated[float, Meta(ge=1, le=_MAX_IDLE_S)] = 120
+    buckets: Annotated[int, Meta(ge=_MIN_BUCKETS, le=_MAX_BUCKETS)] = 512
     slots: _Positive = 3
     weighs: Literal['imbalance', 'broken_flows'] = 'imbalance'
     depends_on: tuple[_Name, ...] = ()
--- a/src/bronzekeel/text/submission.py
+++ b/src/bronzekeel/text/submission.py
@@ -33,13 +33,13 @@
 PART_BYTES = _KILO * _KILO // 2
 
 #: Earlier submission ids that the head keeps.
-IDS_KEPT = 500
+MAX_EARLIER_IDS = 500
 
 #: Generations that a restore of the store may have lost at most.  Source: three days of changes at
 #: the size to design for (docs/CAPACITY.md); copies are some seconds old.
-LOST_AT_MOST = 10_000
+MAX_LOST_GENERATIONS = 10_000
 
-_SETTLE_TRIES = 4
+_MAX_HEAD_ATTEMPTS = 4
 
 #: Incarnation of a store that was never restored.
 _FIRST_INCARNATION = 1
@@ -137,24 +137,24 @@
 async def read_head(store: ObjectStore) -> tuple[int, Head | None]:
     """Return the head object's version and content."""
     stored = await store.read(HEAD_KEY)
-    return stored.version, _head_in(stored)
+    return stored.version, _decode_head(stored)
 
 
-def _head_in(stored: Stored) -> Head | None:
+def _decode_head(stored: Stored) -> Head | None:
     return decode(stored.body, type=Head) if stored.version else None
 
 
-def _next_generation(stored: Stored, *, restored_meanwhile: bool) -> int:
+def _next_generation(stored: Stored, *, after_restore: bool) -> int:
     """Return a generation beyond all that were ever given out.
 
     An update that met a restored store may have replaced heads that nobody read: it skips once
     more.
     """
-    head = _head_in(stored)
+    head = _decode_head(stored)
     generation, incarnation = (head.generation, head.incarnation) if head else (0, 0)
     restores = stored.incarnation - max(incarnation, _FIRST_INCARNATION)
-    skips = max(restores, 0) + restored_meanwhile
-    return generation + 1 + skips * LOST_AT_MOST
+    skips = max(restores, 0) + after_restore
+    return generation + 1 + skips * MAX_LOST_GENERATIONS
 
 
 async def load_text(store: ObjectStore, head: Head) -> bytes:
@@ -188,13 +188,13 @@
     try:
         return await _submit_once(store, body, submission, based_on)
     except _StoreRestored:
-        return await _submit_again(store, body, submission)
+        return await _resubmit(store, body, submission)
 
 
-async def _submit_again(store: ObjectStore, body: bytes, submission: str) -> Submitted:
+async def _resubmit(store: ObjectStore, body: bytes, submission: str) -> Submitted:
     """Submit over a head that was written by the same submission and is not the newest."""
     try:
-        return await _submit_once(store, body, submission, restored_meanwhile=True)
+        return await _submit_once(store, body, submission, after_restore=True)
     except _StoreRestored:
         return Undecided(submission)
 
@@ -205,38 +205,38 @@
     submission: str,
     based_on: int | None = None,
     *,
-    restored_meanwhile: bool = False,
+    after_restore: bool = False,
 ) -> Submitted:
     document = parse_text(body)
     stored = await store.read(HEAD_KEY)
-    head = _head_in(stored)
+    head = _decode_head(stored)
     # A head of our own was written over a restored store, which may have lost its parts.
     if head is not None and head.submission != submission:
-        former = await load_text(store, head)
+        previous = await load_text(store, head)
         if based_on is not None and based_on != head.generation:
-            lines = differences(document, parse_text(former))
+            lines = differences(document, parse_text(previous))
             return Conflict(head.generation, tuple(lines))
-        check_change(parse_text(former), document)
+        check_change(parse_text(previous), document)
     names = []
     for start in range(0, len(body), PART_BYTES):
         names.append(await _write_part(store, body[start : start + PART_BYTES]))
-    latter = Head(
-        _next_generation(stored, restored_meanwhile=restored_meanwhile),
+    new_head = Head(
+        _next_generation(stored, after_restore=after_restore),
         submission,
         tuple(names),
-        _earlier(head),
+        _earlier_ids(head),
         stored.incarnation,
     )
-    return await _put_head(store, latter, stored.version, document)
+    return await _write_head(store, new_head, stored.version, document)
 
 
-async def _put_head(
+async def _write_head(
     store: ObjectStore,
-    latter: Head,
+    new_head: Head,
     version: int,
     document: Document,
 ) -> Submitted:
-    """Make `latter` the head, and find out what became of it.
+    """Make `new_head` the head, and find out what became of it.
 
     A conditional update whose answer was lost may have won, have lost, or
     still be under way.  The head read back tells the first two apart by the
@@ -247,68 +247,68 @@
     update may have found another head than the one that was read.
     """
     lost = False
-    for _ in range(_SETTLE_TRIES):
+    for _ in range(_MAX_HEAD_ATTEMPTS):
         try:
-            written = await store.write(HEAD_KEY, encode(latter), version)
-        except (StoreLost, StoreRefused) as fault:
-            if isinstance(fault, StoreRefused) and not lost:
+            written = await store.write(HEAD_KEY, encode(new_head), version)
+        except (StoreLost, StoreRefused) as error:
+            if isinstance(error, StoreRefused) and not lost:
                 raise
             lost = True
             written = None
         if written is not None:
-            _expect_incarnation(latter, written)
-            return Accepted(latter.generation)
-        outcome = await _read_back(store, latter, version, document)
+            _check_incarnation(new_head, written)
+            return Accepted(new_head.generation)
+        outcome = await _read_back(store, new_head, version, document)
         if outcome is not None:
             return outcome
-    return Undecided(latter.submission)
+    return Undecided(new_head.submission)
 
 
 async def _read_back(
     store: ObjectStore,
-    latter: Head,
+    new_head: Head,
     version: int,
     document: Document,
 ) -> Submitted | None:
     """Return what the head says of a submission, None while it says nothing."""
     try:
         stored = await store.read(HEAD_KEY)
-        head = _head_in(stored)
+        head = _decode_head(stored)
         if head is None or stored.version == version:
             return None
-        settled = _settled_by(head, latter, stored)
+        settled = _outcome_in_head(head, new_head, stored)
         if settled is not None:
             return settled
-        former = await load_text(store, head)
+        previous = await load_text(store, head)
     except (StoreLost, StoreRefused):
         return None
-    lines = differences(document, parse_text(former))
+    lines = differences(document, parse_text(previous))
     return Conflict(head.generation, tuple(lines))
 
 
-def _settled_by(head: Head, latter: Head, stored: Stored) -> Submitted | None:
+def _outcome_in_head(head: Head, new_head: Head, stored: Stored) -> Submitted | None:
     """Return what a head alone says of the submission of another, None while it says nothing."""
-    if head.submission == latter.submission:
-        _expect_incarnation(latter, stored)
-    generation = head.generation_of(latter.submission)
+    if head.submission == new_head.submission:
+        _check_incarnation(new_head, stored)
+    generation = head.generation_of(new_head.submission)
     if generation is not None:
         return Accepted(generation)
-    if head.generation - latter.generation >= IDS_KEPT:
-        return Undecided(latter.submission)
+    if head.generation - new_head.generation >= MAX_EARLIER_IDS:
+        return Undecided(new_head.submission)
     return None
 
 
-def _expect_incarnation(latter: Head, stored: Stored) -> None:
+def _check_incarnation(new_head: Head, stored: Stored) -> None:
     """Raise _StoreRestored if a head stands in another incarnation than it was made for."""
-    if stored.incarnation != latter.incarnation:
+    if stored.incarnation != new_head.incarnation:
         raise _StoreRestored
 
 
-def _earlier(head: Head | None) -> tuple[tuple[str, int], ...]:
+def _earlier_ids(head: Head | None) -> tuple[tuple[str, int], ...]:
     if head is None:
         return ()
-    kept = (*head.earlier, (head.submission, head.generation))
-    return kept[-IDS_KEPT:]
+    ids = (*head.earlier, (head.submission, head.generation))
+    return ids[-MAX_EARLIER_IDS:]
 
 
 async def _write_part(store: ObjectStore, part: bytes) -> str:
--- a/src/bronzekeel/wire.py
+++ b/src/bronzekeel/wire.py
@@ -7,8 +7,8 @@
 
 
 #: Bytes that a datagram and a gRPC call add to an encoded message.
-_DATAGRAM_BYTES = 28
-_CALL_BYTES = 140
+_DATAGRAM_OVERHEAD_BYTES = 28
+_CALL_OVERHEAD_BYTES = 140
 
 _encoder = Encoder()
 _decoder: Decoder[Message] = Decoder(Message)
@@ -30,11 +30,11 @@
     """
     try:
         return _decoder.decode(raw)
-    except (DecodeError, ValidationError, RecursionError) as fault:
-        raise WireError(f'not a peer message, drop it: {fault}') from fault
+    except (DecodeError, ValidationError, RecursionError) as error:
+        raise WireError(f'not a peer message, drop it: {error}') from error
 
 
-def sent_bytes(message: Message, raw: bytes) -> int:
+def wire_bytes(message: Message, raw: bytes) -> int:
     """Return what sending a message takes: its bytes and those of its carrier."""
-    carrier = _DATAGRAM_BYTES if isinstance(message, Heartbeat) else _CALL_BYTES
-    return len(raw) + carrier
+    overhead = _DATAGRAM_OVERHEAD_BYTES if isinstance(message, Heartbeat) else _CALL_OVERHEAD_BYTES
+    return len(raw) + overhead
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bronzekeel.adapters.codec import hand_header, read_packet
+from bronzekeel.adapters.codec import hand_off_header, read_packet
 from bronzekeel.core.constants import HOP_LIMIT
 from bronzekeel.core.effects import Drop
 from bronzekeel.core.events import Packet
@@ -46,7 +46,7 @@
 
     def test_good_packet_is_read(self) -> None:
         """A SYN is told from data, and a hand-off header is taken off."""
-        packet = read_packet(hand_header(2) + _GOOD)
+        packet = read_packet(hand_off_header(2) + _GOOD)
         if isinstance(packet, DropReason):
             self.fail(packet)
         self.assertEqual(service_key('198.51.100.10', 443), packet.service)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -28,27 +28,27 @@
 from bronzekeel.standins.upstream import RequestUpstream
 from bronzekeel.text.submission import Accepted
 
-_PATIENCE_S = 20.0
+_TIMEOUT_S = 20.0
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait until a condition holds, with much patience."""
-    give_up_at = get_running_loop().time() + _PATIENCE_S
-    while not holds():
-        if get_running_loop().time() > give_up_at:
+    deadline = get_running_loop().time() + _TIMEOUT_S
+    while not condition():
+        if get_running_loop().time() > deadline:
             raise AssertionError('waited in vain')
         await sleep(0.05)
 
 
-def ready(site: Site) -> bool:
+def all_ready(site: Site) -> bool:
     """Return whether every balancer is ready."""
     return all(
         balancer.state is not None and balancer.state.ready for balancer in site.balancers.values()
     )
 
 
-async def with_site(act: Callable[[Site], Awaitable[None]], record: str = '') -> None:
-    """Run `act` on a site with two balancers in force of the first text."""
+async def with_site(check: Callable[[Site], Awaitable[None]], record: str = '') -> None:
+    """Run `check` on a site with two balancers in force of the first text."""
     site = Site(Random(1))
     await site.open()
     for name in ('a1', 'a2'):
@@ -63,34 +63,34 @@
     accepted = await site.submit()
     if not isinstance(accepted, Accepted):
         raise AssertionError(accepted)
-    await until(lambda: ready(site))
-    await act(site)
+    await wait_until(lambda: all_ready(site))
+    await check(site)
     await site.close()
 
 
 class SiteTest(TestCase):
     """Set up what the daemons are tested with."""
 
-    def test_upstreams_of_two_kinds_share_no_port(self) -> None:
+    def test_upstreams_of_two_kinds_have_different_ports(self) -> None:
         """A run failed once before any balancer was asked: its text was refused.
 
         A flow's upstream had a port for datagrams, and the kernel gave the same number to an
         upstream of requests for streams.  The text said: 127.0.0.1:37469 is also at
         $.services.evidence-intake.upstreams.utrecht[0], give each upstream an address of its own.
         """
-        run(self._open_two())
+        run(self._open_upstreams_of_two_kinds())
 
-    async def _open_two(self) -> None:
+    async def _open_upstreams_of_two_kinds(self) -> None:
         site = Site(Random(1))
         flows = await site.add_upstream(INTAKE)
         port = int(flows.rpartition(':')[2])
-        free = RequestUpstream.open
+        original_open = RequestUpstream.open
         ports = iter((port, 0))
 
-        async def meet(upstream: RequestUpstream) -> str:  # noqa: WPS430 (stands for the kernel)
-            return await free(upstream, next(ports))
+        async def open_on_port(upstream: RequestUpstream) -> str:  # noqa: WPS430 (kernel stand-in)
+            return await original_open(upstream, next(ports))
 
-        with patch.object(RequestUpstream, 'open', meet):
+        with patch.object(RequestUpstream, 'open', open_on_port):
             requests = await site.add_upstream(CHECKS)
         self.assertNotEqual(flows, requests)
         await site.close()
@@ -105,15 +105,15 @@
         Sequence: random bytes reach each of its sockets, then good ones.
         Cause: a decoder that raises into the event loop.
         """
-        run(with_site(self._send_rubbish))
+        run(with_site(self._send_garbage))
 
-    def test_a_call_that_never_ends_keeps_no_balancer_alive(self) -> None:
+    def test_open_call_does_not_block_close(self) -> None:
         """Symptom: a process that was stopped is still there a day later.
 
         Sequence: a caller holds a call open; the balancer is stopped.
         Cause: waiting for the last calls without an end.
         """
-        run(with_site(self._close_beside_a_call))
+        run(with_site(self._close_with_open_call))
 
     def test_flow_and_request_survive_a_planned_stop(self) -> None:
         """Symptom: flows or requests end with the balancer that is replaced.
@@ -127,7 +127,7 @@
         """A daemon's recording gives the same end state on a fresh reducer."""
         with TemporaryDirectory() as folder:
             path = Path(folder) / 'a1.jsonl'
-            run(with_site(self._wait_a_little, str(path)))
+            run(with_site(self._send_one_request, str(path)))
             self.assertTrue(is_recorded(path))
             outcomes = replay_recorded(path)
             self.assertEqual(outcomes, replay_recorded(path))
@@ -138,63 +138,63 @@
         """The HTTP port tells what the balancer counts."""
         run(with_site(self._read_metrics))
 
-    def test_lying_health_service_is_overruled_over_grpc(self) -> None:
+    def test_wrong_health_status_is_overruled_over_grpc(self) -> None:
         """Symptom: a service stops though its upstreams work.
 
         Sequence: the health service of one upstream of seven says "down".
         Cause: believing it over the answers that the upstream gives.
         """
-        run(with_site(self._lie))
+        run(with_site(self._report_wrong_health))
 
-    def test_cut_and_lost_answers_are_told_as_unknown_over_grpc(self) -> None:
+    def test_cut_and_lost_answers_are_unknown_over_grpc(self) -> None:
         """Symptom: half of an answer is taken for the whole.
 
         Sequence: an upstream ends its answer in the middle; another loses it.
         Cause: taking the end of the stream for the end of the answer.
         """
-        run(with_site(self._cut))
+        run(with_site(self._cut_and_lose_answers))
 
-    async def _cut(self, site: Site) -> None:
+    async def _cut_and_lose_answers(self, site: Site) -> None:
         upstreams = site.request_upstreams[REPLIES].values()
         for fault in ('cut_next', 'lose_next'):
             for upstream in upstreams:
                 setattr(upstream, fault, 1)
-            told = await site.caller.request('a1', REPLIES, b'whole or not at all')
-            self.assertEqual('unknown', told.outcome)
-            self.assertEqual('answer_lost', told.kind)
+            reply = await site.caller.request('a1', REPLIES, b'whole or not at all')
+            self.assertEqual('unknown', reply.outcome)
+            self.assertEqual('answer_lost', reply.kind)
             for upstream in upstreams:
                 setattr(upstream, fault, 0)
-        whole = await site.caller.request('a1', REPLIES, b'whole')
-        self.assertEqual('answered', whole.outcome)
+        complete = await site.caller.request('a1', REPLIES, b'whole')
+        self.assertEqual('answered', complete.outcome)
         self.assertEqual(0, site.caller.cut)
         self.assertEqual(3, sum(upstream.ran.total() for upstream in upstreams))
 
-    async def _lie(self, site: Site) -> None:
+    async def _report_wrong_health(self, site: Site) -> None:
         upstreams = site.request_upstreams[REPLIES]
-        endpoint, liar = next(iter(upstreams.items()))
-        liar.health.set(value=False)
+        endpoint, unhealthy = next(iter(upstreams.items()))
+        unhealthy.health.set(value=False)
         await site.caller.request('a1', REPLIES, b'first')
-        await until(lambda: self._hinted(site, endpoint))
-        ran_before = liar.ran.total()
+        await wait_until(lambda: self._hinted_down(site, endpoint))
+        ran_before = unhealthy.ran.total()
         for number in range(40):
-            told = await site.caller.request('a1', REPLIES, f'body {number}'.encode())
-            self.assertEqual('answered', told.outcome)
-        self.assertGreater(liar.ran.total(), ran_before)
+            reply = await site.caller.request('a1', REPLIES, f'body {number}'.encode())
+            self.assertEqual('answered', reply.outcome)
+        self.assertGreater(unhealthy.ran.total(), ran_before)
 
-    def _hinted(self, site: Site, endpoint: str) -> bool:
+    def _hinted_down(self, site: Site, endpoint: str) -> bool:
         return any(
             balancer.state is not None and balancer.state.health.of(endpoint).hinted_down
             for balancer in site.balancers.values()
         )
 
-    async def _close_beside_a_call(self, site: Site) -> None:
+    async def _close_with_open_call(self, site: Site) -> None:
         balancer = site.balancers.pop('a1')
-        ended = balancer.callers.close
+        original_close = balancer.callers.close
         with patch.object(balancer.callers, 'close', Event().wait):
-            await wait_for(balancer.close(), _PATIENCE_S)
-        await ended()
+            await wait_for(balancer.close(), _TIMEOUT_S)
+        await original_close()
 
-    async def _send_rubbish(self, site: Site) -> None:
+    async def _send_garbage(self, site: Site) -> None:
         balancer = site.balancers['a1']
         host = site.hosts['a1']
         random = Random(2)
@@ -203,53 +203,53 @@
             local_addr=('127.0.0.1', 0),
         )
         for _ in range(200):
-            rubbish = random.randbytes(random.randrange(1, 1400))
-            transport.sendto(rubbish, (host.address, host.packets))
-            transport.sendto(rubbish, (host.address, host.peers))
+            garbage = random.randbytes(random.randrange(1, 1400))
+            transport.sendto(garbage, (host.address, host.packets))
+            transport.sendto(garbage, (host.address, host.peers))
             await sleep(0)
         for port in (host.peers, host.callers):
             _, writer = await open_connection(host.address, port)
             writer.write(random.randbytes(500))
             await writer.drain()
             writer.close()
-        await until(lambda: balancer.peers.counts['bad_datagram'] >= 150)
-        await until(lambda: balancer.packet_counts.total() >= 150)
+        await wait_until(lambda: balancer.peers.counts['bad_datagram'] >= 150)
+        await wait_until(lambda: balancer.packet_counts.total() >= 150)
         transport.close()
-        told = await site.caller.request('a1', REPLIES, b'after rubbish')
-        self.assertEqual('answered', told.outcome)
+        reply = await site.caller.request('a1', REPLIES, b'after rubbish')
+        self.assertEqual('answered', reply.outcome)
         self.assertEqual(0, balancer.counts['internal_fault'])
 
     async def _stop_one(self, site: Site) -> None:
         flows = [site.fabric.add_flow(('198.51.100.10', 443), number) for number in range(60)]
         for flow in flows:
             site.fabric.step(flow)
-        await until(lambda: all(flow.established for flow in flows))
+        await wait_until(lambda: all(flow.established for flow in flows))
         balancer = site.balancers.pop('a1')
         site.unlist('a1')
         await balancer.stop()
         for flow in flows:
             site.fabric.step(flow)
-        await until(lambda: all(flow.answered for flow in flows))
+        await wait_until(lambda: all(flow.answered for flow in flows))
         self.assertFalse(any(flow.reset for flow in flows))
-        told = await site.caller.request('a2', REPLIES, b'after the stop')
-        self.assertEqual('answered', told.outcome)
+        reply = await site.caller.request('a2', REPLIES, b'after the stop')
+        self.assertEqual('answered', reply.outcome)
 
-    async def _wait_a_little(self, site: Site) -> None:
+    async def _send_one_request(self, site: Site) -> None:
         await site.caller.request('a1', REPLIES, b'recorded')
 
     async def _read_metrics(self, site: Site) -> None:
         server = StatusServer(site.balancers['a1'])
         port = await server.open('127.0.0.1', 0)
         async with ClientSession() as session:
-            metrics = await _page(session, port, 'metrics')
-            status = await _page(session, port, 'status')
+            metrics = await _get_page(session, port, 'metrics')
+            status = await _get_page(session, port, 'status')
         await server.close()
         self.assertIn('bronzekeel_control_bytes_total', metrics)
         self.assertIn('bronzekeel_state{name="generation"} 1', metrics)
         self.assertIn('"name":"a1"', status)
 
 
-async def _page(session: ClientSession, port: int, name: str) -> str:
+async def _get_page(session: ClientSession, port: int, name: str) -> str:
     async with session.get(f'http://127.0.0.1:{port}/{name}') as reply:
         return await reply.text()
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -17,11 +17,11 @@
 from bronzekeel.core.messages import HostEntry
 from bronzekeel.demo.site import REPLIES, Site
 from bronzekeel.standins.fabric import ClientFlow
-from tests.test_daemon import until
+from tests.test_daemon import wait_until
 
 
 #: Seconds in which a stopped process must end, with much patience.
-_STOP_S = 60
+_STOP_TIMEOUT_S = 60
 
 
 @dataclass(slots=True)
@@ -83,21 +83,21 @@
         Cause: state that only one process has.
         """
         with TemporaryDirectory() as folder:
-            run(self._play(Fleet(Site(Random(1)), Path(folder))))
+            run(self._run_fleet(Fleet(Site(Random(1)), Path(folder))))
 
-    async def _play(self, fleet: Fleet) -> None:
-        async with AsyncExitStack() as ending:
-            ending.push_async_callback(fleet.end)
-            await self._outlive(fleet)
+    async def _run_fleet(self, fleet: Fleet) -> None:
+        async with AsyncExitStack() as cleanup:
+            cleanup.push_async_callback(fleet.end)
+            await self._check_flows_survive(fleet)
 
-    async def _outlive(self, fleet: Fleet) -> None:
+    async def _check_flows_survive(self, fleet: Fleet) -> None:
         site = fleet.site
         await fleet.open()
         flows = [site.fabric.add_flow(('198.51.100.10', 443), number) for number in range(100)]
         await self._step_until_answered(fleet, flows)
         site.unlist('a1')
         fleet.processes['a1'].send_signal(SIGTERM)
-        self.assertEqual(0, await wait_for(fleet.processes['a1'].wait(), _STOP_S))
+        self.assertEqual(0, await wait_for(fleet.processes['a1'].wait(), _STOP_TIMEOUT_S))
         await self._step_until_answered(fleet, flows)
         fleet.processes['a2'].send_signal(SIGKILL)
         site.fabric.balancers.pop('a2')
@@ -105,14 +105,14 @@
         await sleep(6)
         fleet.processes['b1'].send_signal(SIGCONT)
         await self._step_until_answered(fleet, flows)
-        told = await site.caller.request('b2', REPLIES, b'after all')
-        self.assertEqual('answered', told.outcome)
+        reply = await site.caller.request('b2', REPLIES, b'after all')
+        self.assertEqual('answered', reply.outcome)
         self.assertEqual(0, sum(flow.reset for flow in flows))
 
     async def _step_until_answered(self, fleet: Fleet, flows: list[ClientFlow]) -> None:
         """Send packets of all flows until each has been answered once more."""
         before = {flow.number: flow.answered for flow in flows}
-        await until(lambda: self._all_answered(fleet, flows, before))
+        await wait_until(lambda: self._all_answered(fleet, flows, before))
 
     def _all_answered(
         self,
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,7 +16,7 @@
 from bronzekeel.replay.fleet import Fleet
 from bronzekeel.text.model import Document, ServiceText, UpstreamText
 from bronzekeel.text.submission import (
-    LOST_AT_MOST,
+    MAX_LOST_GENERATIONS,
     Accepted,
     Conflict,
     ObjectStore,
@@ -186,7 +186,7 @@
         if head is None or not isinstance(accepted, Accepted):
             self.fail(f'not accepted: {accepted}')
         self.assertEqual((accepted.generation, 'three'), (head.generation, head.submission))
-        self.assertGreater(accepted.generation, 2 + LOST_AT_MOST)
+        self.assertGreater(accepted.generation, 2 + MAX_LOST_GENERATIONS)
 
     def test_large_text_is_never_half_seen(self) -> None:
         """Symptom: a balancer reads half of a text.
--- a/tests/test_text.py
+++ b/tests/test_text.py
@@ -5,7 +5,7 @@
 
 from msgspec.json import decode, encode
 
-from bronzekeel.text.checks import catalogue_of, check_change, parse_text
+from bronzekeel.text.checks import build_catalogue, check_change, parse_text
 from bronzekeel.text.differences import differences
 from bronzekeel.text.faults import FaultKind, TextError
 
@@ -16,21 +16,21 @@
     """Return the places of the faults by kind."""
     try:
         parse_text(body)
-    except TextError as fault:
-        return {found.kind: found.place for found in fault.faults}
+    except TextError as error:
+        return {found.kind: found.place for found in error.faults}
     return {}
 
 
 def service(**changed: object) -> dict[str, object]:
     """Return a sound service with some keys changed."""
-    sound: dict[str, object] = {
+    valid: dict[str, object] = {
         'kind': 'flow',
         'address': '198.51.100.1',
         'port': 443,
         'upstreams': {'dc-a': [{'address': '192.0.2.1:1'}]},
     }
-    sound.update(changed)
-    return sound
+    valid.update(changed)
+    return valid
 
 
 class CheckTest(TestCase):
@@ -70,7 +70,7 @@
         self.assertIn(FaultKind.SHAPE, found)
         self.assertIn(FaultKind.ADDRESS, found)
 
-    def test_what_is_no_text_is_refused(self) -> None:
+    def test_invalid_documents_are_refused(self) -> None:
         """Broken JSON, another shape and an empty text each have a fault."""
         self.assertIn(FaultKind.SYNTAX, faults_of(b'{'))
         self.assertIn(FaultKind.SYNTAX, faults_of(b'\xff\xfe'))
@@ -84,7 +84,7 @@
         balancers still have the former text.
         Cause: views that lag.
         """
-        former = parse_text(encode({'services': {'a': service()}}))
+        previous = parse_text(encode({'services': {'a': service()}}))
         moved = parse_text(
             encode(
                 {
@@ -96,33 +96,33 @@
             )
         )
         with self.assertRaises(TextError) as caught:
-            check_change(former, moved)
+            check_change(previous, moved)
         self.assertEqual(FaultKind.UPSTREAM_MOVED, caught.exception.faults[0].kind)
 
 
 class ExampleTest(TestCase):
     """Use the worked examples."""
 
-    def test_examples_are_sound_and_have_the_sizes_of_the_users(self) -> None:
+    def test_examples_are_valid_and_have_the_expected_sizes(self) -> None:
         """Each user's example parses, and its services have their targets."""
         for name, flow, size in (
             ('stichting.json', 'summons-portal', 7),
             ('dozaj.json', 'plan-and-map', 7),
         ):
             document = parse_text((_EXAMPLES / name).read_bytes())
-            spec = catalogue_of(document, 1).services_by_name[flow]
+            spec = build_catalogue(document, 1).services_by_name[flow]
             self.assertEqual(size, len(spec.upstreams))
             self.assertEqual(3, len(document.services[flow].upstreams))
 
-    def test_differences_name_what_changed(self) -> None:
+    def test_differences_list_each_change(self) -> None:
         """A drained upstream and a removed service are told in one line each."""
         body = (_EXAMPLES / 'stichting.json').read_bytes()
-        former = parse_text(body)
+        previous = parse_text(body)
         raw = decode(body)
         portal = raw['services']['summons-portal']
         portal['upstreams']['den-haag'][0]['state'] = 'draining'
         raw['services'].pop('evidence-intake')
-        lines = differences(former, parse_text(encode(raw)))
+        lines = differences(previous, parse_text(encode(raw)))
         self.assertIn('- service evidence-intake', lines)
         self.assertEqual(2, len(lines))
         self.assertIn('active weight 1 in den-haag -> draining', ''.join(lines))
