--- a/src/bronzekeel/adapters/__init__.py
+++ b/src/bronzekeel/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Turn sockets, calls and timers into events, and effects into I/O."""
+"""Convert sockets, calls and timers to events, and effects to I/O."""
--- a/src/bronzekeel/adapters/asyncio_loop.py
+++ b/src/bronzekeel/adapters/asyncio_loop.py
@@ -1,4 +1,4 @@
-"""Let sockets' owners of the lean balancer live in an asyncio loop."""
+"""Run the socket handlers of the entry daemon on an asyncio event loop."""
 
 from asyncio import AbstractEventLoop
 from collections.abc import Callable
@@ -9,14 +9,14 @@
 
 
 class AsyncioLoop(SocketLoop):
-    """Watch sockets by an asyncio loop, whose clock is the steady one."""
+    """Implement `SocketLoop` on an asyncio loop, which uses the monotonic clock."""
 
     def __init__(self, loop: AbstractEventLoop) -> None:
-        """Use `loop`."""
+        """Register sockets and timers with `loop`."""
         self._loop = loop
 
     def watch(self, sock: socket, mask: int, callback: SocketCallback) -> None:
-        """Call `callback` with the events that `sock` is ready for."""
+        """Call `callback` with the event mask whenever `sock` is ready for events in `mask`."""
         self.unwatch(sock)
         if mask & EVENT_READ:
             self._loop.add_reader(sock, callback, EVENT_READ)
@@ -24,12 +24,12 @@
             self._loop.add_writer(sock, callback, EVENT_WRITE)
 
     def unwatch(self, sock: socket) -> None:
-        """Stop to watch a socket; one that is not watched is fine."""
+        """Stop watching a socket; does nothing if it is not watched."""
         self._loop.remove_reader(sock)
         self._loop.remove_writer(sock)
 
     def call_at(self, at: float, call: Callable[[], None]) -> Deadline:
-        """Make a call at a moment of the steady clock."""
+        """Schedule `call` at the monotonic time `at`; the result can cancel it."""
         deadline = Deadline(at, call)
         self._loop.call_at(at, self._make, deadline)
         return deadline
--- a/src/bronzekeel/adapters/callers.py
+++ b/src/bronzekeel/adapters/callers.py
@@ -1,4 +1,4 @@
-"""Serve callers over gRPC: reserve an id, run it, stream the answer."""
+"""Serve callers over gRPC: reserve an id, run the request, stream the answer."""
 
 from asyncio import CancelledError, Future, Task, create_task, get_running_loop
 from collections.abc import Callable, Mapping
@@ -24,7 +24,7 @@
 _logger = getLogger(__name__)
 _MILLISECONDS = 1000
 
-#: Largest request body; callers stream nothing larger than a document.
+#: Largest request body; the largest requests carry one document.
 MAX_BODY_BYTES = 0x1000000
 
 _Runs: TypeAlias = 'Stream[proto.RunRequest, proto.RunReply]'
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnd:
-    """Hold how one call ended; `took_s` is seconds."""
+    """Describe how a call ended; `took_s` is its duration in seconds."""
 
     service: str
     group: str
@@ -52,10 +52,10 @@
 
 
 class Callers(RequestsBase):
-    """Turn calls into events and effects into replies.
+    """Convert calls to events and effects to replies.
 
-    `emit` feeds the reducer; the effects it causes come back through
-    ``reserved``, ``relay``, ``settle`` and ``answers``.
+    `emit` passes events to the reducer; the resulting effects come back through
+    ``reserved``, ``relays``, ``settle`` and ``answers``.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         clock: Callable[[], float],
         on_end: Callable[[CallEnd], None],
     ) -> None:
-        """Use `emit` for events, `clock` for deadlines; tell `ended` of each call."""
+        """Emit events by `emit`, read `clock` for deadlines, report each end to `on_end`."""
         self.on_end = on_end
         self.answers: dict[str, Answer] = {}
         self.relays: dict[str, HostEntry] = {}
@@ -76,25 +76,25 @@
         self._channels: dict[str, Channel] = {}
 
     async def open(self, address: str, port: int) -> int:
-        """Bind the callers' port; return it."""
+        """Bind the port for callers and return its number."""
         await self._server.start(address, port)
         sockets = self._server._server.sockets  # noqa: SLF001 (no public way to the port)
         return sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Take no more calls."""
+        """Stop accepting calls and close the channels to other balancers."""
         for channel in self._channels.values():
             channel.close()
         self._server.close()
         await self._server.wait_closed()
 
     def reserved(self, outcome: str | NotRun) -> None:
-        """Give the id, or the refusal, to the call that is being reduced."""
+        """Pass the reserved id, or the refusal, to the pending Reserve call."""
         if self._reservation is not None and not self._reservation.done():
             self._reservation.set_result(outcome)
 
     def settle(self, request: str, outcome: NotRun | Unknown) -> None:
-        """Give a request's outcome to the call that waits for it."""
+        """Pass a request's outcome to the call that waits for it."""
         if not request:
             if isinstance(outcome, NotRun):
                 self.reserved(outcome)
@@ -106,7 +106,7 @@
             task.add_done_callback(self._settle_tasks.discard)
 
     async def Reserve(self, stream: _Reserves) -> None:
-        """Serve the call that reserves an id."""
+        """Handle a Reserve call: reply with a request id or a refusal."""
         message = await stream.recv_message()
         if message is None:
             return
@@ -120,7 +120,7 @@
         await stream.send_message(proto.ReserveReply(id=outcome))
 
     async def Run(self, stream: _Runs) -> None:
-        """Serve the call that runs a request."""
+        """Handle a Run call: run the reserved request and stream its answer."""
         message = await stream.recv_message()
         if message is None:
             return
@@ -171,11 +171,11 @@
         piece: EndMark | NotRun | Unknown,
         started_at: float,
     ) -> None:
-        """Tell how a call ended, and how long it took."""
+        """Report the outcome and duration of a call to `on_end`."""
         kind = '' if isinstance(piece, EndMark) else str(piece.kind)
-        word = _OUTCOME_NAMES[type(piece)]
+        outcome = _OUTCOME_NAMES[type(piece)]
         took_s = self._clock() - started_at
-        self.on_end(CallEnd(message.service, message.group, word, kind, took_s))
+        self.on_end(CallEnd(message.service, message.group, outcome, kind, took_s))
 
     async def _forward(
         self,
@@ -183,7 +183,7 @@
         message: proto.RunRequest,
         host: HostEntry,
     ) -> None:
-        """Let the balancer that issued the id run it, and pass its answer on."""
+        """Relay the request to the balancer that issued its id and stream the answer back."""
         if message.relayed:
             await _send(stream, unknown(UnknownKind.ISSUER_GONE))
             return
@@ -202,13 +202,13 @@
                     ended = not reply.HasField('chunk')
                     await stream.send_message(reply)
         except CALL_ERRORS:
-            _logger.debug('relay of %s failed', message.id)
+            _logger.debug('failed to relay request %s', message.id)
         if not ended:
             await _send(stream, unknown(UnknownKind.ISSUER_GONE))
 
 
 async def _send(stream: _Runs, piece: bytes | EndMark | NotRun | Unknown) -> None:
-    """Send one part of a reply."""
+    """Send one piece of an answer, its end mark, or an outcome."""
     if isinstance(piece, bytes):
         await stream.send_message(proto.RunReply(chunk=piece))
     elif isinstance(piece, EndMark):
@@ -216,8 +216,8 @@
     elif isinstance(piece, NotRun):
         await stream.send_message(proto.RunReply(not_run=_refusal(piece)))
     else:
-        word = proto.Unknown(kind=piece.kind, remedy=piece.remedy)
-        await stream.send_message(proto.RunReply(unknown=word))
+        outcome = proto.Unknown(kind=piece.kind, remedy=piece.remedy)
+        await stream.send_message(proto.RunReply(unknown=outcome))
 
 
 def _refusal(outcome: NotRun) -> proto.NotRun:
--- a/src/bronzekeel/adapters/codec.py
+++ b/src/bronzekeel/adapters/codec.py
@@ -1,9 +1,9 @@
-"""Read the packets that the fabric and peers send: IP in UDP.
+"""Decode the packets that the fabric and peers send: IP in UDP.
 
-Outer UDP payloads are whole IPv4 packets.  Between balancers four bytes go
-before them: a mark that no IP packet starts with, a version, the hand-offs so
-far, and zero.  The common packet, without IP options, has a path of its own with
-fixed places, since every microsecond counts there.
+The UDP payload is a whole IPv4 packet.  Between balancers a header of four bytes precedes it: a
+mark that no IPv4 packet starts with, a version, the number of hand-offs so far, and zero.  Packets
+without IP options, the common case, are decoded at fixed offsets, because this path is on the hot
+path of forwarding.
 """
 
 from struct import Struct
@@ -34,21 +34,21 @@
 _FLAGS_OFFSET = 13
 _DATA_OFFSET_POSITION = 12
 
-#: Of a packet without IP options: version and length, total length, fragment
-#: bits, protocol, addresses and ports in one piece, TCP data offset, flags.
+#: Fields of a packet without IP options: version and header length, total length,
+#: fragment bits, protocol, addresses and ports as one string, TCP data offset, flags.
 _unpack_common_packet = Struct('!BxH2xHxB2x12s8xBB').unpack_from
 
-#: Largest inner packet; more would not fit a datagram with its header.
+#: Largest inner packet; a larger one does not fit into a datagram with the hand-off header.
 MAX_PACKET_BYTES = 65000
 
 
 def hand_off_header(hops: int) -> bytes:
-    """Return the header of a packet that is handed to another balancer."""
+    """Return the header for a packet that is handed off to another balancer."""
     return bytes((_HAND_OFF_MARK, _VERSION, hops, 0))
 
 
 def read_packet(raw: bytes, hops: int = 0) -> Packet | DropReason:
-    """Return the packet in a datagram, or why it is dropped."""
+    """Return the packet in a datagram, or the reason to drop it."""
     if len(raw) < _MIN_PACKET_BYTES:
         return DropReason.MALFORMED
     first, length, fragment, protocol, addresses_and_ports, data_offset, flags = (
@@ -68,14 +68,14 @@
 
 
 def _read_handed_off(raw: bytes) -> Packet | DropReason:
-    """Read a packet that another balancer handed over."""
+    """Decode a packet that another balancer handed off."""
     if raw[1] != _VERSION or raw[_HEADER_BYTES] == _HAND_OFF_MARK:
         return DropReason.MALFORMED
     return read_packet(raw[_HEADER_BYTES:], raw[2])
 
 
 def _read_uncommon(raw: bytes, hops: int) -> Packet | DropReason:
-    """Read a packet with IP options, or tell why it is none of ours."""
+    """Decode a packet with IP options, or return the reason to drop it."""
     if len(raw) > MAX_PACKET_BYTES:
         return DropReason.TOO_BIG
     if raw[0] >> 4 != _IPV4:
@@ -93,7 +93,7 @@
 
 
 def _packet_with_options(raw: bytes, start: int, hops: int) -> Packet:
-    """Read a packet whose TCP header begins at `start`."""
+    """Return the packet whose TCP header starts at byte `start`."""
     flags = raw[start + _FLAGS_OFFSET]
     destination_port = raw[start + 2 : start + _WORD_BYTES]
     return Packet(
--- a/src/bronzekeel/adapters/errors.py
+++ b/src/bronzekeel/adapters/errors.py
@@ -1,4 +1,4 @@
-"""Name the faults of calls, so that every caller catches the same ones."""
+"""Name the errors of calls, so that every caller catches the same ones."""
 
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
--- a/src/bronzekeel/adapters/health.py
+++ b/src/bronzekeel/adapters/health.py
@@ -1,4 +1,4 @@
-"""Ask upstreams' standard gRPC health service, as a hint for the slot keeper."""
+"""Probe the standard gRPC health service of upstreams, as a hint for the slot keeper."""
 
 from asyncio import Task, create_task, gather, sleep
 from collections.abc import Callable
@@ -11,14 +11,14 @@
 from bronzekeel.adapters.errors import CALL_ERRORS
 from bronzekeel.core.events import Event, HealthHint
 
-#: Interval of the questions, spread at random; an answer may take as long.
+#: Mean interval between probes, randomised by half; also the timeout of a probe.
 _PROBE_INTERVAL_S = 2.0
 
 
 class HealthProber:
-    """Ask the upstreams of the services whose slots are kept here.
+    """Probe the upstreams of the services whose slots this balancer keeps.
 
-    An endpoint that does not answer says nothing: only an answer is a hint.
+    A probe that fails gives no hint: only an answer does.
     """
 
     def __init__(
@@ -27,18 +27,18 @@
         list_upstreams: Callable[[], list[tuple[str, str]]],
         channel_to: Callable[[str], Channel],
     ) -> None:
-        """Ask those that `list_upstreams` names, as service and endpoint, and feed `emit`."""
+        """Probe the pairs of service and endpoint that `list_upstreams` returns."""
         self._emit = emit
         self._list_upstreams = list_upstreams
         self._channel_to = channel_to
         self._task: Task[None] | None = None
 
     def open(self) -> None:
-        """Start to ask."""
+        """Start probing."""
         self._task = create_task(self._run())
 
     def close(self) -> None:
-        """Ask no more."""
+        """Stop probing."""
         if self._task is not None:
             self._task.cancel()
 
--- a/src/bronzekeel/adapters/packets.py
+++ b/src/bronzekeel/adapters/packets.py
@@ -1,4 +1,4 @@
-"""Receive packets, give each its verdict, and send it on its way."""
+"""Receive packets, decide on each, and forward, hand off or drop it."""
 
 from asyncio import AbstractEventLoop
 from collections import Counter
@@ -12,7 +12,7 @@
 from bronzekeel.core.steering.packets import DropReason, Verdict
 
 
-#: Datagrams taken at once before other work gets its turn.
+#: Datagrams received per wake-up, so that other work on the event loop is not starved.
 _MAX_BATCH = 64
 _MAX_DATAGRAM_BYTES = 65535
 _RECEIVE_BUFFER_BYTES = 4 * 1024 * 1024
@@ -24,8 +24,8 @@
 class PacketSocket:
     """Own the UDP socket for packets of flows.
 
-    `address_of` gives a balancer's packet address by name, None when it is not
-    known.  What ``steer_by`` was given decides on packets.
+    `address_of` returns the packet address of a balancer by name, None if it is not known.  The
+    function set by ``steer_by`` decides on packets; until then all are dropped.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         address_of: Callable[[str], _Address | None],
         clock: Callable[[], float] = monotonic,
     ) -> None:
-        """Bind the socket; port 0 takes a free one."""
+        """Bind the socket; with port 0 the kernel chooses a free port."""
         self.counts: Counter[str] = Counter()
         self._decide: _Decide = _drop_not_ready
         self._clock = clock
@@ -49,26 +49,26 @@
 
     @property
     def port(self) -> int:
-        """Port that the socket is bound to."""
+        """Return the port that the socket is bound to."""
         return self._socket.getsockname()[1]
 
     def open(self, loop: AbstractEventLoop) -> None:
-        """Start to take packets."""
+        """Start receiving packets."""
         self._loop = loop
         loop.add_reader(self._socket.fileno(), self.receive_batch)
 
     def steer_by(self, decide: _Decide) -> None:
-        """Let `decide` give the verdict on each packet, with the batch's time."""
+        """Call `decide` with each packet and the time of its batch for the verdict."""
         self._decide = decide
 
     def close(self) -> None:
-        """Stop to take packets and free the socket."""
+        """Stop receiving packets and close the socket."""
         if self._loop is not None:
             self._loop.remove_reader(self._socket.fileno())
         self._socket.close()
 
     def receive_batch(self) -> None:
-        """Take the packets that wait, a batch at most."""
+        """Receive the packets that are queued, up to one batch."""
         receive = self._socket.recv
         send = self._socket.sendto
         decide = self._decide
@@ -82,7 +82,7 @@
                     self.counts[packet] += 1
                     continue
                 verdict = decide(packet, now)
-                # The common verdict is carried out in place: calls cost here.
+                # The common verdict is executed inline: a function call per packet is costly here.
                 if (
                     not isinstance(verdict, Forward)
                     or verdict.stale
@@ -99,7 +99,7 @@
         self.counts['forwarded'] += forwarded
 
     def carry_out(self, verdict: Forward | Hand | Drop) -> None:
-        """Send or drop a packet as its verdict says."""
+        """Forward, hand off or drop a packet according to its verdict."""
         if isinstance(verdict, Forward):
             self.counts['stale' if verdict.stale else 'forwarded'] += 1
             self._send(verdict.raw, self._endpoint(verdict.upstream))
@@ -115,7 +115,7 @@
         self._send(hand_off_header(verdict.hops) + verdict.raw, address)
 
     def _endpoint(self, endpoint: str) -> _Address:
-        """Return an endpoint as a socket address, split only once."""
+        """Return an endpoint as a socket address, from the cache if possible."""
         address = self._endpoints.get(endpoint)
         if address is None:
             host, _, port = endpoint.rpartition(':')
@@ -124,7 +124,7 @@
         return address
 
     def _send(self, raw: bytes, address: _Address) -> None:
-        """Send one datagram; a full buffer loses it, as a network would."""
+        """Send a datagram; it is lost if the socket buffer is full, as on a network."""
         try:
             self._socket.sendto(raw, address)
         except OSError:
--- a/src/bronzekeel/adapters/peers.py
+++ b/src/bronzekeel/adapters/peers.py
@@ -1,8 +1,7 @@
-"""Carry messages between balancers.
+"""Send and receive messages between balancers.
 
-Heartbeats are datagrams: a lost one is replaced by the next, and one that is
-late must not hold up others.  All else goes in order over gRPC, several
-messages a call.
+Heartbeats are datagrams: the next one replaces a lost one, and a late one must not delay others.
+All other messages are sent in order over gRPC, several per call.
 """
 
 from asyncio import (
@@ -44,17 +43,17 @@
 
 
 class _Batch(Struct, frozen=True, array_like=True):
-    """Hold the messages of one call."""
+    """Contain the messages of one call."""
 
     messages: tuple[Message, ...]
 
 
 class _Ack(Struct, frozen=True, array_like=True):
-    """Confirm a call."""
+    """Acknowledge a batch."""
 
 
 class _PeerCodec(CodecBase):
-    """Encode peer calls as MessagePack."""
+    """Encode calls between peers as MessagePack."""
 
     __content_subtype__ = 'msgpack'
 
@@ -66,19 +65,19 @@
         }
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """Return the bytes of a call's message."""
+        """Encode a request or reply of a call."""
         return self._encoder.encode(message)
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Return the message of a call.  Raises WireError for bad bytes."""
+        """Decode a request or reply of a call.  Raises WireError if it is invalid."""
         try:
             return self._decoders[message_type].decode(data)
         except (DecodeError, ValidationError, RecursionError) as error:
-            raise WireError(f'not a peer call, drop it: {error}') from error
+            raise WireError(f'invalid peer call: {error}') from error
 
 
 class _Service:
-    """Serve the calls of peers."""
+    """Serve calls from peers."""
 
     def __init__(self, on_message: Callable[[Message], None]) -> None:
         self._on_message = on_message
@@ -97,7 +96,7 @@
 
 
 class _Datagrams(DatagramProtocol):
-    """Take heartbeats; anything that is none is counted and dropped."""
+    """Receive heartbeats; count and drop datagrams that cannot be decoded."""
 
     def __init__(self, on_message: Callable[[Message], None], counts: Counter[str]) -> None:
         self._on_message = on_message
@@ -113,7 +112,7 @@
 
 
 class _Outbox:
-    """Send the messages for one peer in order."""
+    """Queue messages for one peer and send them in order."""
 
     def __init__(self, host: HostEntry, codec: CodecBase) -> None:
         self.host = host
@@ -123,14 +122,14 @@
         self.failed = 0
 
     def put(self, message: Message) -> None:
-        """Queue a message; a full queue loses it, and the protocol repeats it."""
+        """Queue a message; if the queue is full it is lost, and the protocol repeats it."""
         try:
             self._queue.put_nowait(message)
         except QueueFull:
             self.failed += 1
 
     def close(self) -> None:
-        """End the connection."""
+        """Stop sending and close the connection."""
         self._task.cancel()
         self._channel.close()
 
@@ -145,17 +144,17 @@
             except CALL_ERRORS:
                 self.failed += 1
                 _logger.debug(
-                    'peer %s not reached',
+                    'cannot reach peer %s',
                     self.host.name,
                     extra={'event': LogNumber.PEER_UNREACHED},
                 )
 
 
 class Peers:
-    """Own the sockets towards other balancers."""
+    """Own the sockets for messages from and to other balancers."""
 
     def __init__(self, on_message: Callable[[Message], None]) -> None:
-        """Pass every message that arrives to `on_message`."""
+        """Pass every received message to `on_message`."""
         self.counts: Counter[str] = Counter()
         self.bytes_by_kind: Counter[str] = Counter()
         self._on_message = on_message
@@ -165,7 +164,7 @@
         self._outboxes: dict[str, _Outbox] = {}
 
     async def open(self, address: str, port: int) -> int:
-        """Bind one port for calls and datagrams; return it."""
+        """Bind one port for both calls and datagrams, and return its number."""
         loop: AbstractEventLoop = get_running_loop()
         datagrams, calls = bind_pair(address, repeat(port, MAX_BIND_ATTEMPTS))
         transport, _ = await loop.create_datagram_endpoint(
@@ -177,7 +176,7 @@
         return calls.getsockname()[1]
 
     def send(self, host: HostEntry, message: Message) -> None:
-        """Send a message to a peer; it may be lost."""
+        """Send a message to a peer, without a guarantee of delivery."""
         raw = encode(message)
         self.bytes_by_kind[type(message).__name__] += wire_bytes(message, raw)
         if isinstance(message, Heartbeat):
@@ -187,7 +186,7 @@
         self._outbox(host).put(message)
 
     async def close(self) -> None:
-        """Close all sockets."""
+        """Close all connections and sockets."""
         for outbox in self._outboxes.values():
             outbox.close()
         if self._transport is not None:
--- a/src/bronzekeel/adapters/rollout.py
+++ b/src/bronzekeel/adapters/rollout.py
@@ -1,4 +1,4 @@
-"""Bring the text and the list of hosts from the platform."""
+"""Read the text and the list of hosts from the platform."""
 
 from asyncio import Task, create_task, sleep
 from collections.abc import Callable
@@ -27,19 +27,20 @@
 _logger = getLogger(__name__)
 
 
-#: Interval in seconds at which a watcher reads the list of hosts.  Source: the
-#: platform's own list lags by about as much.
+#: Interval in seconds at which a watcher reads the list of hosts; the platform's
+#: own list lags by about as much.
 _HOSTS_INTERVAL_S = 10.0
 
-#: Interval in seconds while the list was never read: peers are found by it alone.
+#: Interval in seconds until the list is read for the first time: peers are found only by it.
 _HOSTS_UNREAD_INTERVAL_S = 1.0
 _READ_ERRORS = (StoreLost, StoreRefused, DecodeError, ValidationError)
 
 
 class TextSource:
-    """Watch the platform's head while the balancer has that role.
+    """Watch the platform's head object while this balancer is a watcher.
 
-    After a failure it waits as all callers of the store do (`core.store_waits`).
+    Failed calls are retried with the backoff that all callers of the store use
+    (`core.store_waits`).
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         platform: PlatformClient,
         emit: Callable[[Event], None],
     ) -> None:
-        """Read from `platform` for `host` and feed the reducer by `emit`."""
+        """Read from `platform` for `host` and pass events to the reducer by `emit`."""
         self._host = host
         self._platform = platform
         self._emit = emit
@@ -57,16 +58,16 @@
         self._platform_lost = False
 
     def open(self) -> None:
-        """Start to read the list of hosts."""
+        """Start reading the list of hosts."""
         self._tasks['hosts'] = create_task(self._follow_hosts())
 
     async def close(self) -> None:
-        """End all reading."""
+        """Cancel all reads and watches."""
         for task in self._tasks.values():
             task.cancel()
 
     def watch(self, *, active: bool) -> None:
-        """Take up or lay down the watch."""
+        """Start or stop watching the head object."""
         task = self._tasks.pop('watch', None)
         if task is not None:
             task.cancel()
@@ -92,7 +93,7 @@
         try:
             head = decode(body, type=Head)
         except (DecodeError, ValidationError):
-            _logger.error('head unreadable', extra={'event': LogNumber.TEXT_BAD})
+            _logger.error('head object unreadable', extra={'event': LogNumber.TEXT_BAD})
             self._version = version
             return
         text = await load_text(self._platform, head)
@@ -108,10 +109,10 @@
         self._emit(TextAccepted(catalogue, from_platform=True))
 
     async def _follow_hosts(self) -> None:
-        """Read the list as long as it is not known, then as a watcher alone.
+        """Read the list of hosts until it is known, and afterwards only as a watcher.
 
-        All others get it from their data centre's watchers: thousands of
-        balancers that each read it would eat the platform's calls.
+        The other balancers get it from the watchers of their data centre: reads by
+        thousands of balancers would use up the platform's call rate.
         """
         version = 0
         while True:
@@ -121,14 +122,14 @@
             await sleep(wait_s * (0.5 + random()))
 
     async def _read_hosts(self, version: int) -> int:
-        """Read the list of hosts; return its version, zero when it was not read."""
+        """Read the list of hosts; return its version, 0 if it could not be read."""
         try:
             stored = await self._platform.read(HOSTS_KEY)
             if stored.version > version:
                 hosts = decode(stored.body, type=tuple[HostEntry, ...])
                 self._emit(HostsListed(hosts, stored.version))
         except _READ_ERRORS:
-            _logger.debug('list of hosts not read')
+            _logger.debug('cannot read the list of hosts')
             return 0
         return stored.version
 
--- a/src/bronzekeel/adapters/upstreams.py
+++ b/src/bronzekeel/adapters/upstreams.py
@@ -1,4 +1,4 @@
-"""Send requests to upstreams over gRPC and tell how each attempt ended."""
+"""Send requests to upstreams over gRPC and report how each attempt ended."""
 
 from asyncio import CancelledError, Queue, Task, create_task
 from collections.abc import Callable
@@ -16,20 +16,21 @@
 from bronzekeel.proto.requests_pb2 import Work
 
 
-#: Pieces of an answer that wait for a slow caller before the upstream is held.
+#: Pieces of an answer that are buffered for a slow caller before reading from the
+#: upstream stops (back-pressure).
 _MAX_BUFFERED_PIECES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class EndMark:
-    """Mark the end of a whole answer of `size` bytes."""
+    """Mark the end of a complete answer of `size` bytes."""
 
     size: int
 
 
 @dataclass(slots=True)
 class Answer:
-    """Carry one request's body to the upstream and its answer to the caller."""
+    """Hold the body of a request and the queue of answer pieces for its caller."""
 
     request: str
     service: str
@@ -41,7 +42,7 @@
 
 
 class Upstreams:
-    """Own the channels to upstreams and the attempts under way."""
+    """Own the channels to upstreams and the attempts in progress."""
 
     def __init__(self, ended: Callable[[AttemptEnded], None]) -> None:
         """Report the end of every attempt to `ended`."""
@@ -50,25 +51,25 @@
         self._tasks: dict[str, Task[None]] = {}
 
     def attempt(self, effect: Attempt, answer: Answer, wait_s: float) -> None:
-        """Start an attempt; it ends after `wait_s` at the latest."""
+        """Start an attempt with a timeout of `wait_s` seconds."""
         task = create_task(self._run(effect, answer, wait_s))
         self._tasks[effect.request] = task
 
     def cancel(self, request: str) -> None:
-        """Cancel the attempt of a request."""
+        """Cancel the attempt for a request, if one is in progress."""
         task = self._tasks.get(request)
         if task is not None:
             task.cancel()
 
     def close(self) -> None:
-        """End all attempts and channels."""
+        """Cancel all attempts and close all channels."""
         for task in list(self._tasks.values()):
             task.cancel()
         for channel in self._channels.values():
             channel.close()
 
     def channel_to(self, endpoint: str) -> Channel:
-        """Return the channel to an upstream, opened with its first call."""
+        """Return the cached channel to an upstream; it connects with the first call."""
         channel = self._channels.get(endpoint)
         if channel is None:
             host, _, port = endpoint.rpartition(':')
@@ -85,7 +86,10 @@
         self._ended(AttemptEnded(effect.request, effect.upstream, ended))
 
     async def _call(self, endpoint: str, answer: Answer, wait_s: float) -> AttemptEnd:
-        """Make one call; before its request is sent a failure proves nothing ran."""
+        """Make one call and return how it ended.
+
+        A failure before the request is sent proves that the upstream did not run it.
+        """
         stub = UpstreamStub(self.channel_to(endpoint))
         sent = False
         deadline = Deadline.from_timeout(wait_s)
@@ -107,7 +111,7 @@
         return AttemptEnd.CUT if answer.size else AttemptEnd.LOST
 
     async def _relay(self, stream: object, answer: Answer) -> AttemptEnd:
-        """Pass the answer on piece by piece; only an end mark makes it whole."""
+        """Pass the answer on piece by piece; it is complete only with an end mark."""
         async for piece in stream:  # type: ignore[attr-defined]
             if piece.HasField('end'):
                 if piece.end.size != answer.size:
--- a/src/bronzekeel/wire.py
+++ b/src/bronzekeel/wire.py
@@ -1,4 +1,4 @@
-"""Encode messages between balancers; the codec is MessagePack by msgspec."""
+"""Encode and decode messages between balancers as MessagePack."""
 
 from msgspec import DecodeError, ValidationError
 from msgspec.msgpack import Decoder, Encoder
@@ -15,26 +15,26 @@
 
 
 class WireError(ValueError):
-    """Tell that bytes from a peer are no message; they are to be dropped."""
+    """Raised for bytes from a peer that are not a valid message; drop them."""
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of a message."""
+    """Return the encoded message."""
     return _encoder.encode(message)
 
 
 def decode(raw: bytes) -> Message:
-    """Return the message that `raw` spells.
+    """Return the message encoded in `raw`.
 
-    Raises WireError for anything else.
+    Raises WireError if it is not a valid message.
     """
     try:
         return _decoder.decode(raw)
     except (DecodeError, ValidationError, RecursionError) as error:
-        raise WireError(f'not a peer message, drop it: {error}') from error
+        raise WireError(f'invalid peer message: {error}') from error
 
 
 def wire_bytes(message: Message, raw: bytes) -> int:
-    """Return what sending a message takes: its bytes and those of its carrier."""
+    """Return the bytes that a message takes on the wire, with datagram or call overhead."""
     overhead = _DATAGRAM_OVERHEAD_BYTES if isinstance(message, Heartbeat) else _CALL_OVERHEAD_BYTES
     return len(raw) + overhead
