--- a/src/bronzekeel/balancer/__init__.py
+++ b/src/bronzekeel/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""Run one balancer: settings, wiring, shutdown."""
+"""Run one balancer: settings, start-up, HTTP status and shutdown."""
--- a/src/bronzekeel/balancer/daemon.py
+++ b/src/bronzekeel/balancer/daemon.py
@@ -1,4 +1,4 @@
-"""Wire adapters and reducer into one running balancer."""
+"""Connect the adapters and the reducer to form a running balancer."""
 
 from asyncio import Event as AsyncEvent, get_running_loop, gather, wait_for
 from collections import Counter
@@ -57,21 +57,20 @@
 
 _logger = getLogger(__name__)
 
-#: Wait after the last duty, for packets that the fabric has still in flight.
+#: Seconds between the end of all duties and closing, for packets still in flight in the fabric.
 _LINGER_S = 0.5
 
-#: Seconds in which the servers' last calls may end.  What goes wrong without it: a
-#: caller that holds a call open for ever keeps a stopped process alive.  Source: a
-#: call between balancers ends in 2 s or fails.
+#: Timeout in seconds for closing the servers.  Without it, a caller that holds a call open
+#: indefinitely keeps a stopped process alive.  Calls between balancers end or fail within 2 s.
 CLOSE_TIMEOUT_S = 2.0
 _NANOSECONDS_IN_MS = 1_000_000
 
 
 class Balancer:
-    """Own the state of one balancer and everything that touches it.
+    """Own the state of one balancer and the adapters around it.
 
-    Events reach the reducer through one ``reactivex`` subject, in one thread;
-    effects leave it through another.
+    Events reach the reducer through one ``reactivex`` subject, and its effects leave through
+    another, all in one thread.
     """
 
     def __init__(
@@ -79,7 +78,7 @@
         settings: Settings,
         clock: Callable[[], float] = monotonic,
     ) -> None:
-        """Prepare a balancer; nothing is opened before ``start``."""
+        """Create a balancer and bind its packet port; ``start`` opens the rest."""
         self.settings = settings
         self.counts: Counter[str] = Counter()
         self.in_force_at: dict[int, float] = {}
@@ -130,16 +129,16 @@
 
     @property
     def packet_counts(self) -> Counter[str]:
-        """Packets by what became of them."""
+        """Return packet counts by outcome."""
         return self._packets.counts
 
     @property
     def handled_effects(self) -> frozenset[type]:
-        """Kinds of effects that are carried out."""
+        """Return the kinds of effects that have a handler."""
         return frozenset(self._handlers)
 
     async def start(self) -> HostEntry:
-        """Open all sockets; return the host with the ports that were bound."""
+        """Open the remaining sockets, start the tasks, and return the host entry with its ports."""
         loop = get_running_loop()
         address = self.settings.address
         ports = self.settings.ports
@@ -178,12 +177,14 @@
         return self.me
 
     async def stop(self) -> None:
-        """Stop in the planned way: hand over, let requests end, then close."""
+        """Stop gracefully: hand off the shards, wait for requests to end, then close."""
         self.events.on_next(StopAsked())
         try:
             await wait_for(self._stopped.wait(), self.settings.stop_within_s)
         except TimeoutError:
-            _logger.warning('not idle within %s s', self.settings.stop_within_s)
+            _logger.warning(
+                'still busy %s s after the stop request; closing', self.settings.stop_within_s
+            )
         linger = AsyncEvent()
         get_running_loop().call_later(_LINGER_S, linger.set)
         await linger.wait()
@@ -191,7 +192,7 @@
         self._log(LogNumber.STOPPED, '')
 
     async def close(self) -> None:
-        """Close everything at once, as a crash would."""
+        """Close everything as a crash would, without handing anything off."""
         self._ticks.dispose()
         self._packets.close()
         self._prober.close()
@@ -200,7 +201,7 @@
         try:
             await wait_for(gather(self.callers.close(), self.peers.close()), CLOSE_TIMEOUT_S)
         except TimeoutError:
-            _logger.warning('calls did not end within %s s of the stop', CLOSE_TIMEOUT_S)
+            _logger.warning('calls still open %s s after the stop; abandoned', CLOSE_TIMEOUT_S)
         await self.platform.close()
         self._recorder.close()
         self._outcomes.close()
@@ -209,7 +210,7 @@
         self.events.on_next(PeerSaid(message))
 
     def _reduce(self, event: Event) -> None:
-        """Reduce one event; a fault in one must not end the balancer."""
+        """Pass an event to the reducer; an exception there must not stop the balancer."""
         if self.state is None:
             return
         now = self._clock()
@@ -219,7 +220,7 @@
         except Exception:
             self.counts['internal_fault'] += 1
             _logger.exception(
-                'event %s failed',
+                'exception while reducing event %s',
                 type(event).__name__,
                 extra={'event': LogNumber.INTERNAL_FAULT},
             )
--- a/src/bronzekeel/balancer/logs.py
+++ b/src/bronzekeel/balancer/logs.py
@@ -1,4 +1,4 @@
-"""Write numbered events as JSON lines; only daemons configure logging."""
+"""Configure the daemons' logging and write numbered events as JSON lines."""
 
 from collections import deque
 from logging import Handler, Logger, LogRecord, StreamHandler, getLogger
@@ -13,20 +13,20 @@
 
 
 class RecentEvents(Handler):
-    """Keep the newest log lines for ``bronzekeel events``."""
+    """Retain the newest log lines for ``bronzekeel events``."""
 
     def __init__(self) -> None:
-        """Keep a fixed number of lines."""
+        """Start with an empty buffer of fixed size."""
         super().__init__()
         self.lines: deque[str] = deque(maxlen=_MAX_RECENT_LINES)
 
     def emit(self, record: LogRecord) -> None:
-        """Keep a record as it would be written."""
+        """Append the formatted record."""
         self.lines.append(self.format(record))
 
 
 def configure(level: str) -> RecentEvents:
-    """Write the package's logs to standard error; return the recent ones."""
+    """Send the package's logs to standard error; return the handler of recent lines."""
     formatter = JsonFormatter(
         '{asctime}{levelname}{name}{message}',
         style='{',
@@ -42,7 +42,7 @@
 
 
 def log_event(logger: Logger, number: int, detail: str, host: str) -> None:
-    """Write a numbered event."""
+    """Log an event under its number and name."""
     known = LogNumber(number)
     logger.info(
         '%s %s',
--- a/src/bronzekeel/balancer/recorder.py
+++ b/src/bronzekeel/balancer/recorder.py
@@ -1,4 +1,4 @@
-"""Record a balancer's events as a trace for replay, a JSON line each."""
+"""Record a balancer's events as a trace for replay, one JSON line per event."""
 
 from pathlib import Path
 from typing import TextIO
@@ -11,7 +11,7 @@
 
 
 class TraceHead(Struct, frozen=True):
-    """Hold the first line of a trace: which balancer recorded it, from when."""
+    """Describe the first line of a trace: the recording balancer and its start."""
 
     at: float
     host: HostEntry
@@ -19,29 +19,29 @@
 
 
 class TraceLine(Struct, frozen=True, omit_defaults=True):
-    """Hold one line of a trace; `at` is seconds of the recording clock."""
+    """Describe one event in a trace; `at` is in seconds of the recording clock."""
 
     at: float
     event: Event
 
 
 class Recorder:
-    """Write events to a file, or do nothing without a path."""
+    """Write events to a file; does nothing without a path."""
 
     def __init__(self, path: str) -> None:
-        """Open `path` for a new trace, unless it is empty."""
+        """Open `path` for writing, unless `path` is empty."""
         self._file: TextIO | None = None
         if path:
             self._file = Path(path).open('w', encoding='utf-8')
 
     def begin(self, now: float, host: HostEntry, incarnation: int) -> None:
-        """Write the first line."""
+        """Write the first line of the trace."""
         if self._file is not None:
             line = encode(TraceHead(now, host, incarnation)).decode()
             self._file.write(f'{line}\n')
 
     def record(self, now: float, event: Event) -> None:
-        """Write one event; a full disk must not stop the balancer."""
+        """Write one event; stop recording on an I/O error such as a full disk."""
         if self._file is None:
             return
         try:
@@ -51,6 +51,6 @@
             self._file = None
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the trace file, if one is open."""
         if self._file is not None:
             self._file.close()
--- a/src/bronzekeel/balancer/settings.py
+++ b/src/bronzekeel/balancer/settings.py
@@ -1,4 +1,4 @@
-"""Read a balancer's settings, JSON checked against this shape."""
+"""Read and validate a balancer's settings, a JSON file."""
 
 from ipaddress import ip_address
 from pathlib import Path
@@ -18,11 +18,11 @@
 
 
 class SettingsError(ValueError):
-    """Tell what is wrong with the settings: file, JSON path, problem, remedy."""
+    """Raised for invalid settings; the message has file, JSON path, problem and remedy."""
 
 
 class Ports(Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold the ports to bind; 0 takes a free one."""
+    """Hold the ports to bind; 0 means a free port."""
 
     packets: _Port = 0
     peers: _Port = 0
@@ -31,7 +31,7 @@
 
 
 class Seed(Struct, frozen=True, forbid_unknown_fields=True):
-    """Describe a peer that is known without the platform."""
+    """Describe a peer that is known without the platform's list of hosts."""
 
     name: _Name
     data_centre: _Name
@@ -41,7 +41,7 @@
     callers: _Port = 0
 
     def entry(self) -> HostEntry:
-        """Return the seed as a host of the fleet."""
+        """Return the host entry of the seed."""
         return HostEntry(
             self.name,
             self.data_centre,
@@ -55,8 +55,8 @@
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
     """Hold all settings of one balancer.
 
-    `record` names a file that every event is recorded to, for replay;
-    `outcomes` one that the end of every request is, for ``bronzekeel report``.
+    `record` is the path of a file for a trace of all events, for replay; `outcomes` that of a
+    file for the outcome of each request, for ``bronzekeel report``.  Both are off if empty.
     """
 
     name: _Name
@@ -72,7 +72,7 @@
     stop_within_s: Annotated[float, Meta(gt=0, le=_MAX_STOP_S)] = 30
 
     def __post_init__(self) -> None:
-        """Check what the shape cannot say."""
+        """Check that addresses are IP addresses, which the field types do not express."""
         for address in (self.address, *(seed.address for seed in self.seeds)):
             ip_address(address)
 
@@ -80,7 +80,7 @@
 def read_settings(path: Path) -> Settings:
     """Return the settings in a file.
 
-    Raises SettingsError with one line for the operator.
+    Raises SettingsError with a one-line message for the operator.
     """
     try:
         return decode(path.read_bytes(), type=Settings)
@@ -97,10 +97,9 @@
 
 
 def steers_by_connection_ids(path: Path) -> bool:
-    """Whether a settings file chooses the daemon that steers by connection ids.
+    """Return whether a settings file selects the daemon that steers by connection ids.
 
-    A file that cannot be read is left to the reader of its daemon, which says
-    what is wrong with it.
+    False for an unreadable file: `read_settings` then reports the error.
     """
     try:
         choice = decode(path.read_bytes(), type=_SteeringChoice)
@@ -110,6 +109,6 @@
 
 
 class _SteeringChoice(Struct):
-    """Hold the one setting that both daemons have in common."""
+    """Hold the setting that selects the daemon."""
 
     steering: str = ''
--- a/src/bronzekeel/balancer/web.py
+++ b/src/bronzekeel/balancer/web.py
@@ -15,7 +15,7 @@
 
 
 class Status(Struct, frozen=True):
-    """Hold what ``bronzekeel status`` shows of one balancer."""
+    """Hold what ``bronzekeel status`` shows about one balancer."""
 
     name: str
     data_centre: str
@@ -35,7 +35,7 @@
 
 
 def status_of(balancer: Balancer) -> Status | None:
-    """Return a balancer's status, None before it has started."""
+    """Return a balancer's status, or None before it has started."""
     state = balancer.state
     if state is None:
         return None
@@ -72,9 +72,10 @@
 
 
 def _recorded_flows(balancer: Balancer) -> dict[str, int]:
-    """Count the flows this keeper knows on upstreams that left their bucket.
+    """Count the recorded flows by upstream, for the shards that this balancer keeps.
 
-    A draining upstream may be switched off when it shows on no balancer.
+    The base upstream of an unsettled bucket is listed even without recorded flows.  A draining
+    upstream can be switched off once no balancer lists it.
     """
     counts: Counter[str] = Counter()
     if balancer.state is None:
@@ -95,16 +96,16 @@
 
 
 class StatusServer:
-    """Own the HTTP port of one balancer."""
+    """Serve the HTTP port of one balancer."""
 
     def __init__(self, balancer: Balancer, recent: RecentEvents | None = None) -> None:
-        """Serve `balancer`'s metrics, status and `recent` events."""
+        """Serve the metrics and status of `balancer` and the lines of `recent`."""
         self._balancer = balancer
         self._recent = recent
         self._registry = Registry()
         self._packets = CounterMetric(
             'bronzekeel_packets_total',
-            'Packets by what became of them.',
+            'Packets by outcome.',
             registry=self._registry,
         )
         self._bytes = CounterMetric(
@@ -119,13 +120,13 @@
         )
         self._gauges = Gauge(
             'bronzekeel_state',
-            'State of this balancer by name.',
+            'State variables of this balancer, by name.',
             registry=self._registry,
         )
         self._runner: web.AppRunner | None = None
 
     async def open(self, address: str, port: int) -> int:
-        """Bind the port; return it."""
+        """Bind the port and return its number."""
         app = web.Application()
         app.router.add_get('/metrics', self._serve_metrics)
         app.router.add_get('/status', self._serve_status)
@@ -137,7 +138,7 @@
         return self._runner.addresses[0][1]
 
     async def close(self) -> None:
-        """Free the port."""
+        """Stop serving and free the port."""
         if self._runner is not None:
             await self._runner.cleanup()
 
