--- a/src/bronzekeel/text/__init__.py
+++ b/src/bronzekeel/text/__init__.py
@@ -1,1 +1,1 @@
-"""Read, check and compare the operators' text."""
+"""Parse, validate, compare and submit the operators' text."""
--- a/src/bronzekeel/text/checks.py
+++ b/src/bronzekeel/text/checks.py
@@ -1,4 +1,4 @@
-"""Check a text and turn it into a catalogue; report all faults at once."""
+"""Validate a text and convert it to a catalogue; report all faults at once."""
 
 from collections.abc import Iterator
 from ipaddress import ip_address
@@ -22,10 +22,10 @@
 
 
 def parse_text(body: bytes) -> Document:
-    """Return the document that `body` spells.
+    """Return the document encoded in `body`.
 
-    Raises TextError with every fault found.  Services with a faulty shape are
-    left out of the checks between services.
+    Raises TextError with every fault found.  Services whose fields have the wrong type or range
+    are left out of the checks across services.
     """
     try:
         raw = decode(body)
@@ -33,7 +33,7 @@
         problem = TextFault(
             FaultKind.SYNTAX,
             '$',
-            f'not JSON: {error}',
+            f'invalid JSON: {error}',
             'correct the JSON at that byte',
         )
         raise TextError((problem,)) from error
@@ -46,16 +46,20 @@
 
 
 def _convert_services(raw: Any, faults: list[TextFault]) -> dict[str, ServiceText]:
-    """Convert service by service, so that one fault does not hide the next."""
+    """Convert each service on its own, so that a fault in one does not hide the others."""
     listed = raw.get('services') if isinstance(raw, dict) else None
     if not isinstance(listed, dict):
-        faults.append(_shape_fault('$.services', 'no object of services', 'add `services`'))
+        faults.append(
+            _shape_fault(
+                '$.services', 'not an object', 'add `services`, an object of services by name'
+            )
+        )
         return {}
     for key in raw.keys() - {'services', 'remark'}:
         faults.append(_shape_fault(f'$.{key}', 'unknown key', 'remove it'))
     if not listed:
         faults.append(
-            TextFault(FaultKind.EMPTY, '$.services', 'no service', 'add one service'),
+            TextFault(FaultKind.EMPTY, '$.services', 'contains no service', 'add a service'),
         )
     services = {}
     for name, service in listed.items():
@@ -83,7 +87,7 @@
             yield TextFault(
                 FaultKind.BUCKETS,
                 f'$.services.{name}.buckets',
-                f'{service.buckets} is no power of two',
+                f'{service.buckets} is not a power of two',
                 'use 64, 128, 256 or 512',
             )
 
@@ -96,15 +100,15 @@
             yield TextFault(
                 FaultKind.ADDRESS,
                 place,
-                f'{service.address!r} is no IP number',
-                'write the service address as an IP number',
+                f'{service.address!r} is not an IP address',
+                'write the service address as an IP address',
             )
         owner = owner_by_endpoint.setdefault((service.address, service.port), name)
         if owner != name:
             yield TextFault(
                 FaultKind.ADDRESS_TAKEN,
                 place,
-                f'{service.address} port {service.port} belongs to {owner}',
+                f'{service.address} port {service.port} is used by {owner}',
                 'give one of the two another address or port',
             )
 
@@ -123,7 +127,7 @@
 
 
 def _upstreams_by_place(name: str, service: ServiceText) -> Iterator[tuple[str, UpstreamText]]:
-    """Yield every upstream of a service with its place in the text."""
+    """Yield each upstream of a service with its path in the text."""
     for centre, upstreams in service.upstreams.items():
         for index, upstream in enumerate(upstreams):
             yield f'$.services.{name}.upstreams.{centre}[{index}]', upstream
@@ -137,7 +141,7 @@
             yield TextFault(
                 FaultKind.EMPTY,
                 f'$.services.{name}.upstreams',
-                'no upstream',
+                'contains no upstream',
                 'add an upstream or remove the service',
             )
         for place, upstream in placed:
@@ -145,7 +149,7 @@
                 yield TextFault(
                     FaultKind.ADDRESS,
                     place,
-                    f'{upstream.address!r} is no IP number with a port',
+                    f'{upstream.address!r} is not an IP address with a port',
                     'write it as 192.0.2.7:5555',
                 )
             first = place_by_address.setdefault(upstream.address, place)
@@ -153,7 +157,7 @@
                 yield TextFault(
                     FaultKind.UPSTREAM_SHARED,
                     place,
-                    f'{upstream.address} is also at {first}',
+                    f'{upstream.address} is also used at {first}',
                     'give each upstream an address of its own',
                 )
 
@@ -165,20 +169,20 @@
                 yield TextFault(
                     FaultKind.UNKNOWN_NAME,
                     f'$.services.{name}.depends_on[{index}]',
-                    f'no service is named {dependency}',
+                    f'service {dependency} does not exist',
                     'correct the name or add the service',
                 )
     for cycle in _cycles(services):
         yield TextFault(
             FaultKind.CYCLE,
             f'$.services.{cycle[0]}.depends_on',
-            'these depend on each other: {0}'.format(' -> '.join(cycle)),
+            'cyclic dependency: {0}'.format(' -> '.join(cycle)),
             'remove one of these dependencies',
         )
 
 
 def _cycles(services: dict[str, ServiceText]) -> Iterator[list[str]]:
-    """Yield each cycle of dependencies once, from its first service by name."""
+    """Yield each dependency cycle once, starting at its first service by name."""
     done: set[str] = set()
     for start in sorted(services):
         cycle = _cycle_from(start, services, done)
@@ -188,7 +192,7 @@
 
 
 def _cycle_from(start: str, services: dict[str, ServiceText], done: set[str]) -> list[str]:
-    """Return a path from `start` back to it, empty when there is none."""
+    """Return a dependency path from `start` back to itself, or an empty list."""
     paths = [] if start in done else [[start]]
     seen = set(done)
     while paths:
@@ -204,10 +208,11 @@
 
 
 def check_change(previous: Document, updated: Document) -> None:
-    """Refuse changes that one submission cannot make safely.
+    """Check that a change of the text can safely be made in one submission.
 
-    Raises TextError.  An upstream address that moves between services at once
-    would get packets of its former service from balancers that lag behind.
+    Raises TextError otherwise.  An upstream address that moved from one service to another in a
+    single submission would get packets of its previous service from balancers that still have the
+    previous text.
     """
     service_by_address = {
         upstream.address: name
@@ -225,7 +230,7 @@
                     FaultKind.UPSTREAM_MOVED,
                     place,
                     f'{upstream.address} belongs to {owner} in the text in force',
-                    f'remove it from {owner}, submit, wait until it is empty, then add it',
+                    f'remove it from {owner}, submit, wait until it is drained, then add it',
                 )
             )
         previous_service = previous.services.get(name)
@@ -234,8 +239,8 @@
                 TextFault(
                     FaultKind.BUCKETS,
                     f'$.services.{name}.buckets',
-                    'the number of buckets of a service cannot change',
-                    f'leave it at {previous_service.buckets}',
+                    'the number of buckets of a service cannot be changed',
+                    f'change it back to {previous_service.buckets}',
                 )
             )
     if faults:
@@ -243,7 +248,7 @@
 
 
 def build_catalogue(document: Document, generation: int) -> Catalogue:
-    """Return a checked document in the form that decisions need."""
+    """Convert a validated document to the catalogue that the core uses."""
     services = {}
     for name, service in document.services.items():
         upstreams = tuple(
--- a/src/bronzekeel/text/differences.py
+++ b/src/bronzekeel/text/differences.py
@@ -1,4 +1,4 @@
-"""Tell how two texts differ, service by service, in the operators' terms."""
+"""List the differences between two texts, service by service."""
 
 from collections.abc import Iterator
 
@@ -8,7 +8,7 @@
 
 
 def differences(old_document: Document, new_document: Document) -> list[str]:
-    """Return one line for each difference, empty when there is none."""
+    """Return a line for each difference: added (+), removed (-) or changed (~)."""
     lines = []
     for name in sorted(old_document.services.keys() | new_document.services.keys()):
         old = old_document.services.get(name)
--- a/src/bronzekeel/text/faults.py
+++ b/src/bronzekeel/text/faults.py
@@ -1,11 +1,11 @@
-"""Define what can be wrong with a text, each fault with its place and remedy."""
+"""Define the faults that validation of a text can report."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class FaultKind(StrEnum):
-    """Name the kinds of faults."""
+    """List the kinds of faults in a text."""
 
     SYNTAX = 'syntax'
     SHAPE = 'shape'
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TextFault:
-    """Hold one fault; `place` is a path into the text such as ``$.services.a``."""
+    """Describe one fault; `place` is a path in the text such as ``$.services.a``."""
 
     kind: FaultKind
     place: str
@@ -29,14 +29,14 @@
     remedy: str
 
     def __str__(self) -> str:
-        """Return the fault on one line."""
+        """Return the fault as one line."""
         return f'{self.place}: {self.problem} [{self.kind}]; remedy: {self.remedy}'
 
 
 class TextError(ValueError):
-    """Tell all faults of a text at once."""
+    """Raised for an invalid text; contains all of its faults."""
 
     def __init__(self, faults: tuple[TextFault, ...]) -> None:
-        """Hold `faults`, at least one."""
+        """Store `faults`, at least one; the message has a line for each."""
         super().__init__('\n'.join(str(fault) for fault in faults))
         self.faults = faults
--- a/src/bronzekeel/text/model.py
+++ b/src/bronzekeel/text/model.py
@@ -1,7 +1,6 @@
-"""Define the shape of the operators' text.
+"""Define the schema of the operators' text, a JSON document.
 
-The text is JSON.  Shapes are checked by msgspec; what the shape cannot say is
-in ``bronzekeel.text.checks``.
+msgspec validates types and ranges; ``bronzekeel.text.checks`` validates the rest.
 """
 
 from typing import Annotated, Literal
@@ -19,7 +18,7 @@
 
 
 class UpstreamText(Struct, frozen=True, forbid_unknown_fields=True):
-    """Describe one upstream; `address` is ``IP:port``."""
+    """Describe one upstream; `address` has the form ``IP:port``."""
 
     address: str
     weight: _Positive = 1
@@ -44,7 +43,7 @@
 
 
 class Document(Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold the whole text: services by name, and a remark."""
+    """Hold the whole text: services by name, and a remark by the operators."""
 
     services: dict[_Name, ServiceText]
     remark: str = ''
--- a/src/bronzekeel/text/submission.py
+++ b/src/bronzekeel/text/submission.py
@@ -1,15 +1,15 @@
-"""Submit a text: one conditional update, settled even if its answer is lost.
-
-The head object carries the submission's own id beside the text, and the ids
-of earlier submissions.  When a confirmation is lost the submitter reads the
-head back and finds its id, also after others have submitted: tagging each
-version with the transaction that made it, and keeping what preceded it, is
-the idea of Dey, "Scalable Transactions across Heterogeneous NoSQL Key-Value
-Data Stores" (section 3.1).
-
-When the platform's store comes back from a copy, heads since are lost, and their generations with
-them, while hosts go by the last of them.  So the head says in which incarnation of the store it
-was written, and the first text of another one skips the generations that may have been lost.
+"""Submit a text by one conditional update whose outcome can be found out if its answer is lost.
+
+The head object names the accepted text and contains the ids of its submission and of earlier
+ones.  If an answer is lost, the submitter reads the head and looks for its id, which also works
+after later submissions.  Tagging each version with the transaction that made it, and retaining its
+predecessors, follows Dey, "Scalable Transactions across Heterogeneous NoSQL Key-Value Data Stores"
+(section 3.1).
+
+If the platform's store is restored from a backup, the heads written since the backup and their
+generations are lost, while hosts still use the newest of them.  Therefore the head records the
+incarnation of the store in which it was written, and the first text in a new incarnation skips the
+generations that may have been lost.
 """
 
 from abc import ABC, abstractmethod
@@ -29,14 +29,14 @@
 
 _KILO = 1024
 
-#: Bytes of text in one object, below the platform's limit of a megabyte.
+#: Bytes of text in one object; the platform's limit is one megabyte.
 PART_BYTES = _KILO * _KILO // 2
 
-#: Earlier submission ids that the head keeps.
+#: Earlier submission ids that the head retains.
 MAX_EARLIER_IDS = 500
 
-#: Generations that a restore of the store may have lost at most.  Source: three days of changes at
-#: the size to design for (docs/CAPACITY.md); copies are some seconds old.
+#: Upper bound of the generations that a restore of the store can lose: three days of changes at the
+#: design size (docs/CAPACITY.md).  Backups are only seconds old.
 MAX_LOST_GENERATIONS = 10_000
 
 _MAX_HEAD_ATTEMPTS = 4
@@ -46,17 +46,17 @@
 
 
 class StoreLost(ConnectionError):
-    """Tell that no answer came: a write may have taken effect."""
+    """Raised if the platform did not answer; a write may have taken effect."""
 
 
 class StoreRefused(ConnectionError):
-    """Tell that the platform refused a call: it took no effect."""
+    """Raised if the platform refused a call, which then had no effect."""
 
 
 class Stored(Struct, frozen=True):
-    """Hold an object as the platform has it; version 0 means there is none.
+    """Hold an object of the platform's store; version 0 means that it does not exist.
 
-    `incarnation` rises each time that the platform's store comes back from a copy.
+    `incarnation` increases each time the store is restored from a backup.
     """
 
     version: int
@@ -65,7 +65,7 @@
 
 
 class ObjectStore(ABC):
-    """Read and write the platform's objects."""
+    """Read and write objects of the platform's store."""
 
     @abstractmethod
     async def read(self, key: str) -> Stored:
@@ -73,17 +73,17 @@
 
     @abstractmethod
     async def write(self, key: str, body: bytes, version: int) -> Stored | None:
-        """Replace the object at `version`; None when it has another by now.
+        """Replace the object if it is at `version`; return None if it is not.
 
-        Raises StoreLost when the outcome is not known, StoreRefused when
-        nothing was written.
+        Raises StoreLost if the outcome is not known, StoreRefused if nothing was written.
         """
 
 
 class Head(Struct, frozen=True):
-    """Hold what the head object says of the accepted text.
+    """Hold the content of the head object, which identifies the accepted text.
 
-    It followed a head that was read in `incarnation` of the platform's store.
+    `parts` are the hashes of the text's parts, `earlier` pairs of submission id and generation.
+    The preceding head was read in `incarnation` of the platform's store.
     """
 
     generation: int
@@ -93,7 +93,7 @@
     incarnation: int = 0
 
     def generation_of(self, submission: str) -> int | None:
-        """Return the generation that a submission became, None if it did not."""
+        """Return the generation of a submission, or None if it is not listed."""
         if submission == self.submission:
             return self.generation
         return dict(self.earlier).get(submission)
@@ -101,14 +101,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Tell that the text was accepted as `generation`."""
+    """The text was accepted as `generation`."""
 
     generation: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Tell that another text was accepted first; nothing was changed."""
+    """Another text was accepted first; nothing was changed."""
 
     generation: int
     differences: tuple[str, ...]
@@ -117,25 +117,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Undecided:
-    """Tell that nobody can say yet whether the text was accepted."""
+    """It is not known yet whether the text was accepted."""
 
     submission: str
 
     @property
     def remedy(self) -> str:
-        """How to find out."""
+        """Return the command that finds out the outcome."""
         return f'run `bronzekeel submit --settle {self.submission}` when the platform answers'
 
 
 Submitted = Accepted | Conflict | Undecided
 
 
-class _StoreRestored(Exception):  # noqa: N818 (told apart here alone)
-    """Tell that an update took effect in another incarnation than its head was read in."""
+class _StoreRestored(Exception):  # noqa: N818 (internal signal)
+    """Raised if a head was written in another store incarnation than it was read in."""
 
 
 async def read_head(store: ObjectStore) -> tuple[int, Head | None]:
-    """Return the head object's version and content."""
+    """Return the version and content of the head object."""
     stored = await store.read(HEAD_KEY)
     return stored.version, _decode_head(stored)
 
@@ -145,10 +145,10 @@
 
 
 def _next_generation(stored: Stored, *, after_restore: bool) -> int:
-    """Return a generation beyond all that were ever given out.
+    """Return a generation higher than any that was ever assigned.
 
-    An update that met a restored store may have replaced heads that nobody read: it skips once
-    more.
+    `after_restore` means that a previous update was made in a restored store and may have replaced
+    heads that were not read; it skips another `MAX_LOST_GENERATIONS`.
     """
     head = _decode_head(stored)
     generation, incarnation = (head.generation, head.incarnation) if head else (0, 0)
@@ -158,9 +158,9 @@
 
 
 async def load_text(store: ObjectStore, head: Head) -> bytes:
-    """Return the text that a head names, put together from its parts.
+    """Return the text of a head, joined from its parts.
 
-    Raises StoreRefused when a part is missing or is not what its name says.
+    Raises StoreRefused if a part is missing or does not match its hash.
     """
     parts = []
     for name in head.parts:
@@ -179,11 +179,11 @@
 ) -> Submitted:
     """Submit a text.
 
-    Parts are written first under the hash of their content, then one
-    conditional update of the head makes them the accepted text: nobody ever
-    sees half.  `based_on` is the generation that the operator edited, None
-    for whatever is in force.  Raises TextError, StoreRefused, and StoreLost
-    when the platform was lost before anything could have been accepted.
+    The parts are written first, each under the hash of its content; then one conditional update of
+    the head makes them the accepted text, so that no reader sees an incomplete text.  `based_on`
+    is the generation that the operator edited, None for the one in force.  Raises TextError,
+    StoreRefused, and StoreLost if the platform stopped answering before the text could have been
+    accepted.
     """
     try:
         return await _submit_once(store, body, submission, based_on)
@@ -192,7 +192,7 @@
 
 
 async def _resubmit(store: ObjectStore, body: bytes, submission: str) -> Submitted:
-    """Submit over a head that was written by the same submission and is not the newest."""
+    """Submit again after a restore; the head that was written may have too low a generation."""
     try:
         return await _submit_once(store, body, submission, after_restore=True)
     except _StoreRestored:
@@ -210,7 +210,7 @@
     document = parse_text(body)
     stored = await store.read(HEAD_KEY)
     head = _decode_head(stored)
-    # A head of our own was written over a restored store, which may have lost its parts.
+    # A head of this same submission was written to a restored store, which may lack its parts.
     if head is not None and head.submission != submission:
         previous = await load_text(store, head)
         if based_on is not None and based_on != head.generation:
@@ -236,15 +236,15 @@
     version: int,
     document: Document,
 ) -> Submitted:
-    """Make `new_head` the head, and find out what became of it.
+    """Replace the head by `new_head` and return the outcome.
 
-    A conditional update whose answer was lost may have won, have lost, or
-    still be under way.  The head read back tells the first two apart by the
-    submission's id; while it is unchanged the same update is sent again, which
-    is harmless, since only one of the copies can find the old version.
+    A conditional update whose answer was lost may have succeeded, failed, or still be in progress.
+    Reading the head back distinguishes the first two by the submission id.  While the head is
+    unchanged the same update is sent again, which is safe, because only one of them can match the
+    old version.
 
-    Raises _StoreRestored: the condition is on a number that a restore gives out again, so the
-    update may have found another head than the one that was read.
+    Raises _StoreRestored if the store was restored in the meantime: versions are reused after a
+    restore, so the update may have replaced another head than the one that was read.
     """
     lost = False
     for _ in range(_MAX_HEAD_ATTEMPTS):
@@ -270,7 +270,7 @@
     version: int,
     document: Document,
 ) -> Submitted | None:
-    """Return what the head says of a submission, None while it says nothing."""
+    """Return the outcome of a submission by the current head, or None if it is still open."""
     try:
         stored = await store.read(HEAD_KEY)
         head = _decode_head(stored)
@@ -287,7 +287,10 @@
 
 
 def _outcome_in_head(head: Head, new_head: Head, stored: Stored) -> Submitted | None:
-    """Return what a head alone says of the submission of another, None while it says nothing."""
+    """Return the outcome of the submission of `new_head` by the ids in `head`, None if absent.
+
+    It is undecided once the submission id may have been dropped from the retained ids.
+    """
     if head.submission == new_head.submission:
         _check_incarnation(new_head, stored)
     generation = head.generation_of(new_head.submission)
@@ -299,7 +302,7 @@
 
 
 def _check_incarnation(new_head: Head, stored: Stored) -> None:
-    """Raise _StoreRestored if a head stands in another incarnation than it was made for."""
+    """Raise _StoreRestored if `stored` is of another incarnation than `new_head`."""
     if stored.incarnation != new_head.incarnation:
         raise _StoreRestored
 
@@ -312,16 +315,16 @@
 
 
 async def _write_part(store: ObjectStore, part: bytes) -> str:
-    """Write a part under its hash; one that is there already is the same."""
+    """Write a part under its hash and return the hash; an existing part is identical."""
     name = sha256(part).hexdigest()
     await store.write(PART_KEY + name, part, 0)
     return name
 
 
 async def settle(store: ObjectStore, submission: str) -> Accepted | Undecided:
-    """Find out later what became of a submission whose outcome was unknown.
+    """Return the outcome of a submission that was undecided.
 
-    Raises StoreLost or StoreRefused when the platform does not answer.
+    Raises StoreLost or StoreRefused if the platform does not answer or refuses.
     """
     _, head = await read_head(store)
     generation = head.generation_of(submission) if head else None
