--- a/src/bronzekeel/adapters/callers.py
+++ b/src/bronzekeel/adapters/callers.py
@@ -24,7 +24,7 @@
 _logger = getLogger(__name__)
 _MILLISECONDS = 1000
 
-#: Largest request body; the largest requests carry one document.
+#: Largest request body; callers send nothing larger than one document.
 MAX_BODY_BYTES = 0x1000000
 
 _Runs: TypeAlias = 'Stream[proto.RunRequest, proto.RunReply]'
--- a/src/bronzekeel/adapters/codec.py
+++ b/src/bronzekeel/adapters/codec.py
@@ -2,8 +2,8 @@
 
 The UDP payload is a whole IPv4 packet.  Between balancers a header of four bytes precedes it: a
 mark that no IPv4 packet starts with, a version, the number of hand-offs so far, and zero.  Packets
-without IP options, the common case, are decoded at fixed offsets, because this path is on the hot
-path of forwarding.
+without IP options, the common case, are decoded at fixed offsets, because this is the hot path,
+where every microsecond counts.
 """
 
 from struct import Struct
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Test one balancer over real sockets on loopback, with stand-ins around it."""
+"""Tests of balancers over loopback sockets, with stand-ins for the platform and upstreams."""
 
 from asyncio import (
     DatagramProtocol,
@@ -32,23 +32,23 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until a condition holds, with much patience."""
+    """Poll until `condition` holds; raise AssertionError after a generous timeout."""
     deadline = get_running_loop().time() + _TIMEOUT_S
     while not condition():
         if get_running_loop().time() > deadline:
-            raise AssertionError('waited in vain')
+            raise AssertionError('condition did not hold in time')
         await sleep(0.05)
 
 
 def all_ready(site: Site) -> bool:
-    """Return whether every balancer is ready."""
+    """Return whether every balancer of the site is ready."""
     return all(
         balancer.state is not None and balancer.state.ready for balancer in site.balancers.values()
     )
 
 
 async def with_site(check: Callable[[Site], Awaitable[None]], record: str = '') -> None:
-    """Run `check` on a site with two balancers in force of the first text."""
+    """Run `check` on a site whose two balancers have the first text in force."""
     site = Site(Random(1))
     await site.open()
     for name in ('a1', 'a2'):
@@ -69,14 +69,13 @@
 
 
 class SiteTest(TestCase):
-    """Set up what the daemons are tested with."""
+    """Tests of the site that the daemons are tested on."""
 
     def test_upstreams_of_two_kinds_have_different_ports(self) -> None:
-        """A run failed once before any balancer was asked: its text was refused.
+        """Guards against a text that is refused because two upstreams have the same address.
 
-        A flow's upstream had a port for datagrams, and the kernel gave the same number to an
-        upstream of requests for streams.  The text said: 127.0.0.1:37469 is also at
-        $.services.evidence-intake.upstreams.utrecht[0], give each upstream an address of its own.
+        It occurs if the kernel assigns the UDP port of a flow upstream as TCP port of a request
+        upstream.
         """
         run(self._open_upstreams_of_two_kinds())
 
@@ -97,34 +96,33 @@
 
 
 class DaemonTest(TestCase):
-    """Use real sockets."""
+    """Tests of running balancers over real sockets."""
 
     def test_bad_input_on_every_socket_stops_nothing(self) -> None:
-        """Symptom: a stray packet ends a balancer.
+        """Guards against a stray packet that stops a balancer.
 
-        Sequence: random bytes reach each of its sockets, then good ones.
-        Cause: a decoder that raises into the event loop.
+        It occurs if a decoder raises into the event loop on random bytes.  Valid requests must
+        still be answered afterwards.
         """
         run(with_site(self._send_garbage))
 
     def test_open_call_does_not_block_close(self) -> None:
-        """Symptom: a process that was stopped is still there a day later.
+        """Guards against a stopped process that never exits.
 
-        Sequence: a caller holds a call open; the balancer is stopped.
-        Cause: waiting for the last calls without an end.
+        It occurs if closing waits without a timeout for a call that a caller holds open.
         """
         run(with_site(self._close_with_open_call))
 
     def test_flow_and_request_survive_a_planned_stop(self) -> None:
-        """Symptom: flows or requests end with the balancer that is replaced.
+        """Guards against flows or requests that end when their balancer is replaced.
 
-        Sequence: both balancers carry load; one is stopped in the planned way.
-        Cause: leaving before its shards and requests are handed over.
+        It occurs if a balancer that is stopped gracefully under load leaves before it has handed
+        off its shards and requests.
         """
         run(with_site(self._stop_one))
 
     def test_recorded_trace_is_replayed(self) -> None:
-        """A daemon's recording gives the same end state on a fresh reducer."""
+        """Replaying a recorded trace twice gives the same final state."""
         with TemporaryDirectory() as folder:
             path = Path(folder) / 'a1.jsonl'
             run(with_site(self._send_one_request, str(path)))
@@ -135,22 +133,22 @@
         self.assertEqual(1, outcomes['generation_least'])
 
     def test_metrics_and_status_are_served(self) -> None:
-        """The HTTP port tells what the balancer counts."""
+        """The HTTP port serves the counters and the status of the balancer."""
         run(with_site(self._read_metrics))
 
     def test_wrong_health_status_is_overruled_over_grpc(self) -> None:
-        """Symptom: a service stops though its upstreams work.
+        """Guards against working upstreams that get no requests.
 
-        Sequence: the health service of one upstream of seven says "down".
-        Cause: believing it over the answers that the upstream gives.
+        It occurs if the health service of an upstream reports "down" and the balancer trusts it
+        more than the answers of the upstream.
         """
         run(with_site(self._report_wrong_health))
 
     def test_cut_and_lost_answers_are_unknown_over_grpc(self) -> None:
-        """Symptom: half of an answer is taken for the whole.
+        """Guards against a truncated answer that is treated as complete.
 
-        Sequence: an upstream ends its answer in the middle; another loses it.
-        Cause: taking the end of the stream for the end of the answer.
+        It occurs if the end of the stream is treated as the end of the answer, when an upstream
+        cuts its answer short or loses it.
         """
         run(with_site(self._cut_and_lose_answers))
 
@@ -215,7 +213,7 @@
         await wait_until(lambda: balancer.peers.counts['bad_datagram'] >= 150)
         await wait_until(lambda: balancer.packet_counts.total() >= 150)
         transport.close()
-        reply = await site.caller.request('a1', REPLIES, b'after rubbish')
+        reply = await site.caller.request('a1', REPLIES, b'after garbage')
         self.assertEqual('answered', reply.outcome)
         self.assertEqual(0, balancer.counts['internal_fault'])
 
@@ -255,10 +253,10 @@
 
 
 class WiringTest(TestCase):
-    """Check what the wiring promises."""
+    """Tests of the connections between reducer and adapters."""
 
     def test_every_effect_has_a_handler(self) -> None:
-        """An effect without a handler would end in an error at the worst time."""
+        """Guards against an effect that fails at run time because it has no handler."""
         run(self._check_handlers())
 
     async def _check_handlers(self) -> None:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Test balancers as separate processes, as they run on hosts."""
+"""Tests of balancers as separate processes, as they run on hosts."""
 
 from asyncio import create_subprocess_exec, run, sleep, wait_for
 from asyncio.subprocess import PIPE, Process
@@ -20,13 +20,13 @@
 from tests.test_daemon import wait_until
 
 
-#: Seconds in which a stopped process must end, with much patience.
+#: Seconds within which a stopped process must exit; generous for slow machines.
 _STOP_TIMEOUT_S = 60
 
 
 @dataclass(slots=True)
 class Fleet:
-    """Hold balancer processes beside a site's stand-ins."""
+    """Hold balancer processes and the stand-ins of a site."""
 
     site: Site
     folder: Path
@@ -40,7 +40,7 @@
         await self.site.submit()
 
     async def start(self, name: str) -> None:
-        """Start one process and learn its ports from its first log line."""
+        """Start one process and read its ports from its first log line."""
         path = self.folder / f'{name}.json'
         settings = Settings(name, f'dc-{name[0]}', '127.0.0.1', self.site.platform.url)
         path.write_bytes(encode(settings))
@@ -55,7 +55,7 @@
         )
         self.processes[name] = process
         if process.stderr is None:
-            raise AssertionError('no log')
+            raise AssertionError('process has no standard error stream')
         line = decode(await process.stderr.readline())
         host = HostEntry(*decode(line['detail']))
         self.site.hosts[name] = host
@@ -64,7 +64,7 @@
         self.site.caller.add(name, host.address, host.callers)
 
     async def end(self) -> None:
-        """End what still runs, by its id."""
+        """Kill the processes that still run and close the site."""
         for process in self.processes.values():
             if process.returncode is None:
                 process.kill()
@@ -73,14 +73,13 @@
 
 
 class ProcessTest(TestCase):
-    """Kill, freeze and stop processes under flows and requests."""
+    """Tests that stop, kill and suspend processes that carry flows and requests."""
 
     def test_flows_and_requests_outlive_processes(self) -> None:
-        """Symptom: flows end with the process that is killed, frozen or stopped.
+        """Guards against flows that end when a balancer process is stopped, killed or suspended.
 
-        Sequence: of five balancers one gets SIGTERM, one SIGKILL, one SIGSTOP
-        and later SIGCONT, while feeds go on and requests are sent.
-        Cause: state that only one process has.
+        It occurs if only that process has their state.  Of five balancers one gets SIGTERM, one
+        SIGKILL, and one SIGSTOP and later SIGCONT, during open flows and requests.
         """
         with TemporaryDirectory() as folder:
             run(self._run_fleet(Fleet(Site(Random(1)), Path(folder))))
@@ -110,7 +109,7 @@
         self.assertEqual(0, sum(flow.reset for flow in flows))
 
     async def _step_until_answered(self, fleet: Fleet, flows: list[ClientFlow]) -> None:
-        """Send packets of all flows until each has been answered once more."""
+        """Send packets on all flows until each has received another answer."""
         before = {flow.number: flow.answered for flow in flows}
         await wait_until(lambda: self._all_answered(fleet, flows, before))
 
--- a/tests/test_text.py
+++ b/tests/test_text.py
@@ -1,4 +1,4 @@
-"""Test that all faults of a text are told at once, with place and remedy."""
+"""Tests of the validation and comparison of texts."""
 
 from pathlib import Path
 from unittest import TestCase
@@ -13,7 +13,7 @@
 
 
 def faults_of(body: bytes) -> dict[FaultKind, str]:
-    """Return the places of the faults by kind."""
+    """Return the places of the faults in `body` by kind."""
     try:
         parse_text(body)
     except TextError as error:
@@ -22,7 +22,7 @@
 
 
 def service(**changed: object) -> dict[str, object]:
-    """Return a sound service with some keys changed."""
+    """Return a valid service with the keys in `changed` replaced."""
     valid: dict[str, object] = {
         'kind': 'flow',
         'address': '198.51.100.1',
@@ -34,10 +34,10 @@
 
 
 class CheckTest(TestCase):
-    """Check faulty texts."""
+    """Tests of invalid texts."""
 
     def test_all_faults_are_reported_at_once(self) -> None:
-        """Each service has another fault; none hides the others."""
+        """Services with different faults are all reported."""
         body = encode(
             {
                 'services': {
@@ -71,18 +71,17 @@
         self.assertIn(FaultKind.ADDRESS, found)
 
     def test_invalid_documents_are_refused(self) -> None:
-        """Broken JSON, another shape and an empty text each have a fault."""
+        """Invalid JSON, a non-object and a text without services each have a fault."""
         self.assertIn(FaultKind.SYNTAX, faults_of(b'{'))
         self.assertIn(FaultKind.SYNTAX, faults_of(b'\xff\xfe'))
         self.assertIn(FaultKind.SHAPE, faults_of(b'[]'))
         self.assertIn(FaultKind.EMPTY, faults_of(b'{"services": {}}'))
 
     def test_address_cannot_move_between_services_at_once(self) -> None:
-        """Symptom: a service gets packets of another.
+        """Guards against a service that receives packets of another service.
 
-        Sequence: one text moves an upstream address between services; some
-        balancers still have the former text.
-        Cause: views that lag.
+        It occurs if one text moves an upstream address between services while some balancers still
+        have the previous text.
         """
         previous = parse_text(encode({'services': {'a': service()}}))
         moved = parse_text(
@@ -101,10 +100,10 @@
 
 
 class ExampleTest(TestCase):
-    """Use the worked examples."""
+    """Tests of the example texts."""
 
     def test_examples_are_valid_and_have_the_expected_sizes(self) -> None:
-        """Each user's example parses, and its services have their targets."""
+        """Each example parses, and its service has the expected number of upstreams."""
         for name, flow, size in (
             ('stichting.json', 'summons-portal', 7),
             ('dozaj.json', 'plan-and-map', 7),
@@ -115,7 +114,7 @@
             self.assertEqual(3, len(document.services[flow].upstreams))
 
     def test_differences_list_each_change(self) -> None:
-        """A drained upstream and a removed service are told in one line each."""
+        """A draining upstream and a removed service give one line each."""
         body = (_EXAMPLES / 'stichting.json').read_bytes()
         previous = parse_text(body)
         raw = decode(body)
