--- a/src/bronzekeel/adapters/peers.py
+++ b/src/bronzekeel/adapters/peers.py
@@ -73,7 +73,7 @@
         try:
             return self._decoders[message_type].decode(data)
         except (DecodeError, ValidationError, RecursionError) as error:
-            raise WireError(f'invalid peer call: {error}') from error
+            raise WireError(f'invalid peer call, drop it: {error}') from error
 
 
 class _Service:
--- a/src/bronzekeel/wire.py
+++ b/src/bronzekeel/wire.py
@@ -31,7 +31,7 @@
     try:
         return _decoder.decode(raw)
     except (DecodeError, ValidationError, RecursionError) as error:
-        raise WireError(f'invalid peer message: {error}') from error
+        raise WireError(f'invalid peer message, drop it: {error}') from error
 
 
 def wire_bytes(message: Message, raw: bytes) -> int:
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -213,7 +213,7 @@
         await wait_until(lambda: balancer.peers.counts['bad_datagram'] >= 150)
         await wait_until(lambda: balancer.packet_counts.total() >= 150)
         transport.close()
-        reply = await site.caller.request('a1', REPLIES, b'after garbage')
+        reply = await site.caller.request('a1', REPLIES, b'after rubbish')
         self.assertEqual('answered', reply.outcome)
         self.assertEqual(0, balancer.counts['internal_fault'])
 
