--- a/src/bronzekeel/adapters/callers.py
+++ b/src/bronzekeel/adapters/callers.py
@@ -1,4 +1,4 @@
-"""Serve callers over gRPC: reserve an id, run it, stream the answer."""
+"""Serve callers over gRPC: reserve an id, run the request, stream the answer."""
 
 from asyncio import CancelledError, Future, Task, create_task, get_running_loop
 from collections.abc import Callable, Mapping
@@ -11,7 +11,7 @@
 from grpclib.exceptions import StreamTerminatedError
 from grpclib.server import Server, Stream
 
-from bronzekeel.adapters.faults import CALL_FAULTS
+from bronzekeel.adapters.errors import CALL_ERRORS
 from bronzekeel.adapters.upstreams import Answer, EndMark
 from bronzekeel.core.events import CallerGone, Event, ReserveAsked, RunAsked
 from bronzekeel.core.messages import HostEntry
@@ -24,14 +24,14 @@
 _logger = getLogger(__name__)
 _MILLISECONDS = 1000
 
-#: Largest request body; callers stream nothing larger than a document.
-MOST_BODY = 0x1000000
+#: Largest request body; callers send nothing larger than one document.
+MAX_BODY_BYTES = 0x1000000
 
 _Runs: TypeAlias = 'Stream[proto.RunRequest, proto.RunReply]'
 _Reserves: TypeAlias = 'Stream[proto.ReserveRequest, proto.ReserveReply]'
 
 
-_OUTCOME_WORDS: Mapping[type, str] = MappingProxyType(
+_OUTCOME_NAMES: Mapping[type, str] = MappingProxyType(
     {
         EndMark: 'answered',
         NotRun: 'not_run',
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnd:
-    """Hold how one call ended; `took_s` is seconds."""
+    """Describe how a call ended; `took_s` is its duration in seconds."""
 
     service: str
     group: str
@@ -52,49 +52,49 @@
 
 
 class Callers(RequestsBase):
-    """Turn calls into events and effects into replies.
+    """Convert calls to events and effects to replies.
 
-    `emit` feeds the reducer; the effects it causes come back through
-    ``reserved``, ``relay``, ``settle`` and ``answers``.
+    `emit` passes events to the reducer; the resulting effects come back through
+    ``reserved``, ``relays``, ``settle`` and ``answers``.
     """
 
     def __init__(
         self,
         emit: Callable[[Event], None],
         clock: Callable[[], float],
-        ended: Callable[[CallEnd], None],
+        on_end: Callable[[CallEnd], None],
     ) -> None:
-        """Use `emit` for events, `clock` for deadlines; tell `ended` of each call."""
-        self.ended = ended
+        """Emit events by `emit`, read `clock` for deadlines, report each end to `on_end`."""
+        self.on_end = on_end
         self.answers: dict[str, Answer] = {}
         self.relays: dict[str, HostEntry] = {}
         self._emit = emit
         self._clock = clock
         self._server = Server([self])
-        self._settling: set[Task[None]] = set()
-        self._reserving: Future[str | NotRun] | None = None
+        self._settle_tasks: set[Task[None]] = set()
+        self._reservation: Future[str | NotRun] | None = None
         self._channels: dict[str, Channel] = {}
 
     async def open(self, address: str, port: int) -> int:
-        """Bind the callers' port; return it."""
+        """Bind the port for callers and return its number."""
         await self._server.start(address, port)
         sockets = self._server._server.sockets  # noqa: SLF001 (no public way to the port)
         return sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Take no more calls."""
+        """Stop accepting calls and close the channels to other balancers."""
         for channel in self._channels.values():
             channel.close()
         self._server.close()
         await self._server.wait_closed()
 
     def reserved(self, outcome: str | NotRun) -> None:
-        """Give the id, or the refusal, to the call that is being reduced."""
-        if self._reserving is not None and not self._reserving.done():
-            self._reserving.set_result(outcome)
+        """Pass the reserved id, or the refusal, to the pending Reserve call."""
+        if self._reservation is not None and not self._reservation.done():
+            self._reservation.set_result(outcome)
 
     def settle(self, request: str, outcome: NotRun | Unknown) -> None:
-        """Give a request's outcome to the call that waits for it."""
+        """Pass a request's outcome to the call that waits for it."""
         if not request:
             if isinstance(outcome, NotRun):
                 self.reserved(outcome)
@@ -102,92 +102,92 @@
         answer = self.answers.get(request)
         if answer is not None:
             task = create_task(answer.pieces.put(outcome))
-            self._settling.add(task)
-            task.add_done_callback(self._settling.discard)
+            self._settle_tasks.add(task)
+            task.add_done_callback(self._settle_tasks.discard)
 
     async def Reserve(self, stream: _Reserves) -> None:
-        """Serve the call that reserves an id."""
-        asked = await stream.recv_message()
-        if asked is None:
+        """Handle a Reserve call: reply with a request id or a refusal."""
+        message = await stream.recv_message()
+        if message is None:
             return
-        self._reserving = get_running_loop().create_future()
-        deadline = self._clock() + asked.deadline_ms / _MILLISECONDS
-        self._emit(ReserveAsked(asked.service, deadline))
-        outcome = await self._reserving
+        self._reservation = get_running_loop().create_future()
+        deadline = self._clock() + message.deadline_ms / _MILLISECONDS
+        self._emit(ReserveAsked(message.service, deadline))
+        outcome = await self._reservation
         if isinstance(outcome, NotRun):
             await stream.send_message(proto.ReserveReply(not_run=_refusal(outcome)))
             return
         await stream.send_message(proto.ReserveReply(id=outcome))
 
     async def Run(self, stream: _Runs) -> None:
-        """Serve the call that runs a request."""
-        asked = await stream.recv_message()
-        if asked is None:
+        """Handle a Run call: run the reserved request and stream its answer."""
+        message = await stream.recv_message()
+        if message is None:
             return
-        if asked.id in self.answers:
+        if message.id in self.answers:
             await _send(stream, unknown(UnknownKind.STARTED))
             return
-        if len(asked.body) > MOST_BODY:
+        if len(message.body) > MAX_BODY_BYTES:
             outcome = not_run(RefusalKind.OVERLOADED, 'body over 16 MiB')
             await _send(stream, outcome)
             return
-        answer = Answer(asked.id, asked.service, asked.body)
-        self.answers[asked.id] = answer
+        answer = Answer(message.id, message.service, message.body)
+        self.answers[message.id] = answer
         try:
-            await self._run(stream, asked, answer)
+            await self._run(stream, message, answer)
         except (CancelledError, StreamTerminatedError, ConnectionError):
-            self._emit(CallerGone(asked.id))
+            self._emit(CallerGone(message.id))
             raise
         finally:
-            self.answers.pop(asked.id, None)
+            self.answers.pop(message.id, None)
 
-    async def _run(self, stream: _Runs, asked: proto.RunRequest, answer: Answer) -> None:
-        begun_at = self._clock()
-        deadline = begun_at + asked.deadline_ms / _MILLISECONDS
+    async def _run(self, stream: _Runs, message: proto.RunRequest, answer: Answer) -> None:
+        started_at = self._clock()
+        deadline = started_at + message.deadline_ms / _MILLISECONDS
         self._emit(
             RunAsked(
-                asked.id,
-                asked.service,
-                asked.group,
-                asked.idempotent,
+                message.id,
+                message.service,
+                message.group,
+                message.idempotent,
                 deadline,
             )
         )
-        host = self.relays.pop(asked.id, None)
+        host = self.relays.pop(message.id, None)
         if host is not None:
-            await self._pass_on(stream, asked, host)
+            await self._forward(stream, message, host)
             return
         while True:
             piece = await answer.pieces.get()
             if not isinstance(piece, bytes):
-                self._note(asked, piece, begun_at)
+                self._report_end(message, piece, started_at)
             await _send(stream, piece)
             if not isinstance(piece, bytes):
                 return
 
-    def _note(
+    def _report_end(
         self,
-        asked: proto.RunRequest,
+        message: proto.RunRequest,
         piece: EndMark | NotRun | Unknown,
-        begun_at: float,
+        started_at: float,
     ) -> None:
-        """Tell how a call ended, and how long it took."""
+        """Report the outcome and duration of a call to `on_end`."""
         kind = '' if isinstance(piece, EndMark) else str(piece.kind)
-        word = _OUTCOME_WORDS[type(piece)]
-        took_s = self._clock() - begun_at
-        self.ended(CallEnd(asked.service, asked.group, word, kind, took_s))
+        outcome = _OUTCOME_NAMES[type(piece)]
+        took_s = self._clock() - started_at
+        self.on_end(CallEnd(message.service, message.group, outcome, kind, took_s))
 
-    async def _pass_on(
+    async def _forward(
         self,
         stream: _Runs,
-        asked: proto.RunRequest,
+        message: proto.RunRequest,
         host: HostEntry,
     ) -> None:
-        """Let the balancer that issued the id run it, and pass its answer on."""
-        if asked.relayed:
+        """Relay the request to the balancer that issued its id and stream the answer back."""
+        if message.relayed:
             await _send(stream, unknown(UnknownKind.ISSUER_GONE))
             return
-        asked.relayed = True
+        message.relayed = True
         channel = self._channels.get(host.name)
         if channel is None:
             channel = Channel(host.address, host.callers)
@@ -195,20 +195,20 @@
         ended = False
         try:
             async with RequestsStub(channel).Run.open(
-                timeout=asked.deadline_ms / _MILLISECONDS,
-            ) as onward:
-                await onward.send_message(asked, end=True)
-                async for reply in onward:
+                timeout=message.deadline_ms / _MILLISECONDS,
+            ) as issuer_stream:
+                await issuer_stream.send_message(message, end=True)
+                async for reply in issuer_stream:
                     ended = not reply.HasField('chunk')
                     await stream.send_message(reply)
-        except CALL_FAULTS:
-            _logger.debug('relay of %s failed', asked.id)
+        except CALL_ERRORS:
+            _logger.debug('failed to relay request %s', message.id)
         if not ended:
             await _send(stream, unknown(UnknownKind.ISSUER_GONE))
 
 
 async def _send(stream: _Runs, piece: bytes | EndMark | NotRun | Unknown) -> None:
-    """Send one part of a reply."""
+    """Send one piece of an answer, its end mark, or an outcome."""
     if isinstance(piece, bytes):
         await stream.send_message(proto.RunReply(chunk=piece))
     elif isinstance(piece, EndMark):
@@ -216,8 +216,8 @@
     elif isinstance(piece, NotRun):
         await stream.send_message(proto.RunReply(not_run=_refusal(piece)))
     else:
-        word = proto.Unknown(kind=piece.kind, remedy=piece.remedy)
-        await stream.send_message(proto.RunReply(unknown=word))
+        outcome = proto.Unknown(kind=piece.kind, remedy=piece.remedy)
+        await stream.send_message(proto.RunReply(unknown=outcome))
 
 
 def _refusal(outcome: NotRun) -> proto.NotRun:
--- a/src/bronzekeel/adapters/faults.py
+++ b/src/bronzekeel/adapters/errors.py
@@ -1,6 +1,6 @@
-"""Name the faults of calls, so that every caller catches the same ones."""
+"""Name the errors of calls, so that every caller catches the same ones."""
 
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
 #: What a gRPC call raises when its answer does not come.
-CALL_FAULTS = (OSError, TimeoutError, GRPCError, StreamTerminatedError)
+CALL_ERRORS = (OSError, TimeoutError, GRPCError, StreamTerminatedError)
--- a/src/bronzekeel/text/checks.py
+++ b/src/bronzekeel/text/checks.py
@@ -1,4 +1,4 @@
-"""Check a text and turn it into a catalogue; report all faults at once."""
+"""Validate a text and convert it to a catalogue; report all faults at once."""
 
 from collections.abc import Iterator
 from ipaddress import ip_address
@@ -15,62 +15,66 @@
     UpstreamSpec,
 )
 from bronzekeel.text.faults import FaultKind, TextError, TextFault
-from bronzekeel.text.model import MOST_PORT, Document, ServiceText, UpstreamText
+from bronzekeel.text.model import MAX_PORT, Document, ServiceText, UpstreamText
 
 
-_PORTS = range(1, MOST_PORT + 1)
+_VALID_PORTS = range(1, MAX_PORT + 1)
 
 
 def parse_text(body: bytes) -> Document:
-    """Return the document that `body` spells.
+    """Return the document encoded in `body`.
 
-    Raises TextError with every fault found.  Services with a faulty shape are
-    left out of the checks between services.
+    Raises TextError with every fault found.  Services whose fields have the wrong type or range
+    are left out of the checks across services.
     """
     try:
         raw = decode(body)
-    except (DecodeError, UnicodeDecodeError, RecursionError) as fault:
+    except (DecodeError, UnicodeDecodeError, RecursionError) as error:
         problem = TextFault(
             FaultKind.SYNTAX,
             '$',
-            f'not JSON: {fault}',
+            f'invalid JSON: {error}',
             'correct the JSON at that byte',
         )
-        raise TextError((problem,)) from fault
+        raise TextError((problem,)) from error
     faults: list[TextFault] = []
-    services = _shapes(raw, faults)
+    services = _convert_services(raw, faults)
     faults.extend(_check_all(services))
     if faults:
         raise TextError(tuple(faults))
     return convert(raw, Document)
 
 
-def _shapes(raw: Any, faults: list[TextFault]) -> dict[str, ServiceText]:
-    """Convert service by service, so that one fault does not hide the next."""
+def _convert_services(raw: Any, faults: list[TextFault]) -> dict[str, ServiceText]:
+    """Convert each service on its own, so that a fault in one does not hide the others."""
     listed = raw.get('services') if isinstance(raw, dict) else None
     if not isinstance(listed, dict):
-        faults.append(_shape('$.services', 'no object of services', 'add `services`'))
+        faults.append(
+            _shape_fault(
+                '$.services', 'not an object', 'add `services`, an object of services by name'
+            )
+        )
         return {}
     for key in raw.keys() - {'services', 'remark'}:
-        faults.append(_shape(f'$.{key}', 'unknown key', 'remove it'))
+        faults.append(_shape_fault(f'$.{key}', 'unknown key', 'remove it'))
     if not listed:
         faults.append(
-            TextFault(FaultKind.EMPTY, '$.services', 'no service', 'add one service'),
+            TextFault(FaultKind.EMPTY, '$.services', 'contains no service', 'add a service'),
         )
     services = {}
     for name, service in listed.items():
         try:
             services[name] = convert({name: service}, dict[str, ServiceText])[name]
-        except ValidationError as fault:
-            problem, _, where = str(fault).partition(' - at ')
+        except ValidationError as error:
+            problem, _, where = str(error).partition(' - at ')
             place = where.strip('`').replace('$[...]', '')
             faults.append(
-                _shape(f'$.services.{name}{place}', problem, 'correct this value'),
+                _shape_fault(f'$.services.{name}{place}', problem, 'correct this value'),
             )
     return services
 
 
-def _shape(place: str, problem: str, remedy: str) -> TextFault:
+def _shape_fault(place: str, problem: str, remedy: str) -> TextFault:
     return TextFault(FaultKind.SHAPE, place, problem, remedy)
 
 
@@ -83,28 +87,28 @@
             yield TextFault(
                 FaultKind.BUCKETS,
                 f'$.services.{name}.buckets',
-                f'{service.buckets} is no power of two',
+                f'{service.buckets} is not a power of two',
                 'use 64, 128, 256 or 512',
             )
 
 
 def _check_addresses(services: dict[str, ServiceText]) -> Iterator[TextFault]:
-    holder_by_key: dict[tuple[str, int], str] = {}
+    owner_by_endpoint: dict[tuple[str, int], str] = {}
     for name, service in services.items():
         place = f'$.services.{name}.address'
         if not _is_ip(service.address):
             yield TextFault(
                 FaultKind.ADDRESS,
                 place,
-                f'{service.address!r} is no IP number',
-                'write the service address as an IP number',
+                f'{service.address!r} is not an IP address',
+                'write the service address as an IP address',
             )
-        holder = holder_by_key.setdefault((service.address, service.port), name)
-        if holder != name:
+        owner = owner_by_endpoint.setdefault((service.address, service.port), name)
+        if owner != name:
             yield TextFault(
                 FaultKind.ADDRESS_TAKEN,
                 place,
-                f'{service.address} port {service.port} belongs to {holder}',
+                f'{service.address} port {service.port} is used by {owner}',
                 'give one of the two another address or port',
             )
 
@@ -119,11 +123,11 @@
 
 def _is_endpoint(text: str) -> bool:
     host, _, port = text.rpartition(':')
-    return _is_ip(host) and port.isdecimal() and int(port) in _PORTS
+    return _is_ip(host) and port.isdecimal() and int(port) in _VALID_PORTS
 
 
-def _placed(name: str, service: ServiceText) -> Iterator[tuple[str, UpstreamText]]:
-    """Yield every upstream of a service with its place in the text."""
+def _upstreams_by_place(name: str, service: ServiceText) -> Iterator[tuple[str, UpstreamText]]:
+    """Yield each upstream of a service with its path in the text."""
     for centre, upstreams in service.upstreams.items():
         for index, upstream in enumerate(upstreams):
             yield f'$.services.{name}.upstreams.{centre}[{index}]', upstream
@@ -132,12 +136,12 @@
 def _check_upstreams(services: dict[str, ServiceText]) -> Iterator[TextFault]:
     place_by_address: dict[str, str] = {}
     for name, service in services.items():
-        placed = list(_placed(name, service))
+        placed = list(_upstreams_by_place(name, service))
         if not placed:
             yield TextFault(
                 FaultKind.EMPTY,
                 f'$.services.{name}.upstreams',
-                'no upstream',
+                'contains no upstream',
                 'add an upstream or remove the service',
             )
         for place, upstream in placed:
@@ -145,7 +149,7 @@
                 yield TextFault(
                     FaultKind.ADDRESS,
                     place,
-                    f'{upstream.address!r} is no IP number with a port',
+                    f'{upstream.address!r} is not an IP address with a port',
                     'write it as 192.0.2.7:5555',
                 )
             first = place_by_address.setdefault(upstream.address, place)
@@ -153,32 +157,32 @@
                 yield TextFault(
                     FaultKind.UPSTREAM_SHARED,
                     place,
-                    f'{upstream.address} is also at {first}',
+                    f'{upstream.address} is also used at {first}',
                     'give each upstream an address of its own',
                 )
 
 
 def _check_dependencies(services: dict[str, ServiceText]) -> Iterator[TextFault]:
     for name, service in services.items():
-        for index, needed in enumerate(service.depends_on):
-            if needed not in services:
+        for index, dependency in enumerate(service.depends_on):
+            if dependency not in services:
                 yield TextFault(
                     FaultKind.UNKNOWN_NAME,
                     f'$.services.{name}.depends_on[{index}]',
-                    f'no service is named {needed}',
+                    f'service {dependency} does not exist',
                     'correct the name or add the service',
                 )
     for cycle in _cycles(services):
         yield TextFault(
             FaultKind.CYCLE,
             f'$.services.{cycle[0]}.depends_on',
-            'these depend on each other: {0}'.format(' -> '.join(cycle)),
+            'cyclic dependency: {0}'.format(' -> '.join(cycle)),
             'remove one of these dependencies',
         )
 
 
 def _cycles(services: dict[str, ServiceText]) -> Iterator[list[str]]:
-    """Yield each cycle of dependencies once, from its first service by name."""
+    """Yield each dependency cycle once, starting at its first service by name."""
     done: set[str] = set()
     for start in sorted(services):
         cycle = _cycle_from(start, services, done)
@@ -188,62 +192,63 @@
 
 
 def _cycle_from(start: str, services: dict[str, ServiceText], done: set[str]) -> list[str]:
-    """Return a path from `start` back to it, empty when there is none."""
+    """Return a dependency path from `start` back to itself, or an empty list."""
     paths = [] if start in done else [[start]]
     seen = set(done)
     while paths:
         path = paths.pop()
-        for needed in services[path[-1]].depends_on:
-            if needed == start:
+        for dependency in services[path[-1]].depends_on:
+            if dependency == start:
                 return [*path, start]
-            if needed not in services or needed in seen:
+            if dependency not in services or dependency in seen:
                 continue
-            seen.add(needed)
-            paths.append([*path, needed])
+            seen.add(dependency)
+            paths.append([*path, dependency])
     return []
 
 
-def check_change(former: Document, latter: Document) -> None:
-    """Refuse changes that one submission cannot make safely.
+def check_change(previous: Document, updated: Document) -> None:
+    """Check that a change of the text can safely be made in one submission.
 
-    Raises TextError.  An upstream address that moves between services at once
-    would get packets of its former service from balancers that lag behind.
+    Raises TextError otherwise.  An upstream address that moved from one service to another in a
+    single submission would get packets of its previous service from balancers that still have the
+    previous text.
     """
     service_by_address = {
         upstream.address: name
-        for name, service in former.services.items()
-        for _, upstream in _placed(name, service)
+        for name, service in previous.services.items()
+        for _, upstream in _upstreams_by_place(name, service)
     }
     faults = []
-    for name, service in latter.services.items():
-        for place, upstream in _placed(name, service):
-            holder = service_by_address.get(upstream.address, name)
-            if holder == name:
+    for name, service in updated.services.items():
+        for place, upstream in _upstreams_by_place(name, service):
+            owner = service_by_address.get(upstream.address, name)
+            if owner == name:
                 continue
             faults.append(
                 TextFault(
                     FaultKind.UPSTREAM_MOVED,
                     place,
-                    f'{upstream.address} belongs to {holder} in the text in force',
-                    f'remove it from {holder}, submit, wait until it is empty, then add it',
+                    f'{upstream.address} belongs to {owner} in the text in force',
+                    f'remove it from {owner}, submit, wait until it is drained, then add it',
                 )
             )
-        earlier = former.services.get(name)
-        if earlier and earlier.buckets != service.buckets:
+        previous_service = previous.services.get(name)
+        if previous_service and previous_service.buckets != service.buckets:
             faults.append(
                 TextFault(
                     FaultKind.BUCKETS,
                     f'$.services.{name}.buckets',
-                    'the number of buckets of a service cannot change',
-                    f'leave it at {earlier.buckets}',
+                    'the number of buckets of a service cannot be changed',
+                    f'change it back to {previous_service.buckets}',
                 )
             )
     if faults:
         raise TextError(tuple(faults))
 
 
-def catalogue_of(document: Document, generation: int) -> Catalogue:
-    """Return a checked document in the form that decisions need."""
+def build_catalogue(document: Document, generation: int) -> Catalogue:
+    """Convert a validated document to the catalogue that the core uses."""
     services = {}
     for name, service in document.services.items():
         upstreams = tuple(
--- a/src/bronzekeel/wire.py
+++ b/src/bronzekeel/wire.py
@@ -1,4 +1,4 @@
-"""Encode messages between balancers; the codec is MessagePack by msgspec."""
+"""Encode and decode messages between balancers as MessagePack."""
 
 from msgspec import DecodeError, ValidationError
 from msgspec.msgpack import Decoder, Encoder
@@ -7,34 +7,34 @@
 
 
 #: Bytes that a datagram and a gRPC call add to an encoded message.
-_DATAGRAM_BYTES = 28
-_CALL_BYTES = 140
+_DATAGRAM_OVERHEAD_BYTES = 28
+_CALL_OVERHEAD_BYTES = 140
 
 _encoder = Encoder()
 _decoder: Decoder[Message] = Decoder(Message)
 
 
 class WireError(ValueError):
-    """Tell that bytes from a peer are no message; they are to be dropped."""
+    """Raised for bytes from a peer that are not a valid message; drop them."""
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of a message."""
+    """Return the encoded message."""
     return _encoder.encode(message)
 
 
 def decode(raw: bytes) -> Message:
-    """Return the message that `raw` spells.
+    """Return the message encoded in `raw`.
 
-    Raises WireError for anything else.
+    Raises WireError if it is not a valid message.
     """
     try:
         return _decoder.decode(raw)
-    except (DecodeError, ValidationError, RecursionError) as fault:
-        raise WireError(f'not a peer message, drop it: {fault}') from fault
+    except (DecodeError, ValidationError, RecursionError) as error:
+        raise WireError(f'invalid peer message, drop it: {error}') from error
 
 
-def sent_bytes(message: Message, raw: bytes) -> int:
-    """Return what sending a message takes: its bytes and those of its carrier."""
-    carrier = _DATAGRAM_BYTES if isinstance(message, Heartbeat) else _CALL_BYTES
-    return len(raw) + carrier
+def wire_bytes(message: Message, raw: bytes) -> int:
+    """Return the bytes that a message takes on the wire, with datagram or call overhead."""
+    overhead = _DATAGRAM_OVERHEAD_BYTES if isinstance(message, Heartbeat) else _CALL_OVERHEAD_BYTES
+    return len(raw) + overhead
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Test balancers as separate processes, as they run on hosts."""
+"""Tests of balancers as separate processes, as they run on hosts."""
 
 from asyncio import create_subprocess_exec, run, sleep, wait_for
 from asyncio.subprocess import PIPE, Process
@@ -17,16 +17,16 @@
 from bronzekeel.core.messages import HostEntry
 from bronzekeel.demo.site import REPLIES, Site
 from bronzekeel.standins.fabric import ClientFlow
-from tests.test_daemon import until
+from tests.test_daemon import wait_until
 
 
-#: Seconds in which a stopped process must end, with much patience.
-_STOP_S = 60
+#: Seconds within which a stopped process must exit; generous for slow machines.
+_STOP_TIMEOUT_S = 60
 
 
 @dataclass(slots=True)
 class Fleet:
-    """Hold balancer processes beside a site's stand-ins."""
+    """Hold balancer processes and the stand-ins of a site."""
 
     site: Site
     folder: Path
@@ -40,7 +40,7 @@
         await self.site.submit()
 
     async def start(self, name: str) -> None:
-        """Start one process and learn its ports from its first log line."""
+        """Start one process and read its ports from its first log line."""
         path = self.folder / f'{name}.json'
         settings = Settings(name, f'dc-{name[0]}', '127.0.0.1', self.site.platform.url)
         path.write_bytes(encode(settings))
@@ -55,7 +55,7 @@
         )
         self.processes[name] = process
         if process.stderr is None:
-            raise AssertionError('no log')
+            raise AssertionError('process has no standard error stream')
         line = decode(await process.stderr.readline())
         host = HostEntry(*decode(line['detail']))
         self.site.hosts[name] = host
@@ -64,7 +64,7 @@
         self.site.caller.add(name, host.address, host.callers)
 
     async def end(self) -> None:
-        """End what still runs, by its id."""
+        """Kill the processes that still run and close the site."""
         for process in self.processes.values():
             if process.returncode is None:
                 process.kill()
@@ -73,31 +73,30 @@
 
 
 class ProcessTest(TestCase):
-    """Kill, freeze and stop processes under flows and requests."""
+    """Tests that stop, kill and suspend processes that carry flows and requests."""
 
     def test_flows_and_requests_outlive_processes(self) -> None:
-        """Symptom: flows end with the process that is killed, frozen or stopped.
+        """Guards against flows that end when a balancer process is stopped, killed or suspended.
 
-        Sequence: of five balancers one gets SIGTERM, one SIGKILL, one SIGSTOP
-        and later SIGCONT, while feeds go on and requests are sent.
-        Cause: state that only one process has.
+        It occurs if only that process has their state.  Of five balancers one gets SIGTERM, one
+        SIGKILL, and one SIGSTOP and later SIGCONT, during open flows and requests.
         """
         with TemporaryDirectory() as folder:
-            run(self._play(Fleet(Site(Random(1)), Path(folder))))
+            run(self._run_fleet(Fleet(Site(Random(1)), Path(folder))))
 
-    async def _play(self, fleet: Fleet) -> None:
-        async with AsyncExitStack() as ending:
-            ending.push_async_callback(fleet.end)
-            await self._outlive(fleet)
+    async def _run_fleet(self, fleet: Fleet) -> None:
+        async with AsyncExitStack() as cleanup:
+            cleanup.push_async_callback(fleet.end)
+            await self._check_flows_survive(fleet)
 
-    async def _outlive(self, fleet: Fleet) -> None:
+    async def _check_flows_survive(self, fleet: Fleet) -> None:
         site = fleet.site
         await fleet.open()
         flows = [site.fabric.add_flow(('198.51.100.10', 443), number) for number in range(100)]
         await self._step_until_answered(fleet, flows)
         site.unlist('a1')
         fleet.processes['a1'].send_signal(SIGTERM)
-        self.assertEqual(0, await wait_for(fleet.processes['a1'].wait(), _STOP_S))
+        self.assertEqual(0, await wait_for(fleet.processes['a1'].wait(), _STOP_TIMEOUT_S))
         await self._step_until_answered(fleet, flows)
         fleet.processes['a2'].send_signal(SIGKILL)
         site.fabric.balancers.pop('a2')
@@ -105,14 +104,14 @@
         await sleep(6)
         fleet.processes['b1'].send_signal(SIGCONT)
         await self._step_until_answered(fleet, flows)
-        told = await site.caller.request('b2', REPLIES, b'after all')
-        self.assertEqual('answered', told.outcome)
+        reply = await site.caller.request('b2', REPLIES, b'after all')
+        self.assertEqual('answered', reply.outcome)
         self.assertEqual(0, sum(flow.reset for flow in flows))
 
     async def _step_until_answered(self, fleet: Fleet, flows: list[ClientFlow]) -> None:
-        """Send packets of all flows until each has been answered once more."""
+        """Send packets on all flows until each has received another answer."""
         before = {flow.number: flow.answered for flow in flows}
-        await until(lambda: self._all_answered(fleet, flows, before))
+        await wait_until(lambda: self._all_answered(fleet, flows, before))
 
     def _all_answered(
         self,
