--- a/src/bronzekeel/commands/soak.py
+++ b/src/bronzekeel/commands/soak.py
@@ -12,7 +12,7 @@
 
 from bronzekeel.commands.base import Command, ExitCode
 from bronzekeel.commands.output import complain, say
-from bronzekeel.soak.runner import Soak, SoakReport, keep_failure
+from bronzekeel.soak.runner import Soak, SoakReport, save_failure
 
 
 _SECONDS = 60.0
@@ -50,7 +50,7 @@
         if report.ok:
             rmtree(folder)
             return ExitCode.DONE
-        complain(f'kept in {folder}; again: {keep_failure(report, folder)}')
+        complain(f'kept in {folder}; again: {save_failure(report, folder)}')
         return ExitCode.REFUSED
 
 
--- a/src/bronzekeel/soak/callers.py
+++ b/src/bronzekeel/soak/callers.py
@@ -10,9 +10,9 @@
 
 from bronzekeel.soak.checks import Checks, Promise
 from bronzekeel.soak.fabric import Fabric
-from bronzekeel.soak.links import Address, bound_datagrams, loopback
+from bronzekeel.soak.links import Address, bind_datagrams, loopback
 from bronzekeel.soak.requests import Request, read_answer
-from bronzekeel.soak.shares import Caller, Shares
+from bronzekeel.soak.share_counts import Caller, ShareCounts
 from bronzekeel.soak.upstreams import Runs, Upstream
 from bronzekeel.standins.echo_packets import (
     ACK,
@@ -30,12 +30,12 @@
 _FIRST_PORT = 1024
 _PORTS = 64_000
 _SEQUENCE_BITS = 31
-_MOST_PAYLOAD = 1200
+_MAX_PAYLOAD_BYTES = 1200
 
 #: Waits in seconds after an opening packet and its two copies, and after a request and its repeats.
 _OPENING_WAITS_S = (0.2, 0.4, 0.8)
 _ANSWER_WAITS_S = (0.2, 0.4, 0.8, 1.6)
-_ATTEMPTS = 3
+_MAX_ATTEMPTS = 3
 
 
 class Outcome(Enum):
@@ -81,7 +81,7 @@
 class Callers(DatagramProtocol):
     """Own the sockets at which callers take packets, and send requests.
 
-    `shares` count what each of `all` asks for while one of them is a crowd.  Probes come from an
+    `share_counts` count what each of `all` asks for while one of them is a crowd.  Probes come from an
     address of their own.
     """
 
@@ -97,9 +97,9 @@
         self.outcomes: Counter[Outcome] = Counter()
         self.flows = 0
         self.dropped_routes: set[Address] = set()
-        self.probe = Caller(_LOOPBACK, '')
+        self.probe_caller = Caller(_LOOPBACK, '')
         self.all: list[Caller] = []
-        self.shares: Shares | None = None
+        self.share_counts: ShareCounts | None = None
         self._fabric = fabric
         self._upstreams = upstreams
         self._checks = checks
@@ -123,10 +123,10 @@
         self.all.append(caller)
         return caller
 
-    def void_shares(self) -> None:
+    def discard_shares(self) -> None:
         """Let the shares that are counted now judge nothing: callers move meanwhile."""
-        if self.shares is not None:
-            self.shares.void = True
+        if self.share_counts is not None:
+            self.share_counts.discarded = True
 
     def close(self) -> None:
         """Free the sockets."""
@@ -162,13 +162,13 @@
         Further tries use new flows.  A request that is not idempotent is tried again only
         if its flow never opened or it was turned away.
         """
-        shares = self._shares_of(target)
+        share_counts = self._counts_for(target)
         data_centre = caller.data_centre
-        if shares is not None:
-            shares.note_asked(data_centre, caller.address)
-        found = await self._until_answered(target, caller, size, flow, idempotent=idempotent)
-        if found is not None and shares is not None and shares is self.shares:
-            shares.note_served(data_centre, caller.address)
+        if share_counts is not None:
+            share_counts.count_request(data_centre, caller.address)
+        found = await self._request_with_retries(target, caller, size, flow, idempotent=idempotent)
+        if found is not None and share_counts is not None and share_counts is self.share_counts:
+            share_counts.count_served(data_centre, caller.address)
         return found
 
     def served_share(self, window_s: tuple[float, float]) -> float:
@@ -188,7 +188,7 @@
         """Send the opening packet and its copies; return whether the flow opened."""
         for copy, wait_s in enumerate(_OPENING_WAITS_S):
             self._send(flow, SYN, b'', copy, first_host_only)
-            found = await self._next(flow, wait_s)
+            found = await self._next_packet(flow, wait_s)
             if found is None:
                 continue
             segment, sender = found
@@ -203,7 +203,7 @@
             return Outcome.ANSWERED
         return Outcome.SILENT
 
-    async def _until_answered(
+    async def _request_with_retries(
         self,
         target: Address,
         caller: Caller,
@@ -215,54 +215,58 @@
         self._requests += 1
         number = self._requests
         begun_at = monotonic()
-        for attempt in range(_ATTEMPTS):
+        for attempt in range(_MAX_ATTEMPTS):
             used = flow or self.new_flow(target, caller)
             flow = None
             request = Request(number, attempt, size, idempotent=idempotent)
-            outcome = await self._try(used, request)
+            outcome = await self._try_once(used, request)
             self.outcomes[outcome] += 1
             if outcome is Outcome.ANSWERED:
                 self._served.append((begun_at, True))
                 return used
             self.end(used)
-            unsure = outcome in {Outcome.BROKEN, Outcome.SILENT} and used.opened_at is not None
-            if unsure and not idempotent:
+            may_have_run = (
+                outcome in {Outcome.BROKEN, Outcome.SILENT} and used.opened_at is not None
+            )
+            if may_have_run and not idempotent:
                 break
         self._served.append((begun_at, False))
         return None
 
-    def _shares_of(self, target: Address) -> Shares | None:
+    def _counts_for(self, target: Address) -> ShareCounts | None:
         """Return the shares that count requests to a target now."""
-        counted = self.shares is not None and target in self.shares.targets
-        return self.shares if counted else None
+        counted = self.share_counts is not None and target in self.share_counts.targets
+        return self.share_counts if counted else None
 
     async def _bind(self, address: str) -> None:
-        self._transports.append(await bound_datagrams(self, (address, self._port)))
+        self._transports.append(await bind_datagrams(self, (address, self._port)))
 
-    async def _try(self, flow: Flow, request: Request) -> Outcome:
+    async def _try_once(self, flow: Flow, request: Request) -> Outcome:
         if flow.opened_at is None:
             outcome = await self.try_open(flow)
             if outcome is Outcome.REFUSED:
-                self._check_not_run(request)
+                self._check_not_executed(request)
             if outcome is not Outcome.ANSWERED:
                 return outcome
-        return await self._ask(flow, request)
+        return await self._exchange(flow, request)
 
-    async def _ask(self, flow: Flow, request: Request) -> Outcome:
+    async def _exchange(self, flow: Flow, request: Request) -> Outcome:
         raw = request.encode()
-        pieces = [raw[at : at + _MOST_PAYLOAD] for at in range(0, len(raw), _MOST_PAYLOAD)]
+        pieces = [
+            raw[at : at + _MAX_PAYLOAD_BYTES] for at in range(0, len(raw), _MAX_PAYLOAD_BYTES)
+        ]
         for wait_s in _ANSWER_WAITS_S:
             sent = flow.sequence
             for piece in pieces:
                 self._send(flow, ACK, piece)
                 flow.sequence += len(piece)
-            found = await self._next(flow, wait_s)
+            found = await self._next_packet(flow, wait_s)
             if found is not None:
-                return self._take(flow, request, *found)
+                return self._handle_answer(flow, request, *found)
             flow.sequence = sent
         return Outcome.SILENT
 
-    def _take(
+    def _handle_answer(
         self,
         flow: Flow,
         request: Request,
@@ -277,7 +281,7 @@
         self._checks.check(Promise.ANSWERED_WHOLE, own, f'request {request.number}')
         if answer is None:
             return Outcome.BROKEN
-        self._checks.check(_kept(flow), True, '')  # noqa: FBT003 (it was answered)
+        self._checks.check(_flow_promise(flow), True, '')  # noqa: FBT003 (it was answered)
         flow.acknowledged = segment.sequence + len(segment.payload)
         flow.used_at = monotonic()
         self._send(flow, ACK, b'')
@@ -288,15 +292,15 @@
         upstream = flow.upstream
         if upstream is None or sender == upstream.address:
             return
-        calm = self._fabric.is_calm(sender) and upstream.contact.in_touch
-        undisturbed = upstream.alive and calm
+        stable = self._fabric.is_undisturbed(sender) and upstream.disturbances.is_stable
+        undisturbed = upstream.alive and stable
         dropped = flow.target in self.dropped_routes
-        told = f'flow {flow.port} to {flow.target} at upstream {upstream.number} by {sender}'
-        self._checks.check(_kept(flow), dropped or not undisturbed, told)
+        description = f'flow {flow.port} to {flow.target} at upstream {upstream.number} by {sender}'
+        self._checks.check(_flow_promise(flow), dropped or not undisturbed, description)
         if undisturbed:
-            self._check_not_run(request)
+            self._check_not_executed(request)
 
-    def _check_not_run(self, request: Request) -> None:
+    def _check_not_executed(self, request: Request) -> None:
         """Check that a request that a host refused did not run, and does not run later."""
         self._runs.refused.add((request.number, request.attempt))
         ran = (request.number, request.attempt) in self._runs.attempts
@@ -308,7 +312,7 @@
                 return upstream
         return None
 
-    async def _next(self, flow: Flow, wait_s: float) -> tuple[EchoSegment, Address] | None:
+    async def _next_packet(self, flow: Flow, wait_s: float) -> tuple[EchoSegment, Address] | None:
         """Return the next packet that is no repeat of the flow's opening answer."""
         with suppress(TimeoutError):
             while True:
@@ -342,7 +346,7 @@
         self._transports[0].sendto(build_echo(segment), host or chosen.packets)
 
 
-def _kept(flow: Flow) -> Promise:
+def _flow_promise(flow: Flow) -> Promise:
     """Return what holds for an established flow."""
     slow = flow.upstream is not None and flow.upstream.speed < 1
     return Promise.SLOW_KEPT if slow else Promise.FLOW_KEPT
--- a/src/bronzekeel/soak/checks.py
+++ b/src/bronzekeel/soak/checks.py
@@ -27,11 +27,11 @@
     """Hold how often each promise was checked, and the first breaks of each."""
 
     #: Breaks that are told; more of the same would only repeat them.
-    _most_told = 20
+    _max_broken = 20
 
     def __init__(self) -> None:
         """Start with nothing checked."""
-        self.made: Counter[Promise] = Counter()
+        self.count_by_promise: Counter[Promise] = Counter()
         self.broken: list[str] = []
 
     @property
@@ -40,12 +40,12 @@
         return not self.broken
 
     @property
-    def never_made(self) -> list[str]:
+    def unchecked(self) -> list[str]:
         """Promises that had no chance to be broken."""
-        return [promise.name for promise in Promise if not self.made[promise]]
+        return [promise.name for promise in Promise if not self.count_by_promise[promise]]
 
-    def check(self, promise: Promise, holds: bool, told: str) -> None:  # noqa: FBT001
-        """Count a check; note what was `told` if it does not hold."""
-        self.made[promise] += 1
-        if not holds and len(self.broken) < self._most_told:
-            self.broken.append(f'{promise.name}: {promise.value}: {told}')
+    def check(self, promise: Promise, holds: bool, description: str) -> None:  # noqa: FBT001
+        """Count a check; note what was `description` if it does not hold."""
+        self.count_by_promise[promise] += 1
+        if not holds and len(self.broken) < self._max_broken:
+            self.broken.append(f'{promise.name}: {promise.value}: {description}')
--- a/src/bronzekeel/soak/contact.py
+++ b/src/bronzekeel/soak/disturbances.py
@@ -8,37 +8,37 @@
 STABLE_S = 4.0
 
 
-class Contact:
+class Disturbances:
     """Hold until when something is disturbed, and since when it has been in touch."""
 
-    __slots__ = ('_disturbances', '_ended_at', 'planned_at')
+    __slots__ = ('_ongoing', '_ended_at', 'planned_at')
 
     def __init__(self) -> None:
         """Start as something that has just begun."""
-        self._disturbances = 0
+        self._ongoing = 0
         self._ended_at = monotonic()
         self.planned_at: float = 0
 
     @property
-    def in_touch(self) -> bool:
+    def is_stable(self) -> bool:
         """Whether nothing has disturbed it for ``STABLE_S``."""
-        return not self._disturbances and monotonic() >= self._ended_at + STABLE_S
+        return not self._ongoing and monotonic() >= self._ended_at + STABLE_S
 
     @property
-    def in_touch_since(self) -> float:
+    def stable_since(self) -> float:
         """When it came to be in touch, as far as is known now."""
         return self._ended_at + STABLE_S
 
     def begin(self) -> None:
         """Note that a disturbance begins."""
-        self._disturbances += 1
+        self._ongoing += 1
 
     def end(self) -> None:
         """Note that a disturbance ends."""
-        self._disturbances -= 1
+        self._ongoing -= 1
         self._ended_at = monotonic()
 
-    def touch(self) -> None:
+    def note(self) -> None:
         """Note a disturbance that is over at once."""
         self.begin()
         self.end()
--- a/src/bronzekeel/soak/fabric.py
+++ b/src/bronzekeel/soak/fabric.py
@@ -12,11 +12,11 @@
 
 #: Interval in seconds of probes, and how many in a row must be missed to leave the rotation.
 #: Source: the users' platform.
-_PROBE_S = 0.5
-_MISSES = 2
+_PROBE_INTERVAL_S = 0.5
+_MAX_MISSES = 2
 
 #: Seconds beyond which the answer to a probe is slow.  When most are, the machine is busy.
-_CALM_ANSWER_S = 0.2
+_SLOW_PROBE_S = 0.2
 
 
 class Fabric:
@@ -38,7 +38,7 @@
         """Probe all hosts again and again; ends when it is cancelled."""
         while True:
             probes = [create_task(self._probe_one(host)) for host in self._hosts]
-            await gather(*probes, sleep(_PROBE_S))
+            await gather(*probes, sleep(_PROBE_INTERVAL_S))
 
     @property
     def slow_probes(self) -> int:
@@ -47,21 +47,23 @@
 
     def in_rotation(self, host: Host) -> bool:
         """Whether a host takes packets."""
-        return self._misses_by_host.get(host.name, _MISSES) < _MISSES
+        return self._misses_by_host.get(host.name, _MAX_MISSES) < _MAX_MISSES
 
     def choose(self, flow: bytes, data_centre: str) -> Host:
         """Return the host that gets a packet: one of the data centre if any can."""
-        near = [host for host in self._hosts if host.data_centre == data_centre]
-        ready = [host for host in near if self.in_rotation(host)]
-        if ready and len(ready) * 2 < len(near):
-            ready = near
+        local = [host for host in self._hosts if host.data_centre == data_centre]
+        ready = [host for host in local if self.in_rotation(host)]
+        if ready and len(ready) * 2 < len(local):
+            ready = local
         if not ready:
             ready = [host for host in self._hosts if self.in_rotation(host)] or self._hosts
         return ready[crc32(flow) % len(ready)]
 
-    def is_calm(self, packets: Address) -> bool:
+    def is_undisturbed(self, packets: Address) -> bool:
         """Whether nothing unplanned has struck the host that sends from an address."""
-        return all(host.unplanned.in_touch for host in self._hosts if host.packets == packets)
+        return all(
+            host.unplanned_disturbances.is_stable for host in self._hosts if host.packets == packets
+        )
 
     def passes(self, host: Host) -> bool:
         """Whether a packet arrives at a host."""
@@ -70,11 +72,11 @@
 
     async def _probe_one(self, host: Host) -> None:
         ready = False
-        asked_at = monotonic()
+        sent_at = monotonic()
         with suppress(OSError, TimeoutError):
-            ready = await wait_for(_is_ready(host), _PROBE_S)
-        self._slow_by_host[host.name] = monotonic() > asked_at + _CALM_ANSWER_S
-        misses = self._misses_by_host.get(host.name, _MISSES)
+            ready = await wait_for(_is_ready(host), _PROBE_INTERVAL_S)
+        self._slow_by_host[host.name] = monotonic() > sent_at + _SLOW_PROBE_S
+        misses = self._misses_by_host.get(host.name, _MAX_MISSES)
         self._misses_by_host[host.name] = 0 if ready else misses + 1
 
 
--- a/src/bronzekeel/soak/fault.py
+++ b/src/bronzekeel/soak/fault.py
@@ -10,7 +10,7 @@
 
 
 #: Upstreams of a service that are left at least.
-_FEWEST = 2
+_MIN_REMAINING = 2
 
 
 class Fault(ABC):
@@ -24,7 +24,7 @@
         self.site = site
         self.for_s = for_s
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """Begin, last, and end."""
         await self.begin()
         await sleep(self.for_s)
@@ -37,11 +37,11 @@
     async def end(self) -> None:
         """Take it back."""
 
-    def any_host(self) -> Host:
+    def pick_host(self) -> Host:
         """Return any host."""
         return self.site.random.choice(self.site.hosts)
 
-    def any_upstream(self, service: str = PORTAL) -> Upstream | None:
+    def pick_upstream(self, service: str = PORTAL) -> Upstream | None:
         """Return an upstream whose loss the others can bear, None if there is none."""
-        living = self.site.living(service)
-        return self.site.random.choice(living) if len(living) > _FEWEST else None
+        available = self.site.available(service)
+        return self.site.random.choice(available) if len(available) > _MIN_REMAINING else None
--- a/src/bronzekeel/soak/faults.py
+++ b/src/bronzekeel/soak/faults.py
@@ -1,10 +1,10 @@
 """List every kind of fault that a soak injects."""
 
-from bronzekeel.soak.demand_faults import CallersMoved, OneCallerCrowds, UpstreamsUneven
+from bronzekeel.soak.demand_faults import CallersMoved, SingleCallerSurge, UpstreamsUneven
 from bronzekeel.soak.fault import Fault
 from bronzekeel.soak.host_faults import (
-    AllKilled,
-    AllStopped,
+    AllHostsKilled,
+    AllHostsStopped,
     HostAdded,
     HostKilled,
     HostPaused,
@@ -15,7 +15,7 @@
     CentreCut,
     PacketsLost,
     PeersLate,
-    PeersUnheard,
+    PeersOneWay,
     StoreRefusesSome,
     StoreSilentForSome,
 )
@@ -29,7 +29,7 @@
 from bronzekeel.soak.store_faults import (
     HistoryDropped,
     StoreDown,
-    StoreRefusing,
+    StoreRateLimited,
     StoreRestored,
     StoreSlow,
 )
@@ -45,21 +45,21 @@
 
 FAULTS: tuple[type[Fault], ...] = (
     HostKilled,
-    AllKilled,
+    AllHostsKilled,
     HostStopped,
-    AllStopped,
+    AllHostsStopped,
     HostPaused,
     SettingsChanged,
     HostAdded,
     StoreSilentForSome,
     StoreRefusesSome,
-    PeersUnheard,
+    PeersOneWay,
     PeersLate,
     PacketsLost,
     CentreCut,
     StoreDown,
     StoreSlow,
-    StoreRefusing,
+    StoreRateLimited,
     HistoryDropped,
     StoreRestored,
     UpstreamCrashed,
@@ -73,7 +73,7 @@
     TextGrown,
     CentreEvacuated,
     Burst,
-    OneCallerCrowds,
+    SingleCallerSurge,
     CallersMoved,
     UpstreamsUneven,
 )
--- a/src/bronzekeel/soak/host_faults.py
+++ b/src/bronzekeel/soak/host_faults.py
@@ -3,7 +3,7 @@
 from asyncio import sleep
 
 from bronzekeel.soak.fault import Fault
-from bronzekeel.soak.hosts import RESTART_S
+from bronzekeel.soak.hosts import RESTART_DELAY_S
 
 
 class HostKilled(Fault):
@@ -13,10 +13,10 @@
 
     async def begin(self) -> None:
         """Kill it."""
-        self.any_host().kill()
+        self.pick_host().kill()
 
 
-class AllKilled(Fault):
+class AllHostsKilled(Fault):
     """All hosts are killed at once."""
 
     kind = 'all_kill'
@@ -35,10 +35,10 @@
 
     async def begin(self) -> None:
         """Stop it."""
-        self.any_host().stop()
+        self.pick_host().stop()
 
 
-class AllStopped(Fault):
+class AllHostsStopped(Fault):
     """All hosts are stopped in turn."""
 
     kind = 'hosts_in_turn'
@@ -48,7 +48,7 @@
         """Stop one after the other."""
         for host in list(self.site.hosts):
             host.stop()
-            await sleep(1 + RESTART_S)
+            await sleep(1 + RESTART_DELAY_S)
 
 
 class HostPaused(Fault):
@@ -58,12 +58,12 @@
 
     async def begin(self) -> None:
         """Pause it."""
-        self._host = self.any_host()
+        self._host = self.pick_host()
         self._host.pause()
 
     async def end(self) -> None:
         """Let it go on."""
-        self._host.go_on()
+        self._host.resume()
 
 
 class SettingsChanged(Fault):
--- a/src/bronzekeel/soak/hosts.py
+++ b/src/bronzekeel/soak/hosts.py
@@ -14,7 +14,7 @@
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.platform.machine import HostPlace, host_fields
 from bronzekeel.platform.start import SETTINGS_VARIABLE
-from bronzekeel.soak.contact import Contact
+from bronzekeel.soak.disturbances import Disturbances
 from bronzekeel.soak.links import Address, DatagramProxy, StreamProxy, loopback
 from bronzekeel.standins.template import filled
 
@@ -24,8 +24,8 @@
 _TEMPLATE = _ROOT / 'deploy' / 'settings.json'
 
 #: Seconds that a stop may take, and after which a process that ended is started again.
-STOP_S = 6
-RESTART_S = 0.3
+MAX_STOP_S = 6
+RESTART_DELAY_S = 0.3
 
 
 class Ports:
@@ -43,8 +43,8 @@
 class Host:
     """Own one balancer's process, its settings, and the proxies before it.
 
-    `expected` tells that it was told to end; `starts` counts its processes.  `contact` notes all
-    that disturbs it, `unplanned` what no operator asked for.
+    `exit_expected` tells that it was told to end; `starts` counts its processes.  `disturbances` notes all
+    that disturbs it, `unplanned_disturbances` what no operator asked for.
     """
 
     def __init__(
@@ -64,11 +64,11 @@
         self.peers: Address = (ip, ports.peers)
         self.readiness: Address = (ip, ports.readiness)
         self.advertised: Address = (proxy_ip, ports.peers)
-        self.contact = Contact()
-        self.unplanned = Contact()
+        self.disturbances = Disturbances()
+        self.unplanned_disturbances = Disturbances()
         self.starts = 0
-        self.expected = False
-        self.left = False
+        self.exit_expected = False
+        self.is_closed = False
         self.failures: list[str] = []
         random = Random(name)
         self.heartbeats = DatagramProxy(self.peers, random)
@@ -90,7 +90,7 @@
         self.store.target = ('127.0.0.1', store_port)
         await self.store.open(('127.0.0.1', 0))
 
-    def write_settings(self, seeds: list[Address], stop_within_s: int = STOP_S) -> None:
+    def write_settings(self, seeds: list[Address], stop_within_s: int = MAX_STOP_S) -> None:
         """Write the settings that the template gives, in one piece."""
         place = HostPlace(self.name, self.data_centre, self.packets, self.readiness, self.peers)
         store = ('127.0.0.1', self.store.port)
@@ -104,7 +104,7 @@
     async def start(self, script: Path) -> None:
         """Start its process; it is started again whenever it ends."""
         self.starts += 1
-        self.contact.touch()
+        self.disturbances.note()
         sources = pathsep.join((str(_ROOT / 'src'), *module_path))
         with self.log_path.open('ab') as log:
             self._process = await create_subprocess_exec(
@@ -115,7 +115,7 @@
                 stdout=log,
                 stderr=log,
             )
-        create_task(self._watch(self._process, script))  # noqa: RUF006 (ends with the process)
+        create_task(self._supervise(self._process, script))  # noqa: RUF006 (ends with the process)
 
     def signal(self, number: int) -> None:
         """Send a signal to its process, if it runs."""
@@ -124,26 +124,26 @@
 
     def kill(self) -> None:
         """End its process at once."""
-        self.expected = True
-        self.unplanned.touch()
+        self.exit_expected = True
+        self.unplanned_disturbances.note()
         self.signal(SIGKILL)
 
     def stop(self) -> None:
         """End its process in the planned way."""
-        self.expected = True
+        self.exit_expected = True
         self.signal(SIGTERM)
 
     def pause(self) -> None:
         """Let its process stand still."""
-        self.contact.begin()
-        self.unplanned.begin()
+        self.disturbances.begin()
+        self.unplanned_disturbances.begin()
         self.signal(SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Let its process go on."""
         self.signal(SIGCONT)
-        self.contact.end()
-        self.unplanned.end()
+        self.disturbances.end()
+        self.unplanned_disturbances.end()
 
     def reload(self) -> None:
         """Tell its process that the settings have changed."""
@@ -151,7 +151,7 @@
 
     async def end(self) -> None:
         """End its process for good, and free the proxies."""
-        self.left = True
+        self.is_closed = True
         self.signal(SIGCONT)
         self.kill()
         if self._process is not None:
@@ -160,19 +160,19 @@
         self.views.close()
         self.store.close()
 
-    def faults_logged(self) -> list[str]:
+    def logged_faults(self) -> list[str]:
         """Return lines that no balancer should write."""
         lines = self.log_path.read_text(encoding='utf-8', errors='replace').splitlines()
         fault = f'"event": {int(LogNumber.INTERNAL_FAULT)},'
         return [line for line in lines if line and (not line.startswith('{') or fault in line)]
 
-    async def _watch(self, process: Process, script: Path) -> None:
+    async def _supervise(self, process: Process, script: Path) -> None:
         code = await process.wait()
-        if not self.expected:
+        if not self.exit_expected:
             self.failures.append(f'{self.name} ended by itself with code {code}')
-        self.expected = False
-        if self.left:
+        self.exit_expected = False
+        if self.is_closed:
             return
-        await sleep(RESTART_S)
-        if not self.left:
+        await sleep(RESTART_DELAY_S)
+        if not self.is_closed:
             await self.start(script)
--- a/src/bronzekeel/soak/link_faults.py
+++ b/src/bronzekeel/soak/link_faults.py
@@ -11,7 +11,7 @@
 _LATE_S = 0.4
 _PEERS_LOST_SHARE = 0.2
 _PACKETS_LOST_SHARE = 0.1
-_STRUCK_SHARE = 3
+_IMPAIRED_EVERY = 3
 
 
 class _HostLinks(Fault):
@@ -19,26 +19,26 @@
 
     async def begin(self) -> None:
         """Disturb a third of the hosts."""
-        count = max(1, len(self.site.hosts) // _STRUCK_SHARE)
+        count = max(1, len(self.site.hosts) // _IMPAIRED_EVERY)
         self._hosts = self.site.random.sample(self.site.hosts, count)
         for host in self._hosts:
-            host.contact.begin()
-            host.unplanned.begin()
-            self.disturb(host)
+            host.disturbances.begin()
+            host.unplanned_disturbances.begin()
+            self.impair(host)
 
     async def end(self) -> None:
         """Let all pass again."""
         for host in self._hosts:
-            self.mend(host)
-            host.contact.end()
-            host.unplanned.end()
+            self.repair(host)
+            host.disturbances.end()
+            host.unplanned_disturbances.end()
 
     @abstractmethod
-    def disturb(self, host: Host) -> None:
+    def impair(self, host: Host) -> None:
         """Begin for one host."""
 
     @abstractmethod
-    def mend(self, host: Host) -> None:
+    def repair(self, host: Host) -> None:
         """End for one host."""
 
 
@@ -47,11 +47,11 @@
 
     kind = 'store_silent_for_some'
 
-    def disturb(self, host: Host) -> None:
+    def impair(self, host: Host) -> None:
         """Let nothing pass."""
         host.store.link.silent = True
 
-    def mend(self, host: Host) -> None:
+    def repair(self, host: Host) -> None:
         """Let all pass on new connections."""
         host.store.link.silent = False
         host.store.reset()
@@ -62,29 +62,29 @@
 
     kind = 'store_refuses_some'
 
-    def disturb(self, host: Host) -> None:
+    def impair(self, host: Host) -> None:
         """Reset connections, and new ones too."""
         host.store.refusing = True
         host.store.reset()
 
-    def mend(self, host: Host) -> None:
+    def repair(self, host: Host) -> None:
         """Take connections."""
         host.store.refusing = False
 
 
-class PeersUnheard(_HostLinks):
+class PeersOneWay(_HostLinks):
     """Some hosts do not hear their peers, which hear them."""
 
     kind = 'peers_one_way'
 
-    def disturb(self, host: Host) -> None:
+    def impair(self, host: Host) -> None:
         """Drop what comes in."""
-        host.heartbeats.inward.silent = True
+        host.heartbeats.inbound.silent = True
         host.views.refusing = True
 
-    def mend(self, host: Host) -> None:
+    def repair(self, host: Host) -> None:
         """Pass it on."""
-        host.heartbeats.inward.silent = False
+        host.heartbeats.inbound.silent = False
         host.views.refusing = False
 
 
@@ -93,15 +93,15 @@
 
     kind = 'peers_late'
 
-    def disturb(self, host: Host) -> None:
+    def impair(self, host: Host) -> None:
         """Delay and lose."""
-        host.heartbeats.inward.delay_s = _LATE_S
-        host.heartbeats.inward.lost_share = _PEERS_LOST_SHARE
+        host.heartbeats.inbound.delay_s = _LATE_S
+        host.heartbeats.inbound.lost_share = _PEERS_LOST_SHARE
 
-    def mend(self, host: Host) -> None:
+    def repair(self, host: Host) -> None:
         """Pass all on at once."""
-        host.heartbeats.inward.delay_s = 0
-        host.heartbeats.inward.lost_share = 0
+        host.heartbeats.inbound.delay_s = 0
+        host.heartbeats.inbound.lost_share = 0
 
 
 class PacketsLost(_HostLinks):
@@ -113,22 +113,22 @@
         """Disturb upstreams too: their flows see the same loss."""
         await super().begin()
         for upstream in self.site.upstreams.values():
-            upstream.contact.begin()
+            upstream.disturbances.begin()
         self._upstreams = list(self.site.upstreams.values())
 
     async def end(self) -> None:
         """End for upstreams too."""
         await super().end()
         for upstream in self._upstreams:
-            upstream.contact.end()
+            upstream.disturbances.end()
 
-    def disturb(self, host: Host) -> None:
+    def impair(self, host: Host) -> None:
         """Lose a tenth each way."""
         self.site.fabric.link_by_host[host.name] = Link(lost_share=_PACKETS_LOST_SHARE)
         for upstream in self.site.upstreams.values():
             upstream.link_by_host[host.packets[0]] = Link(lost_share=_PACKETS_LOST_SHARE)
 
-    def mend(self, host: Host) -> None:
+    def repair(self, host: Host) -> None:
         """Lose nothing."""
         self.site.fabric.link_by_host.pop(host.name, None)
         for upstream in self.site.upstreams.values():
@@ -148,12 +148,12 @@
         self._upstreams = list(self.site.upstreams.values())
         self._all = self._inside + self._outside
         for host in self._all:
-            host.contact.begin()
-            host.unplanned.begin()
+            host.disturbances.begin()
+            host.unplanned_disturbances.begin()
         for upstream in self._upstreams:
-            upstream.contact.begin()
-            far = self._outside if upstream.data_centre == centre else self._inside
-            for host in far:
+            upstream.disturbances.begin()
+            remote = self._outside if upstream.data_centre == centre else self._inside
+            for host in remote:
                 upstream.link_by_host[host.packets[0]] = Link(silent=True)
         for one, others in ((self._inside, self._outside), (self._outside, self._inside)):
             for host in one:
@@ -170,8 +170,8 @@
             host.store.link.silent = False
             host.store.reset()
             host.views.refusing = False
-            host.contact.end()
-            host.unplanned.end()
+            host.disturbances.end()
+            host.unplanned_disturbances.end()
         for upstream in self._upstreams:
             upstream.link_by_host.clear()
-            upstream.contact.end()
+            upstream.disturbances.end()
--- a/src/bronzekeel/soak/links.py
+++ b/src/bronzekeel/soak/links.py
@@ -22,12 +22,12 @@
 Address = tuple[str, int]
 
 _CHUNK = 65536
-_ADDRESSES_A_NET = 250
+_ADDRESSES_PER_OCTET = 250
 
 
 def loopback(net: str, number: int) -> str:
     """Return the `number`th address that begins with the two octets of `net`."""
-    third, fourth = divmod(number, _ADDRESSES_A_NET)
+    third, fourth = divmod(number, _ADDRESSES_PER_OCTET)
     return '.'.join((net, str(third), str(fourth + 1)))
 
 
@@ -44,7 +44,7 @@
         return not self.silent and random.random() >= self.lost_share
 
 
-async def bound_datagrams(protocol: DatagramProtocol, address: Address) -> DatagramTransport:
+async def bind_datagrams(protocol: DatagramProtocol, address: Address) -> DatagramTransport:
     """Bind a socket for datagrams that `protocol` takes."""
     bound = await get_running_loop().create_datagram_endpoint(lambda: protocol, local_addr=address)
     return bound[0]
@@ -57,13 +57,13 @@
         """Pass on to `target`."""
         self.target = target
         self.link_by_source: dict[Address, Link] = {}
-        self.inward = Link()
+        self.inbound = Link()
         self._random = random
         self._transport: DatagramTransport | None = None
 
     async def open(self, address: Address) -> None:
         """Bind `address`."""
-        self._transport = await bound_datagrams(self, address)
+        self._transport = await bind_datagrams(self, address)
 
     def close(self) -> None:
         """Free the socket."""
@@ -72,16 +72,16 @@
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
         """Pass one datagram on, or not."""
-        outward = self.link_by_source.get(addr[:2], _CLEAR)
-        if not self.inward.passes(self._random) or not outward.passes(self._random):
+        outbound = self.link_by_source.get(addr[:2], _UNIMPAIRED)
+        if not self.inbound.passes(self._random) or not outbound.passes(self._random):
             return
-        delay_s = self.inward.delay_s + outward.delay_s
+        delay_s = self.inbound.delay_s + outbound.delay_s
         if delay_s:
-            get_running_loop().call_later(delay_s, self._pass, data)
+            get_running_loop().call_later(delay_s, self._forward, data)
             return
-        self._pass(data)
+        self._forward(data)
 
-    def _pass(self, raw: bytes) -> None:
+    def _forward(self, raw: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(raw, self.target)
 
@@ -129,20 +129,20 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await open_connection(*self.target)
+            target_reader, target_writer = await open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        both = {writer, far_writer}
-        self._writers |= both
-        passing = (self._pass(reader, far_writer), self._pass(far_reader, writer))
+        ends = {writer, target_writer}
+        self._writers |= ends
+        directions = (self._forward(reader, target_writer), self._forward(target_reader, writer))
         with suppress(OSError):
-            await gather(*(create_task(one_way) for one_way in passing))
-        self._writers -= both
-        for end in both:
+            await gather(*(create_task(one_way) for one_way in directions))
+        self._writers -= ends
+        for end in ends:
             end.transport.abort()
 
-    async def _pass(self, reader: StreamReader, writer: StreamWriter) -> None:
+    async def _forward(self, reader: StreamReader, writer: StreamWriter) -> None:
         """Carry one direction until it ends; what passes while the link is silent is lost."""
         while chunk := await reader.read(_CHUNK):
             if self.link.delay_s:
@@ -154,4 +154,4 @@
         writer.transport.abort()
 
 
-_CLEAR = Link()
+_UNIMPAIRED = Link()
--- a/src/bronzekeel/soak/load_faults.py
+++ b/src/bronzekeel/soak/load_faults.py
@@ -6,10 +6,10 @@
 from bronzekeel.soak.site import CENTRES
 
 
-_STORM = 5
-_STORM_GAP_S = 0.1
-_MANY_ROUTES = 300
-_BURST = 4
+_STORM_TEXTS = 5
+_STORM_INTERVAL_S = 0.1
+_ADDED_ROUTES = 300
+_BURST_FACTOR = 4
 
 
 class TextChanged(Fault):
@@ -21,7 +21,7 @@
     async def begin(self) -> None:
         """Change it once."""
         await self.site.texts.change()
-        self.site.allow_routes()
+        self.site.update_allowed_routes()
 
 
 class TextStorm(Fault):
@@ -32,10 +32,10 @@
 
     async def begin(self) -> None:
         """Change it five times in half a second."""
-        for _ in range(_STORM):
+        for _ in range(_STORM_TEXTS):
             await self.site.texts.change()
-            self.site.allow_routes()
-            await sleep(_STORM_GAP_S)
+            self.site.update_allowed_routes()
+            await sleep(_STORM_INTERVAL_S)
 
 
 class TextGrown(Fault):
@@ -46,8 +46,8 @@
 
     async def begin(self) -> None:
         """Add three hundred."""
-        await self.site.texts.change(_MANY_ROUTES)
-        self.site.allow_routes()
+        await self.site.texts.change(_ADDED_ROUTES)
+        self.site.update_allowed_routes()
 
 
 class CentreEvacuated(Fault):
@@ -66,7 +66,7 @@
     async def end(self) -> None:
         """Take it back."""
         if self._centre:
-            await self.site.take_back(self._centre)
+            await self.site.end_evacuation(self._centre)
 
 
 class Burst(Fault):
@@ -76,10 +76,10 @@
 
     async def begin(self) -> None:
         """Begin."""
-        self.site.load_contact.begin()
-        self.site.ask_for(_BURST)
+        self.site.load_disturbances.begin()
+        self.site.set_demand(_BURST_FACTOR)
 
     async def end(self) -> None:
         """End."""
-        self.site.ask_for(1)
-        self.site.load_contact.end()
+        self.site.set_demand(1)
+        self.site.load_disturbances.end()
--- a/src/bronzekeel/soak/requests.py
+++ b/src/bronzekeel/soak/requests.py
@@ -4,7 +4,7 @@
 from zlib import crc32
 
 
-_HEAD = Struct('>QBBI')
+_HEADER = Struct('>QBBI')
 _ANSWER = Struct('>QBQI')
 
 
@@ -17,28 +17,28 @@
         """Ask with `size` bytes in all."""
         self.number = number
         self.attempt = attempt
-        self.size = max(size, _HEAD.size)
+        self.size = max(size, _HEADER.size)
         self.idempotent = idempotent
 
     def encode(self) -> bytes:
         """Return its bytes; what follows the head is made of its number."""
-        head = _HEAD.pack(self.number, self.attempt, self.idempotent, self.size)
-        return head + self._filling()
+        head = _HEADER.pack(self.number, self.attempt, self.idempotent, self.size)
+        return head + self._padding()
 
-    def is_whole(self, raw: bytes) -> bool:
+    def is_intact(self, raw: bytes) -> bool:
         """Whether `raw` is just what `encode` gave."""
         return raw == self.encode()
 
-    def _filling(self) -> bytes:
+    def _padding(self) -> bytes:
         unit = crc32(self.number.to_bytes(8, 'big')).to_bytes(4, 'big')
-        left = self.size - _HEAD.size
-        return (unit * (left // len(unit) + 1))[:left]
+        remaining = self.size - _HEADER.size
+        return (unit * (remaining // len(unit) + 1))[:remaining]
 
 
 def read_request(raw: bytes) -> Request | None:
     """Return the request that `raw` begins with, None if its head is not there yet."""
     try:
-        number, attempt, idempotent, size = _HEAD.unpack_from(raw)
+        number, attempt, idempotent, size = _HEADER.unpack_from(raw)
     except error:
         return None
     return Request(number, attempt, size, idempotent=bool(idempotent))
--- a/src/bronzekeel/soak/runner.py
+++ b/src/bronzekeel/soak/runner.py
@@ -14,21 +14,21 @@
 from bronzekeel.soak.checks import Promise
 from bronzekeel.soak.faults import FAULTS
 from bronzekeel.soak.hosts import START_SCRIPT
-from bronzekeel.soak.schedule import Planned, drawn
+from bronzekeel.soak.schedule import PlannedFault, draw_schedule
 from bronzekeel.soak.site import Site
 from bronzekeel.soak.text_probe import TextProbe
 from bronzekeel.soak.traffic import Traffic
 
 
-_LOOK_S = 0.1
+_POLL_INTERVAL_S = 0.1
 
 #: Seconds by which the soak's own loop may lag; beyond it the machine is busy, and promises with
 #: a time bound hold again once everything has been undisturbed for a while.
-MOST_LAG_S = 0.3
+MAX_LAG_S = 0.3
 
 #: Seconds before the end in which callers must be served, and the share of them that must be.
-_LAST_S = (6.0, 2.0)
-_SERVED_SHARE = 0.9
+_SERVED_WINDOW_S = (6.0, 2.0)
+_MIN_SERVED_SHARE = 0.9
 
 
 class SoakReport(Struct, frozen=True):
@@ -47,7 +47,7 @@
     outcomes: dict[str, int]
     served_at_the_end: float
     most_lag_s: float
-    schedule: list[Planned]
+    schedule: list[PlannedFault]
 
 
 class Soak:
@@ -66,11 +66,11 @@
         self.seconds = seconds
         self.hosts = hosts
         self.folder = folder
-        self.schedule = drawn(seed, seconds)
+        self.schedule = draw_schedule(seed, seconds)
         self._site = Site(hosts, seed, folder, script)
         self._kinds = {fault.kind: fault for fault in FAULTS}
-        self._most_lag_s: float = 0
-        self._played: Counter[str] = Counter()
+        self._max_lag_s: float = 0
+        self._injected: Counter[str] = Counter()
 
     async def run(self, advance: Callable[[float], None]) -> SoakReport:
         """Play the schedule; `advance` is told how many seconds have passed."""
@@ -84,8 +84,8 @@
         traffic = Traffic(site)
         traffic.start()
         tasks: list[Task[None]] = [probing, create_task(TextProbe(site).run())]
-        faults = create_task(self._disturb(site))
-        await self._pass_time(site, advance)
+        faults = create_task(self._inject_faults(site))
+        await self._wait_until_end(site, advance)
         await faults
         traffic.stop()
         for task in tasks:
@@ -93,41 +93,41 @@
         await gather(*tasks, return_exceptions=True)
         return self._report(site)
 
-    async def _disturb(self, site: Site) -> None:
+    async def _inject_faults(self, site: Site) -> None:
         """Begin each fault at its time; they overlap."""
         began_at = monotonic()
         playing = []
         for planned in self.schedule:
             await sleep(max(0, began_at + planned.at_s - monotonic()))
-            self._played[planned.kind] += 1
+            self._injected[planned.kind] += 1
             fault = self._kinds[planned.kind](site, planned.for_s)
-            playing.append(create_task(fault.play()))
+            playing.append(create_task(fault.run()))
         await gather(*playing)
 
-    async def _pass_time(self, site: Site, advance: Callable[[float], None]) -> None:
+    async def _wait_until_end(self, site: Site, advance: Callable[[float], None]) -> None:
         """Wait for the end, and notice when the machine is too busy to judge times."""
         began_at = monotonic()
-        looked_at = began_at
-        while looked_at < began_at + self.seconds:
-            await sleep(_LOOK_S)
+        polled_at = began_at
+        while polled_at < began_at + self.seconds:
+            await sleep(_POLL_INTERVAL_S)
             now = monotonic()
-            lag_s = now - looked_at - _LOOK_S
-            self._most_lag_s = max(self._most_lag_s, lag_s)
-            if lag_s > MOST_LAG_S or site.fabric.slow_probes > len(site.hosts) / 2:
-                site.note_busy_machine()
-            looked_at = now
+            lag_s = now - polled_at - _POLL_INTERVAL_S
+            self._max_lag_s = max(self._max_lag_s, lag_s)
+            if lag_s > MAX_LAG_S or site.fabric.slow_probes > len(site.hosts) / 2:
+                site.mark_all_disturbed()
+            polled_at = now
             advance(min(now - began_at, self.seconds))
 
     def _report(self, site: Site) -> SoakReport:
         checks = site.checks
-        served = site.callers.served_share(_LAST_S)
-        if site.store_contact.in_touch:
-            told = f'share of requests served near the end: {served:.2f}'
-            checks.check(Promise.SERVED_AFTER, served >= _SERVED_SHARE, told)
+        served = site.callers.served_share(_SERVED_WINDOW_S)
+        if site.store_disturbances.is_stable:
+            description = f'share of requests served near the end: {served:.2f}'
+            checks.check(Promise.SERVED_AFTER, served >= _MIN_SERVED_SHARE, description)
         for host in site.hosts:
-            wrong = [*host.failures, *host.faults_logged()]
-            told = wrong[0] if wrong else host.name
-            checks.check(Promise.PROCESS_LIVES, not wrong, told)
+            problems = [*host.failures, *host.logged_faults()]
+            description = problems[0] if problems else host.name
+            checks.check(Promise.PROCESS_LIVES, not problems, description)
         outcomes = {outcome.value: count for outcome, count in site.callers.outcomes.items()}
         return SoakReport(
             ok=checks.ok,
@@ -135,22 +135,22 @@
             seconds=self.seconds,
             hosts=self.hosts,
             broken=checks.broken,
-            checks={promise.name: checks.made[promise] for promise in Promise},
-            never_checked=checks.never_made,
-            faults=dict(self._played),
+            checks={promise.name: checks.count_by_promise[promise] for promise in Promise},
+            never_checked=checks.unchecked,
+            faults=dict(self._injected),
             flows=site.callers.flows,
             requests=sum(site.callers.outcomes.values()),
             outcomes=outcomes,
             served_at_the_end=round(served, 4),
-            most_lag_s=round(self._most_lag_s, 3),
+            most_lag_s=round(self._max_lag_s, 3),
             schedule=self.schedule,
         )
 
 
-def keep_failure(report: SoakReport, folder: Path) -> str:
+def save_failure(report: SoakReport, folder: Path) -> str:
     """Write the report beside the logs of a failed run; return the command that plays it again."""
     (folder / 'report.json').write_bytes(pretty(encode(report)))
     size = f'--seconds {report.seconds} --hosts {report.hosts}'
-    again = f'bronzekeel soak --seed {report.seed} {size}'
-    (folder / 'again.txt').write_text(f'{again}\n', encoding='utf-8')
-    return again
+    command = f'bronzekeel soak --seed {report.seed} {size}'
+    (folder / 'again.txt').write_text(f'{command}\n', encoding='utf-8')
+    return command
--- a/src/bronzekeel/soak/shares.py
+++ b/src/bronzekeel/soak/share_counts.py
@@ -8,8 +8,8 @@
 
 #: Requests that are due to a caller below which nothing is judged, and the share of them that must
 #: be served: fewer than that is no chance.
-_LEAST_DUE = 6
-_SERVED_SHARE = 0.1
+_MIN_DUE = 6
+_MIN_SERVED_SHARE = 0.1
 
 
 class Caller:
@@ -23,25 +23,25 @@
         self.data_centre = data_centre
 
 
-class Shares:
+class ShareCounts:
     """Count what callers of each data centre asked of `targets` at the same time, and were served.
 
     Callers of one data centre use the same hosts: what strikes these, and a machine that is
-    busy, strikes all of them alike.  `void` ones judge nothing.
+    busy, strikes all of them alike.  `discarded` ones judge nothing.
     """
 
     def __init__(self, targets: set[Address]) -> None:
         """Start with nothing asked."""
         self.targets = targets
-        self.void = False
-        self._asked_by_centre: dict[str, Counter[str]] = {}
+        self.discarded = False
+        self._requested_by_centre: dict[str, Counter[str]] = {}
         self._served_by_centre: dict[str, Counter[str]] = {}
 
-    def note_asked(self, data_centre: str, address: str) -> None:
+    def count_request(self, data_centre: str, address: str) -> None:
         """Count a request when it begins."""
-        self._asked_by_centre.setdefault(data_centre, Counter())[address] += 1
+        self._requested_by_centre.setdefault(data_centre, Counter())[address] += 1
 
-    def note_served(self, data_centre: str, address: str) -> None:
+    def count_served(self, data_centre: str, address: str) -> None:
         """Count a request that was served."""
         self._served_by_centre.setdefault(data_centre, Counter())[address] += 1
 
@@ -54,15 +54,17 @@
 
         An equal share of what was served is due to a caller, or less if it asked for less.
         """
-        if self.void:
+        if self.discarded:
             return
-        for data_centre, asked_by_address in self._asked_by_centre.items():
+        for data_centre, requested_by_address in self._requested_by_centre.items():
             served_by_address = self._served_by_centre.get(data_centre, Counter())
-            share = served_by_address.total() / len(asked_by_address)
-            for address, asked in asked_by_address.items():
-                due = min(asked, share)
-                if due < _LEAST_DUE:
+            share = served_by_address.total() / len(requested_by_address)
+            for address, requested in requested_by_address.items():
+                due = min(requested, share)
+                if due < _MIN_DUE:
                     continue
                 served = served_by_address[address]
-                told = f'{address} in {data_centre} asked {asked} times, was served {served} times'
-                checks.check(Promise.SHARED, served >= due * _SERVED_SHARE, told)
+                description = (
+                    f'{address} in {data_centre} asked {requested} times, was served {served} times'
+                )
+                checks.check(Promise.SHARED, served >= due * _MIN_SERVED_SHARE, description)
--- a/src/bronzekeel/soak/site.py
+++ b/src/bronzekeel/soak/site.py
@@ -11,7 +11,7 @@
 from bronzekeel.platform.answers import upstream_name
 from bronzekeel.soak.callers import Callers
 from bronzekeel.soak.checks import Checks
-from bronzekeel.soak.contact import Contact
+from bronzekeel.soak.disturbances import Disturbances
 from bronzekeel.soak.fabric import Fabric
 from bronzekeel.soak.hosts import START_SCRIPT, Host, Ports
 from bronzekeel.soak.links import Address
@@ -24,24 +24,24 @@
 PORTAL = 'portal'
 INTAKE = 'intake'
 _LOOPBACK = '127.0.0.1'
-_UPSTREAMS_A_CENTRE = 3
+_UPSTREAMS_PER_CENTRE = 3
 _INTAKE_UPSTREAMS = 2
-_CALLERS_A_CENTRE = 5
+_CALLERS_PER_CENTRE = 5
 _SEEDS = 3
-_READY_S = 30.0
-_LOOK_S = 0.05
+_READY_TIMEOUT_S = 30.0
+_POLL_INTERVAL_S = 0.05
 _PORTS = 3
 _NUMBER_BITS = 60
 
 #: Seconds after the store's word of an evacuation until which new flows may reach it.  Source: all
 #: hosts know within a second; as much again for a machine that is busy.
-EVACUATED_S = 2.0
+EVACUATION_BOUND_S = 2.0
 
 
 class Site:
-    """Own everything that a soak runs; `store_contact` tells when the store was disturbed.
+    """Own everything that a soak runs; `store_disturbances` tells when the store was disturbed.
 
-    `load_contact` tells when callers asked for more than upstreams can do.
+    `load_disturbances` tells when callers asked for more than upstreams can do.
     """
 
     def __init__(self, hosts: int, seed: int, folder: Path, script: Path = START_SCRIPT) -> None:
@@ -50,7 +50,7 @@
         self.checks = Checks()
         self.runs = Runs()
         self.store = PlatformStandIn()
-        self.store_contact = Contact()
+        self.store_disturbances = Disturbances()
         self.hosts: list[Host] = []
         self.upstreams: dict[int, Upstream] = {}
         self.fabric = Fabric(self.hosts, self.random)
@@ -63,51 +63,51 @@
         )
         self.texts = Texts(self.store)
         self.evacuated_at_by_centre: dict[str, float] = {}
-        self.burst: float = 1
-        self.load_contact = Contact()
+        self.demand_factor: float = 1
+        self.load_disturbances = Disturbances()
         self._ports = Ports(*_free_ports())
-        self._first_hosts = hosts
+        self._initial_hosts = hosts
         self._folder = folder
         self._script = script
 
     @property
     def overloaded(self) -> bool:
         """Whether balancers may refuse flows for want of room."""
-        return not self.load_contact.in_touch
+        return not self.load_disturbances.is_stable
 
-    def ask_for(self, times: float) -> None:
-        """Let callers ask for `times` the usual."""
-        self.burst = times
+    def set_demand(self, factor: float) -> None:
+        """Let callers ask for `factor` the usual."""
+        self.demand_factor = factor
 
-    def note_busy_machine(self) -> None:
+    def mark_all_disturbed(self) -> None:
         """Take everything for disturbed: the machine cannot keep up, and times mean nothing."""
-        for contact in self._contacts():
-            contact.touch()
+        for disturbances in self._all_disturbances():
+            disturbances.note()
 
     async def open(self) -> None:
         """Start everything; return when all balancers take traffic.  Raises TimeoutError."""
         await self.store.open()
         await self.callers.open(self._ports.packets)
-        for place in range(_CALLERS_A_CENTRE * len(CENTRES)):
-            await self.callers.add(CENTRES[place % len(CENTRES)])
+        for index in range(_CALLERS_PER_CENTRE * len(CENTRES)):
+            await self.callers.add(CENTRES[index % len(CENTRES)])
         for centre in CENTRES:
-            for _ in range(_UPSTREAMS_A_CENTRE):
+            for _ in range(_UPSTREAMS_PER_CENTRE):
                 await self.add_upstream(PORTAL, centre)
         for centre in CENTRES[:_INTAKE_UPSTREAMS]:
             await self.add_upstream(INTAKE, centre)
         await self.texts.change()
-        self.allow_routes()
-        for number in range(self._first_hosts):
+        self.update_allowed_routes()
+        for number in range(self._initial_hosts):
             await self._add_host(number)
         await gather(*(host.start(self._script) for host in self.hosts))
 
     async def until_ready(self) -> None:
         """Wait until all hosts are in rotation.  Raises TimeoutError."""
-        give_up_at = monotonic() + _READY_S
+        deadline_at = monotonic() + _READY_TIMEOUT_S
         while not all(self.fabric.in_rotation(host) for host in self.hosts):
-            if monotonic() > give_up_at:
+            if monotonic() > deadline_at:
                 raise TimeoutError('balancers are not ready in time; read their logs')
-            await sleep(_LOOK_S)
+            await sleep(_POLL_INTERVAL_S)
 
     async def aclose(self) -> None:
         """End everything that was started."""
@@ -136,7 +136,7 @@
         await upstream.open(address)
         self.upstreams[number] = upstream
         upstream.routes = self.texts.routes_of(service)
-        upstream.closed_to = self.closed_to
+        upstream.evacuated_for = self.evacuated_for
         await self.list_upstream(upstream)
         return upstream
 
@@ -163,29 +163,29 @@
         await self.store.tell()
         self.evacuated_at_by_centre[centre] = monotonic()
 
-    async def take_back(self, centre: str) -> None:
+    async def end_evacuation(self, centre: str) -> None:
         """End an evacuation."""
         self.evacuated_at_by_centre.pop(centre)
         self.store.remove_object(EVACUATIONS_KIND, centre)
         await self.store.tell()
 
-    def closed_to(self, host_ip: str) -> set[str]:
+    def evacuated_for(self, host_ip: str) -> set[str]:
         """Return the data centres to which a host that is in touch must send nothing new."""
-        contacts = [host.contact for host in self.hosts if host.packets[0] == host_ip]
-        if not all(contact.in_touch for contact in (self.store_contact, *contacts)):
+        contacts = [host.disturbances for host in self.hosts if host.packets[0] == host_ip]
+        if not all(disturbances.is_stable for disturbances in (self.store_disturbances, *contacts)):
             return set()
         return {
             centre
             for centre, evacuated_at in self.evacuated_at_by_centre.items()
-            if monotonic() > evacuated_at + EVACUATED_S
+            if monotonic() > evacuated_at + EVACUATION_BOUND_S
         }
 
-    def allow_routes(self) -> None:
+    def update_allowed_routes(self) -> None:
         """Let upstreams know which routes any text sent to their service."""
         for upstream in self.upstreams.values():
             upstream.routes = self.texts.routes_of(upstream.service)
 
-    def living(self, service: str = PORTAL) -> list[Upstream]:
+    def available(self, service: str = PORTAL) -> list[Upstream]:
         """Return the upstreams of a service that are listed for new flows."""
         return [
             upstream
@@ -198,9 +198,9 @@
         seeds = [other.advertised for other in self.hosts[:_SEEDS]]
         host.write_settings(seeds)
 
-    def _contacts(self) -> list[Contact]:
-        upstreams = [upstream.contact for upstream in self.upstreams.values()]
-        return [self.store_contact, *(host.contact for host in self.hosts), *upstreams]
+    def _all_disturbances(self) -> list[Disturbances]:
+        upstreams = [upstream.disturbances for upstream in self.upstreams.values()]
+        return [self.store_disturbances, *(host.disturbances for host in self.hosts), *upstreams]
 
     async def _add_host(self, number: int) -> Host:
         centre = CENTRES[number % len(CENTRES)]
@@ -214,15 +214,15 @@
 def _free_ports() -> list[int]:
     """Return ports that are free on loopback, for datagrams and for streams."""
     ports: list[int] = []
-    held = []
+    bound_sockets = []
     while len(ports) < _PORTS:
         pair = [socket(AF_INET, kind) for kind in (SOCK_DGRAM, SOCK_STREAM)]
-        held.extend(pair)
+        bound_sockets.extend(pair)
         pair[0].bind((_LOOPBACK, 0))
         port = pair[0].getsockname()[1]
         with suppress(OSError):
             pair[1].bind((_LOOPBACK, port))
             ports.append(port)
-    for bound in held:
+    for bound in bound_sockets:
         bound.close()
     return ports
--- a/src/bronzekeel/soak/store_faults.py
+++ b/src/bronzekeel/soak/store_faults.py
@@ -9,16 +9,16 @@
 from bronzekeel.standins.store_copy import copy_of, restore
 
 
-_USUAL_S = 0.002
-_SLOW_S = 0.25
-_CALLS_LEFT = 3
-_LAPSED = 2
+_NORMAL_LATENCY_S = 0.002
+_SLOW_LATENCY_S = 0.25
+_ALLOWED_CALLS = 3
+_LAPSED_ENTRIES = 2
 
 #: Seconds for which a store that comes back from a copy is away, and until its owners have written
 #: again what it has lost.  Source: the users' drill, and how often their upstreams write.
-_AWAY_S = 0.5
+_OUTAGE_S = 0.5
 _LOST_TEXTS = 5
-_WRITTEN_AGAIN_S = 1.2
+_REWRITE_DELAY_S = 1.2
 
 
 class _StoreFault(Fault):
@@ -26,13 +26,13 @@
 
     async def begin(self) -> None:
         """Note it, and strike."""
-        self.site.store_contact.begin()
+        self.site.store_disturbances.begin()
         await self.switch(on=True)
 
     async def end(self) -> None:
         """Take it back."""
         await self.switch(on=False)
-        self.site.store_contact.end()
+        self.site.store_disturbances.end()
 
     @abstractmethod
     async def switch(self, *, on: bool) -> None:
@@ -48,7 +48,7 @@
         """Go down, or come back with the entries that upstreams write again."""
         if on:
             await self.site.store.switch(down=True)
-            self._lapsed = self.site.random.sample(self.site.living(), _LAPSED)
+            self._lapsed = self.site.random.sample(self.site.available(), _LAPSED_ENTRIES)
             for upstream in self._lapsed:
                 await self.site.unlist_upstream(upstream)
             return
@@ -69,17 +69,17 @@
 
     async def switch(self, *, on: bool) -> None:
         """Slow down, or be quick again."""
-        self.site.store.latency_s = _SLOW_S if on else _USUAL_S
+        self.site.store.latency_s = _SLOW_LATENCY_S if on else _NORMAL_LATENCY_S
 
 
-class StoreRefusing(_StoreFault):
+class StoreRateLimited(_StoreFault):
     """The store turns away what is beyond its rate."""
 
     kind = 'store_over_rate'
 
     async def switch(self, *, on: bool) -> None:
         """Refuse all but a few calls."""
-        self.site.store.calls_left = _CALLS_LEFT if on else None
+        self.site.store.calls_left = _ALLOWED_CALLS if on else None
 
 
 class HistoryDropped(_StoreFault):
@@ -110,23 +110,23 @@
             return
         await store.switch(down=True)
         restore(store, self._copy)
-        await sleep(_AWAY_S)
+        await sleep(_OUTAGE_S)
         await store.switch(down=False)
-        await sleep(_WRITTEN_AGAIN_S)
-        await self._write_again()
+        await sleep(_REWRITE_DELAY_S)
+        await self._rewrite_all()
         await self._change_texts(1)
 
     async def _change_texts(self, count: int) -> None:
         for _ in range(count):
             await self.site.texts.change()
-            self.site.allow_routes()
+            self.site.update_allowed_routes()
 
-    async def _write_again(self) -> None:
-        await self.site.texts.write_again()
+    async def _rewrite_all(self) -> None:
+        await self.site.texts.rewrite()
         for upstream in self.site.upstreams.values():
             if upstream.alive:
-                leaves = upstream.drained_at is not None
-                await self.site.list_upstream(upstream, draining=leaves)
+                is_draining = upstream.drained_at is not None
+                await self.site.list_upstream(upstream, draining=is_draining)
             else:
                 await self.site.unlist_upstream(upstream)
         for centre in CENTRES:
--- a/src/bronzekeel/soak/text_probe.py
+++ b/src/bronzekeel/soak/text_probe.py
@@ -15,12 +15,12 @@
 
 #: Seconds after which an accepted text must be in force, and what a busy machine may add.
 #: Source: the users' `configApplyMs`.
-_BOUND_S = 3.0
+_APPLY_BOUND_S = 3.0
 _SLACK_S = 0.5
 
 #: Seconds after which a host that went by a text must not go by an older one.  Source: the
 #: users' `rollbackSlackMs`.
-_KEPT_S = 0.25
+_ROLLBACK_SLACK_S = 0.25
 
 
 class TextProbe:
@@ -29,8 +29,8 @@
     def __init__(self, site: Site) -> None:
         """Probe the hosts of a site."""
         self._site = site
-        self._caller = site.callers.probe
-        self._seen_by_start: dict[tuple[str, int], tuple[int, float]] = {}
+        self._caller = site.callers.probe_caller
+        self._newest_by_start: dict[tuple[str, int], tuple[int, float]] = {}
 
     async def run(self) -> None:
         """Probe until cancelled."""
@@ -40,27 +40,27 @@
             await gather(sleep(_INTERVAL_S), *(self._probe(host, change) for host in hosts))
 
     async def _probe(self, host: Host, change: Change) -> None:
-        tasks = [create_task(self._added(host, change))]
+        tasks = [create_task(self._probe_added(host, change))]
         if change.dropped is not None:
-            tasks.append(create_task(self._dropped(host, change, change.dropped)))
+            tasks.append(create_task(self._probe_dropped(host, change, change.dropped)))
         await gather(*tasks)
 
-    async def _added(self, host: Host, change: Change) -> None:
+    async def _probe_added(self, host: Host, change: Change) -> None:
         sent_at, start, outcome = await self._open(host, change.added)
         if self._site.overloaded or not self._is_newest(change):
             return
         refused = outcome is Outcome.REFUSED
-        self._judge(host, change, start, sent_at, refused, 'refused its route')
+        self._check_probe(host, change, start, sent_at, refused, 'refused its route')
         if outcome is Outcome.ANSWERED:
-            self._seen_by_start.setdefault((host.name, start), (0, 0))
-            if self._seen_by_start[host.name, start][0] < change.version:
-                self._seen_by_start[host.name, start] = (change.version, monotonic())
+            self._newest_by_start.setdefault((host.name, start), (0, 0))
+            if self._newest_by_start[host.name, start][0] < change.version:
+                self._newest_by_start[host.name, start] = (change.version, monotonic())
 
-    async def _dropped(self, host: Host, change: Change, route: Address) -> None:
+    async def _probe_dropped(self, host: Host, change: Change, route: Address) -> None:
         sent_at, start, outcome = await self._open(host, route)
         if self._is_newest(change):
             answered = outcome is Outcome.ANSWERED
-            self._judge(host, change, start, sent_at, answered, 'served a dropped route')
+            self._check_probe(host, change, start, sent_at, answered, 'served a dropped route')
 
     async def _open(self, host: Host, route: Address) -> tuple[float, int, Outcome]:
         sent_at = monotonic()
@@ -74,22 +74,22 @@
         """Whether no other text came meanwhile, and the process is the same."""
         return change is self._site.texts.changes[-1]
 
-    def _judge(
+    def _check_probe(
         self,
         host: Host,
         change: Change,
         start: int,
         sent_at: float,
         older: bool,  # noqa: FBT001 (what the probe found)
-        told: str,
+        description: str,
     ) -> None:
         """Check what a probe found; `older` tells that only an older text allows it."""
         checks = self._site.checks
-        told = f'{host.name} {told} of version {change.version}'
-        calm = host.contact.in_touch and self._site.store_contact.in_touch
-        due = sent_at > change.accepted_at + _BOUND_S + _SLACK_S
-        if due and calm and host.starts == start:
-            checks.check(Promise.TEXT_IN_FORCE, not older, told)
-        version, seen_at = self._seen_by_start.get((host.name, start), (0, 0))
-        if version >= change.version and sent_at > seen_at + _KEPT_S:
-            checks.check(Promise.TEXT_KEPT, not older, told)
+        description = f'{host.name} {description} of version {change.version}'
+        stable = host.disturbances.is_stable and self._site.store_disturbances.is_stable
+        due = sent_at > change.accepted_at + _APPLY_BOUND_S + _SLACK_S
+        if due and stable and host.starts == start:
+            checks.check(Promise.TEXT_IN_FORCE, not older, description)
+        version, seen_at = self._newest_by_start.get((host.name, start), (0, 0))
+        if version >= change.version and sent_at > seen_at + _ROLLBACK_SLACK_S:
+            checks.check(Promise.TEXT_KEPT, not older, description)
--- a/src/bronzekeel/soak/texts.py
+++ b/src/bronzekeel/soak/texts.py
@@ -38,21 +38,21 @@
         self.changes: list[Change] = []
         self._store = store
         self._version = 0
-        self._extra = 0
+        self._extra_routes = 0
         self._service_by_address: dict[Address, str] = {}
-        self._ever_by_service: dict[str, set[Address]] = {}
+        self._routes_by_service: dict[str, set[Address]] = {}
 
     def routes_of(self, service: str) -> set[Address]:
         """Return all addresses that any text sent to a service."""
-        return self._ever_by_service.setdefault(service, set())
+        return self._routes_by_service.setdefault(service, set())
 
     async def change(self, more_routes: int = 0) -> Change:
         """Put a text in force that differs from the one before."""
         self._version += 1 + self._version % 3
-        self._extra += more_routes
+        self._extra_routes += more_routes
         added = (loopback('198.20', len(self.changes)), _CHANGING_PORT)
         service_by_address = {**_SERVICE_BY_ADDRESS, added: 'portal'}
-        for number in range(self._extra):
+        for number in range(self._extra_routes):
             service_by_address[loopback('198.19', number), _CHANGING_PORT] = 'portal'
         for address, service in service_by_address.items():
             self.routes_of(service).add(address)
@@ -64,7 +64,7 @@
         await self._store.tell()
         return change
 
-    async def write_again(self) -> None:
+    async def rewrite(self) -> None:
         """Write the newest text as it was, for a store that has lost it."""
         self._store.put_text(self._version, self._service_by_address, _OBJECTIVE_MS_BY_SERVICE)
         await self._store.tell()
--- a/src/bronzekeel/soak/traffic.py
+++ b/src/bronzekeel/soak/traffic.py
@@ -5,23 +5,23 @@
 
 from bronzekeel.soak.callers import Flow
 from bronzekeel.soak.links import Address
-from bronzekeel.soak.shares import Caller
+from bronzekeel.soak.share_counts import Caller
 from bronzekeel.soak.site import CENTRES, Site
 from bronzekeel.soak.texts import FEEDS, SHEETS, SINGLES
 
 
-_FEEDS_A_CENTRE = 12
+_FEEDS_PER_CENTRE = 12
 _FEED_PAUSE_S = 0.4
 _FEED_BYTES = 40
 
 #: Single requests a second in a data centre, and the most bytes of one.
-_SINGLES_A_SECOND = 8.0
-_MOST_BYTES = 3000
+_SINGLES_PER_S = 8.0
+_MAX_REQUEST_BYTES = 3000
 _SHEET_SHARE = 0.2
 _IDEMPOTENT_SHARE = 0.4
 
 #: Requests in progress at most: beyond it nothing new is asked, so that the soak itself keeps up.
-_MOST_IN_PROGRESS = 400
+_MAX_IN_PROGRESS = 400
 
 
 class Traffic:
@@ -37,21 +37,21 @@
         """Let all callers begin."""
         for centre in CENTRES:
             callers = [caller for caller in self._site.callers.all if caller.data_centre == centre]
-            self._run(self._ask_singles(callers))
-            for place in range(_FEEDS_A_CENTRE):
-                self._run(self._hold_feed(callers[place % len(callers)]))
+            self._spawn(self._send_singles(callers))
+            for index in range(_FEEDS_PER_CENTRE):
+                self._spawn(self._run_feed(callers[index % len(callers)]))
 
     def stop(self) -> None:
         """End all callers."""
         for task in self._tasks:
             task.cancel()
 
-    def _run(self, work) -> None:  # type: ignore[no-untyped-def]
-        task = create_task(work)
+    def _spawn(self, coroutine) -> None:  # type: ignore[no-untyped-def]
+        task = create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _hold_feed(self, caller: Caller) -> None:
+    async def _run_feed(self, caller: Caller) -> None:
         """Send request after request on one flow, on another one when it fails."""
         flow: Flow | None = None
         while True:
@@ -64,15 +64,15 @@
                 idempotent=True,
             )
 
-    async def _ask_singles(self, callers: list[Caller]) -> None:
+    async def _send_singles(self, callers: list[Caller]) -> None:
         while True:
-            await sleep(self._random.expovariate(_SINGLES_A_SECOND * self._site.burst))
-            if len(self._tasks) < _MOST_IN_PROGRESS:
-                self._run(self._ask_single(self._random.choice(callers)))
+            await sleep(self._random.expovariate(_SINGLES_PER_S * self._site.demand_factor))
+            if len(self._tasks) < _MAX_IN_PROGRESS:
+                self._spawn(self._send_single(self._random.choice(callers)))
 
-    async def _ask_single(self, caller: Caller) -> None:
+    async def _send_single(self, caller: Caller) -> None:
         target: Address = SHEETS if self._random.random() < _SHEET_SHARE else SINGLES
-        size = self._random.randrange(_FEED_BYTES, _MOST_BYTES)
+        size = self._random.randrange(_FEED_BYTES, _MAX_REQUEST_BYTES)
         idempotent = self._random.random() < _IDEMPOTENT_SHARE
         flow = await self._site.callers.request(target, caller, size, idempotent=idempotent)
         if flow is not None:
--- a/src/bronzekeel/soak/upstream_faults.py
+++ b/src/bronzekeel/soak/upstream_faults.py
@@ -9,12 +9,12 @@
 
 #: Seconds after which the address of an upstream that is gone may be used again, and for which
 #: one that drains serves on.  Source: the users' `reuseAfterS` and `drainMs`.
-_REUSE_S = 2.0
+_REUSE_DELAY_S = 2.0
 _DRAIN_S = 3.5
 
 #: Seconds in which an entry lapses after its upstream fell silent.
-_LAPSE_S = 2.4
-_SLOW = 10
+_LAPSE_DELAY_S = 2.4
+_SLOWDOWN = 10
 
 
 class UpstreamCrashed(Fault):
@@ -24,10 +24,10 @@
 
     async def begin(self) -> None:
         """Crash it."""
-        self._upstream = self.any_upstream()
+        self._upstream = self.pick_upstream()
         if self._upstream is not None:
             self._upstream.crash()
-            await sleep(_LAPSE_S)
+            await sleep(_LAPSE_DELAY_S)
             await self.site.unlist_upstream(self._upstream)
 
     async def end(self) -> None:
@@ -48,7 +48,7 @@
             return
         address = self._upstream.address
         self._upstream.close()
-        await sleep(_REUSE_S)
+        await sleep(_REUSE_DELAY_S)
         await self.site.add_upstream(INTAKE, self._upstream.data_centre, address)
         await self.site.add_upstream(PORTAL, self._upstream.data_centre)
 
@@ -61,7 +61,7 @@
 
     async def begin(self) -> None:
         """Bring another, and announce the leaving."""
-        self._upstream = self.any_upstream()
+        self._upstream = self.pick_upstream()
         if self._upstream is None:
             return
         await self.site.add_upstream(PORTAL, self._upstream.data_centre)
@@ -84,15 +84,15 @@
 
     async def begin(self) -> None:
         """Remove it."""
-        self._upstream = self.any_upstream()
+        self._upstream = self.pick_upstream()
         if self._upstream is not None:
             await self.site.unlist_upstream(self._upstream)
 
     async def end(self) -> None:
         """Write it again."""
         if self._upstream is not None and self._upstream.alive:
-            leaves = self._upstream.drained_at is not None
-            await self.site.list_upstream(self._upstream, draining=leaves)
+            is_draining = self._upstream.drained_at is not None
+            await self.site.list_upstream(self._upstream, draining=is_draining)
 
 
 class UpstreamSlow(Fault):
@@ -102,16 +102,16 @@
 
     async def begin(self) -> None:
         """Slow it down."""
-        self._upstream = self.any_upstream()
+        self._upstream = self.pick_upstream()
         if self._upstream is not None:
-            self._upstream.contact.begin()
-            self._upstream.slow = _SLOW
+            self._upstream.disturbances.begin()
+            self._upstream.slowdown = _SLOWDOWN
 
     async def end(self) -> None:
         """Let it be quick again."""
         if self._upstream is not None:
-            self._upstream.slow = 1
-            self._upstream.contact.end()
+            self._upstream.slowdown = 1
+            self._upstream.disturbances.end()
 
 
 class UpstreamGrey(Fault):
@@ -121,13 +121,13 @@
 
     async def begin(self) -> None:
         """Turn it grey."""
-        self._upstream = self.any_upstream()
+        self._upstream = self.pick_upstream()
         if self._upstream is not None:
-            self._upstream.contact.begin()
+            self._upstream.disturbances.begin()
             self._upstream.grey = True
 
     async def end(self) -> None:
         """Let it answer."""
         if self._upstream is not None:
             self._upstream.grey = False
-            self._upstream.contact.end()
+            self._upstream.disturbances.end()
--- a/src/bronzekeel/soak/upstreams.py
+++ b/src/bronzekeel/soak/upstreams.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from bronzekeel.soak.checks import Checks, Promise
-from bronzekeel.soak.contact import Contact
-from bronzekeel.soak.links import Address, Link, bound_datagrams
+from bronzekeel.soak.disturbances import Disturbances
+from bronzekeel.soak.links import Address, Link, bind_datagrams
 from bronzekeel.soak.requests import Answer, Request, read_request
 from bronzekeel.standins.echo_packets import (
     ACK,
@@ -25,7 +25,7 @@
 
 
 SLOTS = 3
-_QUEUE = 12
+_MAX_QUEUED = 12
 _SEQUENCE_BITS = 31
 _WORK_S = (0.01, 0.05)
 
@@ -35,7 +35,7 @@
 _SLACK_S = 1.0
 
 
-def _nothing_closed(host_ip: str) -> set[str]:
+def _none_evacuated(host_ip: str) -> set[str]:
     return set()
 
 
@@ -49,7 +49,7 @@
         self.refused: set[tuple[int, int]] = set()
 
 
-class _End:
+class _FlowState:
     """Hold an upstream's end of one flow."""
 
     __slots__ = ('answer', 'arrived', 'expected', 'sequence')
@@ -64,9 +64,9 @@
 class Upstream(DatagramProtocol):
     """Own one upstream at an address.
 
-    `alive` is off after a crash, `grey` when it answers no request, `slow` times its work.
-    Each fault that lets it work slower without harming it puts its factor into `slowed_by`.
-    `drained_at` is when the store was told that it leaves; `closed_to` tells to which data
+    `alive` is off after a crash, `grey` when it answers no request, `slowdown` times its work.
+    Each fault that lets it work slower without harming it puts its factor into `harmless_slowdowns`.
+    `drained_at` is when the store was told that it leaves; `evacuated_for` tells to which data
     centres a host must send nothing new.
     """
 
@@ -83,22 +83,22 @@
         self.number = number
         self.service = service
         self.data_centre = data_centre
-        self.contact = Contact()
+        self.disturbances = Disturbances()
         self.link_by_host: dict[str, Link] = {}
         self.routes: set[Address] = set()
-        self.closed_to: Callable[[str], set[str]] = _nothing_closed
+        self.evacuated_for: Callable[[str], set[str]] = _none_evacuated
         self.alive = True
         self.grey = False
-        self.slow: float = 1
-        self.slowed_by: list[float] = []
+        self.slowdown: float = 1
+        self.harmless_slowdowns: list[float] = []
         self.drained_at: float | None = None
         self._callers = callers
         self._checks = checks
         self._runs = runs
         self._random = Random(number)
-        self._end_by_flow: dict[tuple[Address, Address], _End] = {}
+        self._state_by_flow: dict[tuple[Address, Address], _FlowState] = {}
         self._busy = 0
-        self._waiting: deque[tuple[EchoSegment, _End, Request]] = deque()
+        self._queue: deque[tuple[EchoSegment, _FlowState, Request]] = deque()
         self._transport: DatagramTransport | None = None
 
     @property
@@ -112,11 +112,11 @@
     @property
     def speed(self) -> float:
         """Work that a slot does in a second, with one for an upstream that nothing slows."""
-        return 1 / prod(self.slowed_by)
+        return 1 / prod(self.harmless_slowdowns)
 
     async def open(self, address: Address = ('127.0.0.1', 0)) -> None:
         """Bind an address."""
-        self._transport = await bound_datagrams(self, address)
+        self._transport = await bind_datagrams(self, address)
 
     def close(self) -> None:
         """Leave its address to others."""
@@ -127,9 +127,9 @@
     def crash(self) -> None:
         """Forget all flows and answer nothing any more."""
         self.alive = False
-        self.contact.begin()
-        self._end_by_flow.clear()
-        self._waiting.clear()
+        self.disturbances.begin()
+        self._state_by_flow.clear()
+        self._queue.clear()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
         """Take one packet, if it arrives and is meant for this upstream."""
@@ -140,83 +140,85 @@
         if number != self.number:
             return
         segment = read_echo(raw)
-        told = f'upstream {self.number} of {self.service} got {segment.source}'
+        description = f'upstream {self.number} of {self.service} got {segment.source}'
         unchanged = segment.checksum == segment.reckoned_checksum
-        self._checks.check(Promise.UNCHANGED, unchanged, told)
+        self._checks.check(Promise.UNCHANGED, unchanged, description)
         if segment.flags & SYN:
-            self._open(segment, told, str(addr[0]))
+            self._open_flow(segment, description, str(addr[0]))
             return
-        end = self._end_by_flow.get((segment.source, segment.target))
-        if end is None:
+        state = self._state_by_flow.get((segment.source, segment.target))
+        if state is None:
             self._send(segment, RST, 0)
         elif segment.payload:
-            self._take(segment, end)
+            self._handle_payload(segment, state)
         elif segment.flags & FIN:
-            self._end_by_flow.pop((segment.source, segment.target))
+            self._state_by_flow.pop((segment.source, segment.target))
 
-    def _open(self, segment: EchoSegment, told: str, host_ip: str) -> None:
+    def _open_flow(self, segment: EchoSegment, description: str, host_ip: str) -> None:
         allowed = segment.target in self.routes
-        self._checks.check(Promise.SERVICE, allowed, f'{told} for {segment.target}')
+        self._checks.check(Promise.SERVICE, allowed, f'{description} for {segment.target}')
         if self.drained_at is not None:
             late = monotonic() > self.drained_at + _DRAIN_S + _SLACK_S
-            self._checks.check(Promise.DRAINED, not late or not self.contact.in_touch, told)
-        closed = self.closed_to(host_ip)
-        if closed:
-            kept_away = self.data_centre not in closed
-            self._checks.check(Promise.EVACUATED, kept_away, f'{told} through {host_ip}')
+            self._checks.check(
+                Promise.DRAINED, not late or not self.disturbances.is_stable, description
+            )
+        evacuated = self.evacuated_for(host_ip)
+        if evacuated:
+            kept_away = self.data_centre not in evacuated
+            self._checks.check(Promise.EVACUATED, kept_away, f'{description} through {host_ip}')
         flow = (segment.source, segment.target)
-        end = self._end_by_flow.setdefault(
+        state = self._state_by_flow.setdefault(
             flow,
-            _End(segment.sequence + 1, self._random.getrandbits(_SEQUENCE_BITS)),
+            _FlowState(segment.sequence + 1, self._random.getrandbits(_SEQUENCE_BITS)),
         )
-        self._send(segment, SYN | ACK, end.sequence)
+        self._send(segment, SYN | ACK, state.sequence)
 
-    def _take(self, segment: EchoSegment, end: _End) -> None:
-        if segment.sequence != end.expected:
-            if end.answer is not None and segment.sequence < end.expected:
-                self._resend(end.answer)
+    def _handle_payload(self, segment: EchoSegment, state: _FlowState) -> None:
+        if segment.sequence != state.expected:
+            if state.answer is not None and segment.sequence < state.expected:
+                self._resend(state.answer)
             return
-        end.expected += len(segment.payload)
-        end.arrived += segment.payload
-        request = read_request(end.arrived)
-        if request is None or len(end.arrived) < request.size:
+        state.expected += len(segment.payload)
+        state.arrived += segment.payload
+        request = read_request(state.arrived)
+        if request is None or len(state.arrived) < request.size:
             return
-        whole = request.is_whole(end.arrived)
+        whole = request.is_intact(state.arrived)
         self._checks.check(Promise.UNCHANGED, whole, f'request {request.number} changed')
-        end.arrived = b''
-        end.answer = None
+        state.arrived = b''
+        state.answer = None
         if self._busy < SLOTS:
-            self._begin(segment, end, request)
-        elif len(self._waiting) < _QUEUE:
-            self._waiting.append((segment, end, request))
+            self._start_work(segment, state, request)
+        elif len(self._queue) < _MAX_QUEUED:
+            self._queue.append((segment, state, request))
         else:
-            self._reply(segment, end, Answer(request.number, self.number, ran=False))
+            self._reply(segment, state, Answer(request.number, self.number, ran=False))
 
-    def _begin(self, segment: EchoSegment, end: _End, request: Request) -> None:
+    def _start_work(self, segment: EchoSegment, state: _FlowState, request: Request) -> None:
         self._busy += 1
         self._runs.by_number[request.number] += 1
         attempt = (request.number, request.attempt)
         self._runs.attempts.add(attempt)
         if attempt in self._runs.refused:
-            told = f'request {request.number} ran after it was refused'
-            self._checks.check(Promise.NOT_RUN, False, told)  # noqa: FBT003 (it ran)
+            description = f'request {request.number} ran after it was refused'
+            self._checks.check(Promise.NOT_RUN, False, description)  # noqa: FBT003 (it ran)
         if not request.idempotent:
             once = self._runs.by_number[request.number] == 1
             self._checks.check(Promise.AT_MOST_ONCE, once, f'request {request.number} ran again')
-        work_s = self._random.uniform(*_WORK_S) * self.slow / self.speed
-        get_running_loop().call_later(work_s, self._finish, segment, end, request)
+        work_s = self._random.uniform(*_WORK_S) * self.slowdown / self.speed
+        get_running_loop().call_later(work_s, self._finish_work, segment, state, request)
 
-    def _finish(self, segment: EchoSegment, end: _End, request: Request) -> None:
+    def _finish_work(self, segment: EchoSegment, state: _FlowState, request: Request) -> None:
         self._busy -= 1
-        if self._waiting and self.alive:
-            self._begin(*self._waiting.popleft())
+        if self._queue and self.alive:
+            self._start_work(*self._queue.popleft())
         if self.alive and not self.grey:
-            self._reply(segment, end, Answer(request.number, self.number, ran=True))
+            self._reply(segment, state, Answer(request.number, self.number, ran=True))
 
-    def _reply(self, segment: EchoSegment, end: _End, answer: Answer) -> None:
+    def _reply(self, segment: EchoSegment, state: _FlowState, answer: Answer) -> None:
         payload = answer.encode()
-        end.answer = self._send(segment, ACK, end.sequence + 1, payload)
-        end.sequence += len(payload)
+        state.answer = self._send(segment, ACK, state.sequence + 1, payload)
+        state.sequence += len(payload)
 
     def _send(
         self,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,7 +8,7 @@
 from bronzekeel.platform.machine import HostPlace, host_fields
 from bronzekeel.soak.checks import Checks, Promise
 from bronzekeel.soak.faults import FAULTS
-from bronzekeel.soak.schedule import FIRST_S, QUIET_S, drawn
+from bronzekeel.soak.schedule import FIRST_FAULT_S, QUIET_S, draw_schedule
 from bronzekeel.standins.template import filled
 
 
@@ -21,22 +21,22 @@
 
     def test_a_seed_gives_one_schedule(self) -> None:
         """A seed that failed can be played again."""
-        again = [planned.kind for planned in drawn(5, _SECONDS)]
-        self.assertEqual([planned.kind for planned in drawn(5, _SECONDS)], again)
-        self.assertNotEqual([planned.kind for planned in drawn(6, _SECONDS)], again)
+        again = [planned.kind for planned in draw_schedule(5, _SECONDS)]
+        self.assertEqual([planned.kind for planned in draw_schedule(5, _SECONDS)], again)
+        self.assertNotEqual([planned.kind for planned in draw_schedule(6, _SECONDS)], again)
 
     def test_each_kind_comes_before_one_comes_twice(self) -> None:
         """Counts of kinds differ by one at most."""
         for seed in range(20):
-            counts = Counter(planned.kind for planned in drawn(seed, _SECONDS))
+            counts = Counter(planned.kind for planned in draw_schedule(seed, _SECONDS))
             least = min(counts[fault.kind] for fault in FAULTS)
             self.assertLessEqual(max(counts.values()), least + 1)
 
     def test_the_end_is_quiet(self) -> None:
         """Callers must be served again after the last fault."""
         for seed in range(20):
-            for planned in drawn(seed, _SECONDS):
-                self.assertGreaterEqual(planned.at_s, FIRST_S)
+            for planned in draw_schedule(seed, _SECONDS):
+                self.assertGreaterEqual(planned.at_s, FIRST_FAULT_S)
                 self.assertLessEqual(planned.at_s + planned.for_s, _SECONDS - QUIET_S + 0.02)
 
 
@@ -46,13 +46,13 @@
     def test_a_broken_promise_is_told(self) -> None:
         """One break is enough, and what had no chance to break is named."""
         checks = Checks()
-        checks.check(Promise.SERVICE, holds=True, told='a')
+        checks.check(Promise.SERVICE, holds=True, description='a')
         self.assertTrue(checks.ok)
-        checks.check(Promise.SERVICE, holds=False, told='b')
+        checks.check(Promise.SERVICE, holds=False, description='b')
         self.assertFalse(checks.ok)
         self.assertIn('b', checks.broken[0])
-        self.assertNotIn(Promise.SERVICE.name, checks.never_made)
-        self.assertIn(Promise.DRAINED.name, checks.never_made)
+        self.assertNotIn(Promise.SERVICE.name, checks.unchecked)
+        self.assertIn(Promise.DRAINED.name, checks.unchecked)
 
 
 class TemplateTest(TestCase):
--- a/tests/test_soak_promises.py
+++ b/tests/test_soak_promises.py
@@ -13,8 +13,8 @@
 
 from bronzekeel.soak.callers import Callers
 from bronzekeel.soak.checks import Checks, Promise
-from bronzekeel.soak.links import Address, bound_datagrams
-from bronzekeel.soak.shares import Caller, Shares
+from bronzekeel.soak.links import Address, bind_datagrams
+from bronzekeel.soak.share_counts import Caller, ShareCounts
 from bronzekeel.soak.texts import FEEDS
 from bronzekeel.soak.upstreams import Runs, Upstream
 from bronzekeel.standins.echo_packets import RST, SYN, EchoSegment, build_echo, read_echo
@@ -38,7 +38,7 @@
 
     async def open(self) -> None:
         """Bind any port."""
-        self._transport = await bound_datagrams(self, self.packets)
+        self._transport = await bind_datagrams(self, self.packets)
         self.packets = self._transport.get_extra_info('sockname')[:2]
 
     def close(self) -> None:
@@ -68,7 +68,7 @@
         """Let all packets arrive."""
         return True
 
-    def is_calm(self, packets: Address) -> bool:
+    def is_undisturbed(self, packets: Address) -> bool:
         """Tell that nothing has struck it."""
         return True
 
@@ -88,7 +88,7 @@
 
     async def asyncSetUp(self) -> None:
         """Open one upstream and some callers around a balancer."""
-        for name, brief in (('contact.STABLE_S', 0), ('upstreams._WORK_S', (0, 0.002))):
+        for name, brief in (('disturbances.STABLE_S', 0), ('upstreams._WORK_S', (0, 0.002))):
             patched = patch(f'bronzekeel.soak.{name}', brief)
             patched.start()
             self.addCleanup(patched.stop)
@@ -116,11 +116,11 @@
         Sequence: an upstream works slower, and a caller asks for five times its share.
         Cause: a check that goes by what callers must bear.
         """
-        self.upstream.slowed_by.append(3)
-        await self._ask_for_shares()
+        self.upstream.harmless_slowdowns.append(3)
+        await self._count_shares()
         self.assertEqual([], self.checks.broken)
-        self.assertGreater(self.checks.made[Promise.SLOW_KEPT], 0)
-        self.assertGreater(self.checks.made[Promise.SHARED], 0)
+        self.assertGreater(self.checks.count_by_promise[Promise.SLOW_KEPT], 0)
+        self.assertGreater(self.checks.count_by_promise[Promise.SHARED], 0)
 
     async def test_resetting_flows_of_a_slow_upstream_is_seen(self) -> None:
         """Symptom: the soak is green though callers lose their flows.
@@ -128,9 +128,9 @@
         Sequence: an upstream works slower; the balancer resets its flows.
         Cause: taking every slow upstream for one that may lose flows.
         """
-        self.upstream.slowed_by.append(3)
+        self.upstream.harmless_slowdowns.append(3)
         self.balancer.resets = lambda segment: self.upstream.speed < 1
-        await self._ask(self.first, 1)
+        await self._send_requests(self.first, 1)
         self.assertIn(Promise.SLOW_KEPT, self._broken())
 
     async def test_running_what_was_refused_is_seen(self) -> None:
@@ -140,7 +140,7 @@
         Cause: looking only at refused openings, behind which no request was sent.
         """
         self.balancer.resets = lambda segment: True
-        await self._ask(self.first, 1)
+        await self._send_requests(self.first, 1)
         self.assertIn(Promise.NOT_RUN, self._broken())
 
     async def test_shutting_a_caller_out_is_seen(self) -> None:
@@ -150,7 +150,7 @@
         Cause: counting requests of all callers together.
         """
         self.balancer.refuses = lambda segment: segment.source[0] != self.crowd.address
-        await self._ask_for_shares()
+        await self._count_shares()
         self.assertIn(Promise.SHARED, self._broken())
 
     async def test_an_answer_after_the_crowd_counts_for_nothing(self) -> None:
@@ -159,37 +159,39 @@
         Sequence: others are kept waiting until the crowd is over; then they are served.
         Cause: counting what is served afterwards.
         """
-        shares = Shares({FEEDS})
-        self.callers.shares = shares
-        asking = gather(*(self._ask(self.first, 1) for _ in range(_TRIES)))
-        await self._ask(self.crowd, 1)
-        self.callers.shares = None
+        share_counts = ShareCounts({FEEDS})
+        self.callers.share_counts = share_counts
+        asking = gather(*(self._send_requests(self.first, 1) for _ in range(_TRIES)))
+        await self._send_requests(self.crowd, 1)
+        self.callers.share_counts = None
         await asking
-        served = shares.served(_CENTRE, self.first.address)
+        served = share_counts.served(_CENTRE, self.first.address)
         self.assertLess(served, _TRIES)
 
     async def test_who_refuses_the_crowd_is_sound(self) -> None:
         """The one that asks for too much may be refused while others are served."""
-        self.balancer.refuses = self._is_of_crowd
-        await self._ask_for_shares()
+        self.balancer.refuses = self._is_of_surge
+        await self._count_shares()
         self.assertEqual([], self.checks.broken)
-        self.assertGreater(self.checks.made[Promise.NOT_RUN], 0)
+        self.assertGreater(self.checks.count_by_promise[Promise.NOT_RUN], 0)
 
-    def _is_of_crowd(self, segment: EchoSegment) -> bool:
+    def _is_of_surge(self, segment: EchoSegment) -> bool:
         """Whether a packet opens a flow of the crowd, but for every fourth one."""
         return segment.source[0] == self.crowd.address and bool(segment.source[1] % 4)
 
     def _broken(self) -> set[Promise]:
-        names = {told.split(':')[0] for told in self.checks.broken}
+        names = {description.split(':')[0] for description in self.checks.broken}
         return {Promise[name] for name in names}
 
-    async def _ask_for_shares(self) -> None:
-        shares = Shares({FEEDS})
-        self.callers.shares = shares
-        await gather(self._ask(self.first, _TRIES), self._ask(self.crowd, 5 * _TRIES))
-        shares.check(self.checks)
+    async def _count_shares(self) -> None:
+        share_counts = ShareCounts({FEEDS})
+        self.callers.share_counts = share_counts
+        await gather(
+            self._send_requests(self.first, _TRIES), self._send_requests(self.crowd, 5 * _TRIES)
+        )
+        share_counts.check(self.checks)
 
-    async def _ask(self, caller: Caller, times: int) -> None:
+    async def _send_requests(self, caller: Caller, times: int) -> None:
         for _ in range(times):
             flow = await self.callers.request(FEEDS, caller, 40, idempotent=True)
             if flow is not None:
@@ -215,33 +217,33 @@
 
     def test_other_data_centres_do_not_count(self) -> None:
         """A data centre that is cut off serves none of its callers."""
-        shares = Shares({FEEDS})
+        share_counts = ShareCounts({FEEDS})
         for number in range(40):
-            shares.note_asked(f'dc-{number % 2}', 'a')
+            share_counts.count_request(f'dc-{number % 2}', 'a')
         for _ in range(20):
-            shares.note_served('dc-0', 'a')
+            share_counts.count_served('dc-0', 'a')
         checks = Checks()
-        shares.check(checks)
+        share_counts.check(checks)
         self.assertTrue(checks.ok)
 
     def test_few_requests_are_chance(self) -> None:
         """Nothing is judged by a handful."""
         checks = _checked({'a': (5, 0), 'b': (5, 5)})
-        self.assertEqual(0, checks.made[Promise.SHARED])
+        self.assertEqual(0, checks.count_by_promise[Promise.SHARED])
 
     def test_nothing_is_judged_while_callers_move(self) -> None:
         """They use hosts of two data centres in turn."""
-        self.assertTrue(_checked({'a': (60, 2), 'b': (600, 300)}, void=True).ok)
+        self.assertTrue(_checked({'a': (60, 2), 'b': (600, 300)}, discarded=True).ok)
 
 
-def _checked(figures: dict[str, tuple[int, int]], *, void: bool = False) -> Checks:
-    shares = Shares({FEEDS})
+def _checked(figures: dict[str, tuple[int, int]], *, discarded: bool = False) -> Checks:
+    share_counts = ShareCounts({FEEDS})
     for address, (asked, served) in figures.items():
         for _ in range(asked):
-            shares.note_asked(_CENTRE, address)
+            share_counts.count_request(_CENTRE, address)
         for _ in range(served):
-            shares.note_served(_CENTRE, address)
-    shares.void = void
+            share_counts.count_served(_CENTRE, address)
+    share_counts.discarded = discarded
     checks = Checks()
-    shares.check(checks)
+    share_counts.check(checks)
     return checks
