--- a/src/bronzekeel/soak/__init__.py
+++ b/src/bronzekeel/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run the real programs as processes, inject faults from outside, and check the promises."""
+"""Run real balancer processes, inject faults from outside, and check the promises."""
--- a/src/bronzekeel/soak/callers.py
+++ b/src/bronzekeel/soak/callers.py
@@ -1,4 +1,4 @@
-"""Stand in for callers: long feeds and single requests, over flows that the fabric sprays."""
+"""Simulate callers: long-lived feeds and single requests on flows that the fabric distributes."""
 
 from asyncio import DatagramProtocol, DatagramTransport, Queue, wait_for
 from collections import Counter
@@ -32,14 +32,15 @@
 _SEQUENCE_BITS = 31
 _MAX_PAYLOAD_BYTES = 1200
 
-#: Waits in seconds after an opening packet and its two copies, and after a request and its repeats.
+#: Timeouts in seconds of the opening packet and its two retransmissions, and of a request and its
+#: retransmissions.
 _OPENING_WAITS_S = (0.2, 0.4, 0.8)
 _ANSWER_WAITS_S = (0.2, 0.4, 0.8, 1.6)
 _MAX_ATTEMPTS = 3
 
 
 class Outcome(Enum):
-    """Name what came of an attempt."""
+    """Result of one attempt at a request."""
 
     ANSWERED = 'answered'
     TURNED_AWAY = 'turned away'
@@ -49,7 +50,7 @@
 
 
 class Flow:
-    """Hold one flow as its caller has it."""
+    """State of one flow at the caller's end."""
 
     __slots__ = (
         'acknowledged',
@@ -65,7 +66,7 @@
     )
 
     def __init__(self, port: int, target: Address, caller: Caller, sequence: int) -> None:
-        """Start with a flow that is not open."""
+        """Create a flow that is not open yet."""
         self.port = port
         self.target = target
         self.caller = caller
@@ -79,10 +80,10 @@
 
 
 class Callers(DatagramProtocol):
-    """Own the sockets at which callers take packets, and send requests.
+    """Own the sockets on which callers receive packets, and send requests.
 
-    `share_counts` count what each of `all` asks for while one of them is a crowd.  Probes come from an
-    address of their own.
+    `share_counts`, if set, counts the requests of each caller of `all` while one of them causes a
+    surge. Probes are sent from an address of their own.
     """
 
     def __init__(
@@ -93,7 +94,7 @@
         runs: Runs,
         random: Random,
     ) -> None:
-        """Send through `fabric`; `upstreams` by number tell who lives."""
+        """Send through `fabric`; `upstreams`, by number, identifies the live upstreams."""
         self.outcomes: Counter[Outcome] = Counter()
         self.flows = 0
         self.dropped_routes: set[Address] = set()
@@ -107,41 +108,41 @@
         self._random = random
         self._flow_by_port: dict[int, Flow] = {}
         self._requests = 0
-        self._served: list[tuple[float, bool]] = []
+        self._completed: list[tuple[float, bool]] = []
         self._port = 0
         self._transports: list[DatagramTransport] = []
 
     async def open(self, port: int) -> None:
-        """Bind the port that the platform sends callers' packets to."""
+        """Bind the port to which the platform sends packets for callers."""
         self._port = port
         await self._bind(_LOOPBACK)
 
     async def add(self, data_centre: str) -> Caller:
-        """Add a caller with an address of its own."""
+        """Add a caller with its own address."""
         caller = Caller(loopback(_CALLERS_NET, len(self._transports)), data_centre)
         await self._bind(caller.address)
         self.all.append(caller)
         return caller
 
     def discard_shares(self) -> None:
-        """Let the shares that are counted now judge nothing: callers move meanwhile."""
+        """Discard the current share counts, because callers are moving between data centres."""
         if self.share_counts is not None:
             self.share_counts.discarded = True
 
     def close(self) -> None:
-        """Free the sockets."""
+        """Close the sockets."""
         for transport in self._transports:
             transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Give a packet to its flow."""
+        """Queue a packet for the flow that it belongs to."""
         segment = read_echo(data)
         flow = self._flow_by_port.get(segment.target[1])
         if flow is not None:
             flow.inbox.put_nowait((segment, (str(addr[0]), int(addr[1]))))
 
     def new_flow(self, target: Address, caller: Caller) -> Flow:
-        """Return a flow from a port of its own."""
+        """Return a new flow with its own port."""
         self.flows += 1
         port = _FIRST_PORT + self.flows % _PORTS
         flow = Flow(port, target, caller, self._random.getrandbits(_SEQUENCE_BITS))
@@ -157,10 +158,10 @@
         *,
         idempotent: bool,
     ) -> Flow | None:
-        """Send a request, on an open flow at first if there is one; return the flow that answered.
+        """Send a request, first on an open flow if one is given; return the flow that answered.
 
-        Further tries use new flows.  A request that is not idempotent is tried again only
-        if its flow never opened or it was turned away.
+        Retries use new flows. A request that is not idempotent is retried only if its flow never
+        opened or the request was turned away.
         """
         share_counts = self._counts_for(target)
         data_centre = caller.data_centre
@@ -172,10 +173,10 @@
         return found
 
     def served_share(self, window_s: tuple[float, float]) -> float:
-        """Return the share served of the requests that began so many seconds ago, from and to."""
+        """Return the served share of requests that began in a window, in seconds before now."""
         now = monotonic()
         begins, ends = now - window_s[0], now - window_s[1]
-        served = [was for begun_at, was in self._served if begins <= begun_at < ends]
+        served = [is_served for begun_at, is_served in self._completed if begins <= begun_at < ends]
         return sum(served) / len(served) if served else 0
 
     def end(self, flow: Flow) -> None:
@@ -185,7 +186,7 @@
         self._flow_by_port.pop(flow.port, None)
 
     async def try_open(self, flow: Flow, first_host_only: Address | None = None) -> Outcome:
-        """Send the opening packet and its copies; return whether the flow opened."""
+        """Send the opening packet and its retransmissions; return whether the flow opened."""
         for copy, wait_s in enumerate(_OPENING_WAITS_S):
             self._send(flow, SYN, b'', copy, first_host_only)
             found = await self._next_packet(flow, wait_s)
@@ -216,27 +217,27 @@
         number = self._requests
         begun_at = monotonic()
         for attempt in range(_MAX_ATTEMPTS):
-            used = flow or self.new_flow(target, caller)
+            used_flow = flow or self.new_flow(target, caller)
             flow = None
             request = Request(number, attempt, size, idempotent=idempotent)
-            outcome = await self._try_once(used, request)
+            outcome = await self._try_once(used_flow, request)
             self.outcomes[outcome] += 1
             if outcome is Outcome.ANSWERED:
-                self._served.append((begun_at, True))
-                return used
-            self.end(used)
+                self._completed.append((begun_at, True))
+                return used_flow
+            self.end(used_flow)
             may_have_run = (
-                outcome in {Outcome.BROKEN, Outcome.SILENT} and used.opened_at is not None
+                outcome in {Outcome.BROKEN, Outcome.SILENT} and used_flow.opened_at is not None
             )
             if may_have_run and not idempotent:
                 break
-        self._served.append((begun_at, False))
+        self._completed.append((begun_at, False))
         return None
 
     def _counts_for(self, target: Address) -> ShareCounts | None:
-        """Return the shares that count requests to a target now."""
-        counted = self.share_counts is not None and target in self.share_counts.targets
-        return self.share_counts if counted else None
+        """Return the counts that currently include requests to a target, if any."""
+        is_counted = self.share_counts is not None and target in self.share_counts.targets
+        return self.share_counts if is_counted else None
 
     async def _bind(self, address: str) -> None:
         self._transports.append(await bind_datagrams(self, (address, self._port)))
@@ -252,18 +253,18 @@
 
     async def _exchange(self, flow: Flow, request: Request) -> Outcome:
         raw = request.encode()
-        pieces = [
+        segments = [
             raw[at : at + _MAX_PAYLOAD_BYTES] for at in range(0, len(raw), _MAX_PAYLOAD_BYTES)
         ]
         for wait_s in _ANSWER_WAITS_S:
-            sent = flow.sequence
-            for piece in pieces:
-                self._send(flow, ACK, piece)
-                flow.sequence += len(piece)
+            first_sequence = flow.sequence
+            for part in segments:
+                self._send(flow, ACK, part)
+                flow.sequence += len(part)
             found = await self._next_packet(flow, wait_s)
             if found is not None:
                 return self._handle_answer(flow, request, *found)
-            flow.sequence = sent
+            flow.sequence = first_sequence
         return Outcome.SILENT
 
     def _handle_answer(
@@ -277,8 +278,8 @@
             self._check_reset(flow, request, sender)
             return Outcome.BROKEN
         answer = read_answer(segment.payload)
-        own = answer is not None and answer.number == request.number
-        self._checks.check(Promise.ANSWERED_WHOLE, own, f'request {request.number}')
+        matches = answer is not None and answer.number == request.number
+        self._checks.check(Promise.ANSWERED_WHOLE, matches, f'request {request.number}')
         if answer is None:
             return Outcome.BROKEN
         self._checks.check(_flow_promise(flow), True, '')  # noqa: FBT003 (it was answered)
@@ -288,23 +289,29 @@
         return Outcome.ANSWERED if answer.ran else Outcome.TURNED_AWAY
 
     def _check_reset(self, flow: Flow, request: Request, sender: Address) -> None:
-        """Check a reset on an open flow that its upstream did not send: that must not live."""
+        """Check a reset of an open flow that another sender than its upstream sent.
+
+        This breaks a promise if the upstream is live, the route was not dropped, and nothing
+        disturbed the upstream or the host that sent the reset.
+        """
         upstream = flow.upstream
         if upstream is None or sender == upstream.address:
             return
         stable = self._fabric.is_undisturbed(sender) and upstream.disturbances.is_stable
         undisturbed = upstream.alive and stable
-        dropped = flow.target in self.dropped_routes
-        description = f'flow {flow.port} to {flow.target} at upstream {upstream.number} by {sender}'
-        self._checks.check(_flow_promise(flow), dropped or not undisturbed, description)
+        is_dropped = flow.target in self.dropped_routes
+        description = (
+            f'flow {flow.port} to {flow.target} at upstream {upstream.number} reset by {sender}'
+        )
+        self._checks.check(_flow_promise(flow), is_dropped or not undisturbed, description)
         if undisturbed:
             self._check_not_executed(request)
 
     def _check_not_executed(self, request: Request) -> None:
-        """Check that a request that a host refused did not run, and does not run later."""
+        """Check that a refused request has not run, and record it to detect a later run."""
         self._runs.refused.add((request.number, request.attempt))
-        ran = (request.number, request.attempt) in self._runs.attempts
-        self._checks.check(Promise.NOT_RUN, not ran, f'request {request.number}')
+        has_run = (request.number, request.attempt) in self._runs.attempts
+        self._checks.check(Promise.NOT_RUN, not has_run, f'request {request.number}')
 
     def _upstream_at(self, address: Address) -> Upstream | None:
         for upstream in self._upstreams.values():
@@ -313,7 +320,7 @@
         return None
 
     async def _next_packet(self, flow: Flow, wait_s: float) -> tuple[EchoSegment, Address] | None:
-        """Return the next packet that is no repeat of the flow's opening answer."""
+        """Return the next packet that is no duplicate, or None if there is none in `wait_s`."""
         with suppress(TimeoutError):
             while True:
                 found = await wait_for(flow.inbox.get(), wait_s)
@@ -347,13 +354,13 @@
 
 
 def _flow_promise(flow: Flow) -> Promise:
-    """Return what holds for an established flow."""
+    """Return the promise that applies to an established flow."""
     slow = flow.upstream is not None and flow.upstream.speed < 1
     return Promise.SLOW_KEPT if slow else Promise.FLOW_KEPT
 
 
 def _is_repeat(flow: Flow, segment: EchoSegment) -> bool:
-    """Whether a packet repeats what the flow's caller has: an opening or an earlier answer."""
+    """Whether a packet is a duplicate of one already received: the opening or an earlier answer."""
     if segment.flags & SYN:
         return True
     return bool(segment.payload) and segment.sequence < flow.acknowledged
--- a/src/bronzekeel/soak/demand_faults.py
+++ b/src/bronzekeel/soak/demand_faults.py
@@ -1,4 +1,4 @@
-"""Let one caller ask for too much, callers move, and upstreams work at changing speed."""
+"""Vary the demand: one caller surges, callers move, and upstreams work at different speeds."""
 
 from asyncio import Task, create_task, sleep
 from random import Random
@@ -11,17 +11,17 @@
 from bronzekeel.soak.upstreams import Upstream
 
 
-#: Requests of a crowd at once, their mean pause in seconds and the bytes of one: ten times what
-#: another caller asks for.  Half of them go on flows that are kept open.
+#: Concurrent requests of a surge, their mean pause in seconds and the size of one: ten times the
+#: demand of another caller. Half of them use flows that stay open.
 _SURGE_CONCURRENCY = 40
 _MEAN_PAUSE_S = 0.4
 _REQUEST_BYTES = 40
 
-#: How many times slower upstreams work, so that a crowd leaves none idle.
+#: Factor by which upstreams slow down, so that a surge leaves none of them idle.
 _SURGE_SLOWDOWN = 7
 
-#: Seconds after which a crowd is felt, and least seconds from then on in which it asks: others
-#: must have asked enough to judge what they got.
+#: Seconds until a surge takes effect, and minimum seconds that are counted from then on: other
+#: callers must have sent enough requests to compare what they were served.
 _ONSET_S = 2.0
 _MIN_COUNTED_S = 6.0
 
@@ -34,12 +34,12 @@
 
 
 class SingleCallerSurge(Fault):
-    """One caller asks for ten times its share while upstreams can't do what all ask for."""
+    """One caller demands ten times its share while upstreams cannot serve the total demand."""
 
     kind = 'crowd_of_one_caller'
 
     def __init__(self, site: Site, for_s: float) -> None:
-        """Choose the caller when it begins."""
+        """Prepare the surge; the caller is chosen when the fault begins."""
         super().__init__(site, for_s)
         self._shares = ShareCounts({FEEDS, SINGLES})
         self._random = Random(site.random.random())
@@ -47,7 +47,7 @@
         self._upstreams: list[Upstream] = []
 
     async def begin(self) -> None:
-        """Slow upstreams down, and let the caller ask."""
+        """Slow down the upstreams and start the surge."""
         caller = self.site.random.choice(self.site.callers.all)
         self.site.load_disturbances.begin()
         self._upstreams = _slow_down(self.site.available(), _SURGE_SLOWDOWN)
@@ -59,7 +59,7 @@
         await sleep(max(0, _MIN_COUNTED_S - self.for_s))
 
     async def end(self) -> None:
-        """End, and judge what each caller was served."""
+        """Stop the surge and check what each caller was served."""
         for task in self._tasks:
             task.cancel()
         self.site.callers.share_counts = None
@@ -85,15 +85,15 @@
     kind = 'callers_moved'
 
     async def begin(self) -> None:
-        """Move them, with their open flows."""
+        """Move them together with their open flows."""
         origin, destination = self.site.random.sample(CENTRES, 2)
-        here = [caller for caller in self.site.callers.all if caller.data_centre == origin]
-        self._moved = here[: round(len(here) * _MOVED_SHARE)]
+        local = [caller for caller in self.site.callers.all if caller.data_centre == origin]
+        self._moved = local[: round(len(local) * _MOVED_SHARE)]
         self._origin = origin
         self._move(destination)
 
     async def end(self) -> None:
-        """Let them return."""
+        """Move them back."""
         self._move(self._origin)
 
     def _move(self, data_centre: str) -> None:
@@ -103,12 +103,12 @@
 
 
 class UpstreamsUneven(Fault):
-    """Some upstreams work three times slower, then others do."""
+    """A third of the upstreams works three times slower, then another third."""
 
     kind = 'upstream_speeds'
 
     async def begin(self) -> None:
-        """Slow every third one down, then every third one after these."""
+        """Slow down every third upstream, and halfway through the next one after each of these."""
         available = self.site.available()
         first = _slow_down(available[::_SLOWED_EVERY], _UNEVEN_SLOWDOWN)
         await sleep(self.for_s / 2)
@@ -116,16 +116,16 @@
         self._slow = _slow_down(available[1::_SLOWED_EVERY], _UNEVEN_SLOWDOWN)
 
     async def end(self) -> None:
-        """Let all work alike."""
+        """Restore the normal speed."""
         _restore_speed(self._slow, _UNEVEN_SLOWDOWN)
 
 
-def _slow_down(upstreams: list[Upstream], times: int) -> list[Upstream]:
+def _slow_down(upstreams: list[Upstream], factor: int) -> list[Upstream]:
     for upstream in upstreams:
-        upstream.harmless_slowdowns.append(times)
+        upstream.harmless_slowdowns.append(factor)
     return upstreams
 
 
-def _restore_speed(upstreams: list[Upstream], times: int) -> None:
+def _restore_speed(upstreams: list[Upstream], factor: int) -> None:
     for upstream in upstreams:
-        upstream.harmless_slowdowns.remove(times)
+        upstream.harmless_slowdowns.remove(factor)
--- a/src/bronzekeel/soak/fabric.py
+++ b/src/bronzekeel/soak/fabric.py
@@ -1,4 +1,4 @@
-"""Spray callers' packets over the hosts in rotation, as the platform's routers do."""
+"""Distribute callers' packets over the hosts in rotation, as the platform's routers do."""
 
 from asyncio import create_task, gather, open_connection, sleep, wait_for
 from contextlib import closing, suppress
@@ -10,19 +10,19 @@
 from bronzekeel.soak.links import Address, Link
 
 
-#: Interval in seconds of probes, and how many in a row must be missed to leave the rotation.
-#: Source: the users' platform.
+#: Probe interval in seconds, and consecutive misses after which a host leaves the rotation, as on
+#: the users' platform.
 _PROBE_INTERVAL_S = 0.5
 _MAX_MISSES = 2
 
-#: Seconds beyond which the answer to a probe is slow.  When most are, the machine is busy.
+#: Seconds after which the answer to a probe is slow. If most answers are, the machine is busy.
 _SLOW_PROBE_S = 0.2
 
 
 class Fabric:
-    """Know which hosts take packets, and choose one for each packet.
+    """Track which hosts are in rotation, and choose one for each packet.
 
-    Hosts of a data centre share its callers' flows by a hash; nearly all flows move when one
+    Hosts of a data centre divide its callers' flows by a hash; nearly all flows move when a host
     joins or leaves.
     """
 
@@ -35,22 +35,26 @@
         self._slow_by_host: dict[str, bool] = {}
 
     async def probe(self) -> None:
-        """Probe all hosts again and again; ends when it is cancelled."""
+        """Probe all hosts periodically until cancelled."""
         while True:
             probes = [create_task(self._probe_one(host)) for host in self._hosts]
             await gather(*probes, sleep(_PROBE_INTERVAL_S))
 
     @property
     def slow_probes(self) -> int:
-        """Number of hosts whose last probe took long."""
+        """Number of hosts whose last probe was slow."""
         return sum(self._slow_by_host.values())
 
     def in_rotation(self, host: Host) -> bool:
-        """Whether a host takes packets."""
+        """Whether a host is in rotation."""
         return self._misses_by_host.get(host.name, _MAX_MISSES) < _MAX_MISSES
 
     def choose(self, flow: bytes, data_centre: str) -> Host:
-        """Return the host that gets a packet: one of the data centre if any can."""
+        """Return the host for a packet, preferably one of the given data centre.
+
+        If only a minority of the local hosts is in rotation, all local hosts are used; if none is,
+        those of other data centres.
+        """
         local = [host for host in self._hosts if host.data_centre == data_centre]
         ready = [host for host in local if self.in_rotation(host)]
         if ready and len(ready) * 2 < len(local):
@@ -60,13 +64,13 @@
         return ready[crc32(flow) % len(ready)]
 
     def is_undisturbed(self, packets: Address) -> bool:
-        """Whether nothing unplanned has struck the host that sends from an address."""
+        """Whether the host that sends from an address has had no recent unplanned disturbance."""
         return all(
             host.unplanned_disturbances.is_stable for host in self._hosts if host.packets == packets
         )
 
     def passes(self, host: Host) -> bool:
-        """Whether a packet arrives at a host."""
+        """Whether a packet reaches a host."""
         link = self.link_by_host.get(host.name)
         return link is None or link.passes(self._random)
 
--- a/src/bronzekeel/soak/hosts.py
+++ b/src/bronzekeel/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Run balancers as the deploy file does: a process each, with a settings file of its own."""
+"""Run balancers as the deploy file does: one process each, with its own settings file."""
 
 from asyncio import create_subprocess_exec, create_task, sleep
 from asyncio.subprocess import Process
@@ -23,13 +23,13 @@
 START_SCRIPT = _ROOT / 'deploy' / 'start.py'
 _TEMPLATE = _ROOT / 'deploy' / 'settings.json'
 
-#: Seconds that a stop may take, and after which a process that ended is started again.
+#: Seconds that a stop may take, and delay in seconds before an exited process is restarted.
 MAX_STOP_S = 6
 RESTART_DELAY_S = 0.3
 
 
 class Ports:
-    """Hold the ports that are the same on all hosts."""
+    """Ports that are the same on all hosts."""
 
     __slots__ = ('packets', 'peers', 'readiness')
 
@@ -41,10 +41,11 @@
 
 
 class Host:
-    """Own one balancer's process, its settings, and the proxies before it.
+    """Own one balancer's process, its settings, and the proxies in front of it.
 
-    `exit_expected` tells that it was told to end; `starts` counts its processes.  `disturbances` notes all
-    that disturbs it, `unplanned_disturbances` what no operator asked for.
+    `exit_expected` is set when the process was asked to exit; `starts` counts its processes.
+    `disturbances` records everything that disturbs it, `unplanned_disturbances` only what no
+    operator requested.
     """
 
     def __init__(
@@ -55,14 +56,14 @@
         ports: Ports,
         folder: Path,
     ) -> None:
-        """Place the host at loopback addresses of its own."""
+        """Assign the host its own loopback addresses."""
         self.name = name
         self.data_centre = data_centre
-        ip = loopback('127.9', number)
+        address = loopback('127.9', number)
         proxy_ip = loopback('127.8', number)
-        self.packets: Address = (ip, ports.packets)
-        self.peers: Address = (ip, ports.peers)
-        self.readiness: Address = (ip, ports.readiness)
+        self.packets: Address = (address, ports.packets)
+        self.peers: Address = (address, ports.peers)
+        self.readiness: Address = (address, ports.readiness)
         self.advertised: Address = (proxy_ip, ports.peers)
         self.disturbances = Disturbances()
         self.unplanned_disturbances = Disturbances()
@@ -80,29 +81,31 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process is running."""
         return self._process is not None and self._process.returncode is None
 
     async def open(self, store_port: int) -> None:
-        """Bind the proxies before the host."""
+        """Bind the proxies in front of the host."""
         await self.heartbeats.open(self.advertised)
         await self.views.open(self.advertised)
         self.store.target = ('127.0.0.1', store_port)
         await self.store.open(('127.0.0.1', 0))
 
     def write_settings(self, seeds: list[Address], stop_within_s: int = MAX_STOP_S) -> None:
-        """Write the settings that the template gives, in one piece."""
-        place = HostPlace(self.name, self.data_centre, self.packets, self.readiness, self.peers)
+        """Write the settings from the template, replacing the file atomically."""
+        host_place = HostPlace(
+            self.name, self.data_centre, self.packets, self.readiness, self.peers
+        )
         store = ('127.0.0.1', self.store.port)
         template = _TEMPLATE.read_text(encoding='utf-8')
-        fields = decode_json(filled(template, host_fields(place, store, seeds, stop_within_s)))
+        fields = decode_json(filled(template, host_fields(host_place, store, seeds, stop_within_s)))
         fields['peers_advertised'] = f'{self.advertised[0]}:{self.advertised[1]}'
-        fresh = self._path.with_suffix('.new')
-        fresh.write_text(encode_json(fields), encoding='utf-8')
-        fresh.rename(self._path)
+        temporary = self._path.with_suffix('.new')
+        temporary.write_text(encode_json(fields), encoding='utf-8')
+        temporary.rename(self._path)
 
     async def start(self, script: Path) -> None:
-        """Start its process; it is started again whenever it ends."""
+        """Start the process; it is restarted whenever it exits, until `end` is called."""
         self.starts += 1
         self.disturbances.note()
         sources = pathsep.join((str(_ROOT / 'src'), *module_path))
@@ -118,39 +121,39 @@
         create_task(self._supervise(self._process, script))  # noqa: RUF006 (ends with the process)
 
     def signal(self, number: int) -> None:
-        """Send a signal to its process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self.running:
             self._process.send_signal(number)
 
     def kill(self) -> None:
-        """End its process at once."""
+        """Kill the process."""
         self.exit_expected = True
         self.unplanned_disturbances.note()
         self.signal(SIGKILL)
 
     def stop(self) -> None:
-        """End its process in the planned way."""
+        """Stop the process gracefully."""
         self.exit_expected = True
         self.signal(SIGTERM)
 
     def pause(self) -> None:
-        """Let its process stand still."""
+        """Pause the process."""
         self.disturbances.begin()
         self.unplanned_disturbances.begin()
         self.signal(SIGSTOP)
 
     def resume(self) -> None:
-        """Let its process go on."""
+        """Resume the process."""
         self.signal(SIGCONT)
         self.disturbances.end()
         self.unplanned_disturbances.end()
 
     def reload(self) -> None:
-        """Tell its process that the settings have changed."""
+        """Signal the process to reload its settings."""
         self.signal(SIGHUP)
 
     async def end(self) -> None:
-        """End its process for good, and free the proxies."""
+        """Kill the process without a restart, and close the proxies."""
         self.is_closed = True
         self.signal(SIGCONT)
         self.kill()
@@ -161,7 +164,7 @@
         self.store.close()
 
     def logged_faults(self) -> list[str]:
-        """Return lines that no balancer should write."""
+        """Return log lines that report an internal fault or are not JSON."""
         lines = self.log_path.read_text(encoding='utf-8', errors='replace').splitlines()
         fault = f'"event": {int(LogNumber.INTERNAL_FAULT)},'
         return [line for line in lines if line and (not line.startswith('{') or fault in line)]
@@ -169,7 +172,7 @@
     async def _supervise(self, process: Process, script: Path) -> None:
         code = await process.wait()
         if not self.exit_expected:
-            self.failures.append(f'{self.name} ended by itself with code {code}')
+            self.failures.append(f'{self.name} exited unexpectedly with code {code}')
         self.exit_expected = False
         if self.is_closed:
             return
--- a/src/bronzekeel/soak/link_faults.py
+++ b/src/bronzekeel/soak/link_faults.py
@@ -1,4 +1,4 @@
-"""Strike what passes between balancers, their peers, the store, callers and upstreams."""
+"""Faults of the links between balancers, their peers, the store, callers and upstreams."""
 
 from abc import abstractmethod
 
@@ -15,10 +15,10 @@
 
 
 class _HostLinks(Fault):
-    """Disturb what passes between some hosts and something else."""
+    """Impair links of some hosts."""
 
     async def begin(self) -> None:
-        """Disturb a third of the hosts."""
+        """Impair the links of a third of the hosts."""
         count = max(1, len(self.site.hosts) // _IMPAIRED_EVERY)
         self._hosts = self.site.random.sample(self.site.hosts, count)
         for host in self._hosts:
@@ -27,7 +27,7 @@
             self.impair(host)
 
     async def end(self) -> None:
-        """Let all pass again."""
+        """Repair the links."""
         for host in self._hosts:
             self.repair(host)
             host.disturbances.end()
@@ -35,71 +35,71 @@
 
     @abstractmethod
     def impair(self, host: Host) -> None:
-        """Begin for one host."""
+        """Impair the links of one host."""
 
     @abstractmethod
     def repair(self, host: Host) -> None:
-        """End for one host."""
+        """Repair the links of one host."""
 
 
 class StoreSilentForSome(_HostLinks):
-    """The store says nothing to some hosts and closes nothing."""
+    """The store does not respond to some hosts, but keeps their connections open."""
 
     kind = 'store_silent_for_some'
 
     def impair(self, host: Host) -> None:
-        """Let nothing pass."""
+        """Drop all data."""
         host.store.link.silent = True
 
     def repair(self, host: Host) -> None:
-        """Let all pass on new connections."""
+        """Pass data again, on new connections."""
         host.store.link.silent = False
         host.store.reset()
 
 
 class StoreRefusesSome(_HostLinks):
-    """The store turns some hosts away."""
+    """The store refuses connections of some hosts."""
 
     kind = 'store_refuses_some'
 
     def impair(self, host: Host) -> None:
-        """Reset connections, and new ones too."""
+        """Reset open connections, and refuse new ones."""
         host.store.refusing = True
         host.store.reset()
 
     def repair(self, host: Host) -> None:
-        """Take connections."""
+        """Accept connections."""
         host.store.refusing = False
 
 
 class PeersOneWay(_HostLinks):
-    """Some hosts do not hear their peers, which hear them."""
+    """Some hosts receive nothing from their peers, which still receive from them."""
 
     kind = 'peers_one_way'
 
     def impair(self, host: Host) -> None:
-        """Drop what comes in."""
+        """Drop inbound heartbeats and refuse connections."""
         host.heartbeats.inbound.silent = True
         host.views.refusing = True
 
     def repair(self, host: Host) -> None:
-        """Pass it on."""
+        """Pass inbound traffic."""
         host.heartbeats.inbound.silent = False
         host.views.refusing = False
 
 
 class PeersLate(_HostLinks):
-    """What some hosts hear of their peers is late and partly lost."""
+    """Heartbeats to some hosts are delayed, and some are lost."""
 
     kind = 'peers_late'
 
     def impair(self, host: Host) -> None:
-        """Delay and lose."""
+        """Delay heartbeats and drop some."""
         host.heartbeats.inbound.delay_s = _LATE_S
         host.heartbeats.inbound.lost_share = _PEERS_LOST_SHARE
 
     def repair(self, host: Host) -> None:
-        """Pass all on at once."""
+        """Pass all heartbeats without delay."""
         host.heartbeats.inbound.delay_s = 0
         host.heartbeats.inbound.lost_share = 0
 
@@ -110,26 +110,26 @@
     kind = 'packets_lost'
 
     async def begin(self) -> None:
-        """Disturb upstreams too: their flows see the same loss."""
+        """Disturb upstreams too, because their flows see the same loss."""
         await super().begin()
         for upstream in self.site.upstreams.values():
             upstream.disturbances.begin()
         self._upstreams = list(self.site.upstreams.values())
 
     async def end(self) -> None:
-        """End for upstreams too."""
+        """End the disturbance of upstreams too."""
         await super().end()
         for upstream in self._upstreams:
             upstream.disturbances.end()
 
     def impair(self, host: Host) -> None:
-        """Lose a tenth each way."""
+        """Drop a tenth of the packets in each direction."""
         self.site.fabric.link_by_host[host.name] = Link(lost_share=_PACKETS_LOST_SHARE)
         for upstream in self.site.upstreams.values():
             upstream.link_by_host[host.packets[0]] = Link(lost_share=_PACKETS_LOST_SHARE)
 
     def repair(self, host: Host) -> None:
-        """Lose nothing."""
+        """Drop no packets."""
         self.site.fabric.link_by_host.pop(host.name, None)
         for upstream in self.site.upstreams.values():
             upstream.link_by_host.pop(host.packets[0], None)
@@ -146,8 +146,8 @@
         self._inside = [host for host in self.site.hosts if host.data_centre == centre]
         self._outside = [host for host in self.site.hosts if host.data_centre != centre]
         self._upstreams = list(self.site.upstreams.values())
-        self._all = self._inside + self._outside
-        for host in self._all:
+        self._disturbed = self._inside + self._outside
+        for host in self._disturbed:
             host.disturbances.begin()
             host.unplanned_disturbances.begin()
         for upstream in self._upstreams:
@@ -155,17 +155,17 @@
             remote = self._outside if upstream.data_centre == centre else self._inside
             for host in remote:
                 upstream.link_by_host[host.packets[0]] = Link(silent=True)
-        for one, others in ((self._inside, self._outside), (self._outside, self._inside)):
-            for host in one:
-                for other in others:
-                    host.heartbeats.link_by_source[other.peers] = Link(silent=True)
+        for receivers, senders in ((self._inside, self._outside), (self._outside, self._inside)):
+            for host in receivers:
+                for sender in senders:
+                    host.heartbeats.link_by_source[sender.peers] = Link(silent=True)
         for host in self._inside:
             host.store.link.silent = True
             host.views.refusing = True
 
     async def end(self) -> None:
-        """Heal."""
-        for host in self._all:
+        """Repair all links."""
+        for host in self._disturbed:
             host.heartbeats.link_by_source.clear()
             host.store.link.silent = False
             host.store.reset()
--- a/src/bronzekeel/soak/links.py
+++ b/src/bronzekeel/soak/links.py
@@ -1,4 +1,4 @@
-"""Stand between processes: pass datagrams and streams on, late, in part, or not at all."""
+"""Proxy datagrams and streams between processes, with delay, loss or a complete block."""
 
 from asyncio import (
     Server,
@@ -26,35 +26,35 @@
 
 
 def loopback(net: str, number: int) -> str:
-    """Return the `number`th address that begins with the two octets of `net`."""
+    """Return the address number `number` of those that begin with the two octets of `net`."""
     third, fourth = divmod(number, _ADDRESSES_PER_OCTET)
     return '.'.join((net, str(third), str(fourth + 1)))
 
 
 @dataclass(slots=True)
 class Link:
-    """Say what happens to what passes one way: `silent` drops all of it."""
+    """Impairments of one direction of a link; `silent` drops everything."""
 
     silent: bool = False
     lost_share: float = 0
     delay_s: float = 0
 
     def passes(self, random: Random) -> bool:
-        """Whether a datagram arrives."""
+        """Whether a datagram gets through."""
         return not self.silent and random.random() >= self.lost_share
 
 
 async def bind_datagrams(protocol: DatagramProtocol, address: Address) -> DatagramTransport:
-    """Bind a socket for datagrams that `protocol` takes."""
+    """Bind a datagram socket that is served by `protocol`."""
     bound = await get_running_loop().create_datagram_endpoint(lambda: protocol, local_addr=address)
     return bound[0]
 
 
 class DatagramProxy(DatagramProtocol):
-    """Pass datagrams on to one target; links are found by where they come from."""
+    """Forward datagrams to one target; the source address selects the link."""
 
     def __init__(self, target: Address, random: Random) -> None:
-        """Pass on to `target`."""
+        """Forward to `target`."""
         self.target = target
         self.link_by_source: dict[Address, Link] = {}
         self.inbound = Link()
@@ -66,12 +66,12 @@
         self._transport = await bind_datagrams(self, address)
 
     def close(self) -> None:
-        """Free the socket."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Pass one datagram on, or not."""
+        """Forward a datagram, or drop it."""
         outbound = self.link_by_source.get(addr[:2], _UNIMPAIRED)
         if not self.inbound.passes(self._random) or not outbound.passes(self._random):
             return
@@ -87,14 +87,14 @@
 
 
 class StreamProxy:
-    """Pass connections on to one target.
+    """Forward connections to one target.
 
-    While `refusing` new ones are reset and open ones end; while `link` is silent open ones
-    stay open and carry nothing.
+    While `refusing` is set, new connections are reset; `reset` ends those that are open. While
+    `link` is silent, open connections stay open and carry no data.
     """
 
     def __init__(self, target: Address) -> None:
-        """Pass on to `target`."""
+        """Forward to `target`."""
         self.target = target
         self.link = Link()
         self.refusing = False
@@ -107,20 +107,20 @@
 
     @property
     def port(self) -> int:
-        """Port that it is bound to."""
+        """Port that the proxy is bound to."""
         if self._server is None:
             raise RuntimeError('not open; call `open` first')
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     def close(self) -> None:
-        """End all connections and free the port."""
+        """Abort all connections and close the socket."""
         self.reset()
         if self._server is not None:
             self._server.close()
 
     def reset(self) -> None:
-        """End all open connections at once."""
+        """Abort all open connections."""
         for writer in self._writers:
             writer.transport.abort()
 
@@ -137,13 +137,13 @@
         self._writers |= ends
         directions = (self._forward(reader, target_writer), self._forward(target_reader, writer))
         with suppress(OSError):
-            await gather(*(create_task(one_way) for one_way in directions))
+            await gather(*(create_task(direction) for direction in directions))
         self._writers -= ends
         for end in ends:
             end.transport.abort()
 
     async def _forward(self, reader: StreamReader, writer: StreamWriter) -> None:
-        """Carry one direction until it ends; what passes while the link is silent is lost."""
+        """Copy one direction until it ends; data read while the link is silent is dropped."""
         while chunk := await reader.read(_CHUNK):
             if self.link.delay_s:
                 await sleep(self.link.delay_s)
--- a/src/bronzekeel/soak/load_faults.py
+++ b/src/bronzekeel/soak/load_faults.py
@@ -1,4 +1,4 @@
-"""Change what operators want and what callers ask for."""
+"""Change the operators' configuration and the callers' demand."""
 
 from asyncio import sleep
 
@@ -19,19 +19,19 @@
     planned = True
 
     async def begin(self) -> None:
-        """Change it once."""
+        """Change the text once."""
         await self.site.texts.change()
         self.site.update_allowed_routes()
 
 
 class TextStorm(Fault):
-    """Texts come in quick succession."""
+    """Several texts follow in quick succession."""
 
     kind = 'text_storm'
     planned = True
 
     async def begin(self) -> None:
-        """Change it five times in half a second."""
+        """Change the text five times in half a second."""
         for _ in range(_STORM_TEXTS):
             await self.site.texts.change()
             self.site.update_allowed_routes()
@@ -45,7 +45,7 @@
     planned = True
 
     async def begin(self) -> None:
-        """Add three hundred."""
+        """Add 300 routes."""
         await self.site.texts.change(_ADDED_ROUTES)
         self.site.update_allowed_routes()
 
@@ -57,29 +57,29 @@
     planned = True
 
     async def begin(self) -> None:
-        """Evacuate one, if none is."""
+        """Evacuate a random data centre if none is evacuated."""
         self._centre = ''
         if not self.site.evacuated_at_by_centre:
             self._centre = self.site.random.choice(CENTRES)
             await self.site.evacuate(self._centre)
 
     async def end(self) -> None:
-        """Take it back."""
+        """End the evacuation."""
         if self._centre:
             await self.site.end_evacuation(self._centre)
 
 
 class Burst(Fault):
-    """Callers ask for four times as much."""
+    """Demand rises to four times the normal rate."""
 
     kind = 'burst'
 
     async def begin(self) -> None:
-        """Begin."""
+        """Raise the demand."""
         self.site.load_disturbances.begin()
         self.site.set_demand(_BURST_FACTOR)
 
     async def end(self) -> None:
-        """End."""
+        """Restore the normal demand."""
         self.site.set_demand(1)
         self.site.load_disturbances.end()
--- a/src/bronzekeel/soak/requests.py
+++ b/src/bronzekeel/soak/requests.py
@@ -1,4 +1,4 @@
-"""Define what callers and upstreams of a soak say to each other on a flow."""
+"""Define the protocol between the callers and upstreams of a soak."""
 
 from struct import Struct, error
 from zlib import crc32
@@ -9,24 +9,24 @@
 
 
 class Request:
-    """Hold one attempt at a request; `number` is the same for all attempts."""
+    """One attempt at a request; `number` is the same for all attempts."""
 
     __slots__ = ('attempt', 'idempotent', 'number', 'size')
 
     def __init__(self, number: int, attempt: int, size: int, *, idempotent: bool) -> None:
-        """Ask with `size` bytes in all."""
+        """Create a request of `size` bytes, header included."""
         self.number = number
         self.attempt = attempt
         self.size = max(size, _HEADER.size)
         self.idempotent = idempotent
 
     def encode(self) -> bytes:
-        """Return its bytes; what follows the head is made of its number."""
+        """Return the encoded request; the padding after the header is derived from the number."""
         head = _HEADER.pack(self.number, self.attempt, self.idempotent, self.size)
         return head + self._padding()
 
     def is_intact(self, raw: bytes) -> bool:
-        """Whether `raw` is just what `encode` gave."""
+        """Whether `raw` equals what `encode` returns."""
         return raw == self.encode()
 
     def _padding(self) -> bytes:
@@ -36,7 +36,7 @@
 
 
 def read_request(raw: bytes) -> Request | None:
-    """Return the request that `raw` begins with, None if its head is not there yet."""
+    """Return the request at the start of `raw`, or None if its header is incomplete."""
     try:
         number, attempt, idempotent, size = _HEADER.unpack_from(raw)
     except error:
@@ -45,24 +45,24 @@
 
 
 class Answer:
-    """Hold what an upstream says to a request; one that did not run was turned away."""
+    """Answer of an upstream; `ran` is off if it turned the request away."""
 
     __slots__ = ('number', 'ran', 'upstream')
 
     def __init__(self, number: int, upstream: int, *, ran: bool) -> None:
-        """Answer the request with a `number`."""
+        """Answer the request with this `number`."""
         self.number = number
         self.upstream = upstream
         self.ran = ran
 
     def encode(self) -> bytes:
-        """Return its bytes, with a checksum of them."""
+        """Return the encoded answer, with a checksum over it."""
         body = _ANSWER.pack(self.number, self.ran, self.upstream, 0)
         return _ANSWER.pack(self.number, self.ran, self.upstream, crc32(body))
 
 
 def read_answer(raw: bytes) -> Answer | None:
-    """Return an answer, None if it is not whole."""
+    """Return the decoded answer, or None if it is truncated or corrupt."""
     try:
         number, ran, upstream, _ = _ANSWER.unpack(raw)
     except error:
--- a/src/bronzekeel/soak/runner.py
+++ b/src/bronzekeel/soak/runner.py
@@ -1,4 +1,4 @@
-"""Run one soak from its seed: start, disturb, check, and say what was found."""
+"""Run one soak from its seed: start processes, inject faults, check promises, and report."""
 
 from asyncio import Task, create_task, gather, sleep
 from collections import Counter
@@ -22,17 +22,18 @@
 
 _POLL_INTERVAL_S = 0.1
 
-#: Seconds by which the soak's own loop may lag; beyond it the machine is busy, and promises with
-#: a time bound hold again once everything has been undisturbed for a while.
+#: Seconds by which the soak's own event loop may lag. Beyond that the machine is busy, and promises
+#: with a time bound apply again only after everything has been undisturbed for a while.
 MAX_LAG_S = 0.3
 
-#: Seconds before the end in which callers must be served, and the share of them that must be.
+#: Window in seconds before the end in which callers must be served, and the minimum share of their
+#: requests that must be.
 _SERVED_WINDOW_S = (6.0, 2.0)
 _MIN_SERVED_SHARE = 0.9
 
 
 class SoakReport(Struct, frozen=True):
-    """Hold what a soak did and found."""
+    """What a soak did and found."""
 
     ok: bool
     seed: int
@@ -61,19 +62,19 @@
         folder: Path,
         script: Path = START_SCRIPT,
     ) -> None:
-        """Keep logs and settings in `folder`; balancers are started by `script`."""
+        """Write logs and settings to `folder`; `script` starts the balancers."""
         self.seed = seed
         self.seconds = seconds
         self.hosts = hosts
         self.folder = folder
         self.schedule = draw_schedule(seed, seconds)
         self._site = Site(hosts, seed, folder, script)
-        self._kinds = {fault.kind: fault for fault in FAULTS}
+        self._fault_by_kind = {fault.kind: fault for fault in FAULTS}
         self._max_lag_s: float = 0
         self._injected: Counter[str] = Counter()
 
     async def run(self, advance: Callable[[float], None]) -> SoakReport:
-        """Play the schedule; `advance` is told how many seconds have passed."""
+        """Run the schedule; `advance` is called with the seconds that have passed."""
         async with aclosing(self._site) as site:
             return await self._play(site, advance)
 
@@ -94,18 +95,18 @@
         return self._report(site)
 
     async def _inject_faults(self, site: Site) -> None:
-        """Begin each fault at its time; they overlap."""
+        """Begin each fault at its planned time; faults overlap."""
         began_at = monotonic()
         playing = []
         for planned in self.schedule:
             await sleep(max(0, began_at + planned.at_s - monotonic()))
             self._injected[planned.kind] += 1
-            fault = self._kinds[planned.kind](site, planned.for_s)
+            fault = self._fault_by_kind[planned.kind](site, planned.for_s)
             playing.append(create_task(fault.run()))
         await gather(*playing)
 
     async def _wait_until_end(self, site: Site, advance: Callable[[float], None]) -> None:
-        """Wait for the end, and notice when the machine is too busy to judge times."""
+        """Wait for the end; detect when the machine is too busy to check time bounds."""
         began_at = monotonic()
         polled_at = began_at
         while polled_at < began_at + self.seconds:
@@ -148,7 +149,7 @@
 
 
 def save_failure(report: SoakReport, folder: Path) -> str:
-    """Write the report beside the logs of a failed run; return the command that plays it again."""
+    """Write the report of a failed run next to its logs; return the command that repeats it."""
     (folder / 'report.json').write_bytes(pretty(encode(report)))
     size = f'--seconds {report.seconds} --hosts {report.hosts}'
     command = f'bronzekeel soak --seed {report.seed} {size}'
--- a/src/bronzekeel/soak/schedule.py
+++ b/src/bronzekeel/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Draw which faults come when: from a seed, overlapping, any kind more than once."""
+"""Draw the schedule of faults from a seed; faults overlap, and kinds repeat."""
 
 from random import Random
 
@@ -7,8 +7,8 @@
 from bronzekeel.soak.faults import FAULTS
 
 
-#: Seconds before the first fault, and of quiet after the last, in which callers must be
-#: served again.  Source: the users' bound on recovery is 12 s.
+#: Seconds before the first fault, and without faults after the last, in which callers must be
+#: served again: the users' bound on recovery is 12 s.
 FIRST_FAULT_S = 5.0
 QUIET_S = 14.0
 
@@ -17,7 +17,7 @@
 
 
 class PlannedFault(Struct, frozen=True):
-    """Plan one fault, in seconds from the start."""
+    """One fault of the schedule; times are seconds from the start."""
 
     at_s: float
     kind: str
@@ -25,15 +25,15 @@
 
 
 def draw_schedule(seed: int, seconds: float) -> list[PlannedFault]:
-    """Return the faults of a run; all kinds come before one comes twice."""
+    """Return the faults of a run; each kind occurs once before any kind repeats."""
     random = Random(f'schedule {seed}')
     kinds = [fault.kind for fault in FAULTS]
     random.shuffle(kinds)
-    planned: list[PlannedFault] = []
+    schedule: list[PlannedFault] = []
     at_s = FIRST_FAULT_S
     while at_s < seconds - QUIET_S:
         for_s = min(random.uniform(*_DURATION_S), seconds - QUIET_S - at_s)
-        kind = kinds[len(planned) % len(kinds)]
-        planned.append(PlannedFault(round(at_s, 2), kind, round(for_s, 2)))
+        kind = kinds[len(schedule) % len(kinds)]
+        schedule.append(PlannedFault(round(at_s, 2), kind, round(for_s, 2)))
         at_s += random.expovariate(1 / _MEAN_GAP_S)
-    return planned
+    return schedule
--- a/src/bronzekeel/soak/share_counts.py
+++ b/src/bronzekeel/soak/share_counts.py
@@ -1,4 +1,4 @@
-"""Know the callers of a soak, and judge whether one is shut out while another has too much."""
+"""Represent callers, and detect those that are starved while others get more than their share."""
 
 from collections import Counter
 
@@ -6,32 +6,32 @@
 from bronzekeel.soak.links import Address
 
 
-#: Requests that are due to a caller below which nothing is judged, and the share of them that must
-#: be served: fewer than that is no chance.
+#: Requests due to a caller below which it is not checked, because a few may go unserved by chance,
+#: and the minimum share of them that must be served; less than that cannot be chance.
 _MIN_DUE = 6
 _MIN_SERVED_SHARE = 0.1
 
 
 class Caller:
-    """Hold one caller: its address, and the data centre whose hosts get its packets."""
+    """A caller: its address, and the data centre whose hosts receive its packets."""
 
     __slots__ = ('address', 'data_centre')
 
     def __init__(self, address: str, data_centre: str) -> None:
-        """Start in its data centre."""
+        """Start in the given data centre."""
         self.address = address
         self.data_centre = data_centre
 
 
 class ShareCounts:
-    """Count what callers of each data centre asked of `targets` at the same time, and were served.
+    """Count the requests to `targets` in the same period, and those served, by caller.
 
-    Callers of one data centre use the same hosts: what strikes these, and a machine that is
-    busy, strikes all of them alike.  `discarded` ones judge nothing.
+    Callers are compared within a data centre: they use the same hosts, so a fault of these hosts or
+    a busy machine affects all of them alike. Counts that are `discarded` are not checked.
     """
 
     def __init__(self, targets: set[Address]) -> None:
-        """Start with nothing asked."""
+        """Start without any requests."""
         self.targets = targets
         self.discarded = False
         self._requested_by_centre: dict[str, Counter[str]] = {}
@@ -50,9 +50,9 @@
         return self._served_by_centre.get(data_centre, Counter())[address]
 
     def check(self, checks: Checks) -> None:
-        """Check what each caller was served of what was due to it.
+        """Check that each caller was served a minimum share of the requests due to it.
 
-        An equal share of what was served is due to a caller, or less if it asked for less.
+        Due to a caller is an equal share of all served requests, or its own demand if that is less.
         """
         if self.discarded:
             return
@@ -65,6 +65,6 @@
                     continue
                 served = served_by_address[address]
                 description = (
-                    f'{address} in {data_centre} asked {requested} times, was served {served} times'
+                    f'{address} in {data_centre} sent {requested} requests, {served} were served'
                 )
                 checks.check(Promise.SHARED, served >= due * _MIN_SERVED_SHARE, description)
--- a/src/bronzekeel/soak/site.py
+++ b/src/bronzekeel/soak/site.py
@@ -33,19 +33,19 @@
 _PORTS = 3
 _NUMBER_BITS = 60
 
-#: Seconds after the store's word of an evacuation until which new flows may reach it.  Source: all
-#: hosts know within a second; as much again for a machine that is busy.
+#: Seconds after an evacuation is written to the store until which new flows may still reach the
+#: data centre: all hosts know of it within a second, and a busy machine may take as long again.
 EVACUATION_BOUND_S = 2.0
 
 
 class Site:
-    """Own everything that a soak runs; `store_disturbances` tells when the store was disturbed.
+    """Own everything that a soak runs; `store_disturbances` tracks disturbances of the store.
 
-    `load_disturbances` tells when callers asked for more than upstreams can do.
+    `load_disturbances` tracks periods in which the demand exceeds what upstreams can serve.
     """
 
     def __init__(self, hosts: int, seed: int, folder: Path, script: Path = START_SCRIPT) -> None:
-        """Prepare `hosts` balancers over three data centres, started by `script`."""
+        """Prepare `hosts` balancers in three data centres, started by `script`."""
         self.random = Random(seed)
         self.checks = Checks()
         self.runs = Runs()
@@ -72,20 +72,20 @@
 
     @property
     def overloaded(self) -> bool:
-        """Whether balancers may refuse flows for want of room."""
+        """Whether balancers may refuse flows for lack of free capacity."""
         return not self.load_disturbances.is_stable
 
     def set_demand(self, factor: float) -> None:
-        """Let callers ask for `factor` the usual."""
+        """Set the demand of callers to `factor` times the normal rate."""
         self.demand_factor = factor
 
     def mark_all_disturbed(self) -> None:
-        """Take everything for disturbed: the machine cannot keep up, and times mean nothing."""
+        """Mark everything as disturbed: the machine is too busy, so time bounds do not apply."""
         for disturbances in self._all_disturbances():
             disturbances.note()
 
     async def open(self) -> None:
-        """Start everything; return when all balancers take traffic.  Raises TimeoutError."""
+        """Start everything; balancers may not be ready yet."""
         await self.store.open()
         await self.callers.open(self._ports.packets)
         for index in range(_CALLERS_PER_CENTRE * len(CENTRES)):
@@ -102,15 +102,15 @@
         await gather(*(host.start(self._script) for host in self.hosts))
 
     async def until_ready(self) -> None:
-        """Wait until all hosts are in rotation.  Raises TimeoutError."""
+        """Wait until all hosts are in rotation. Raises TimeoutError."""
         deadline_at = monotonic() + _READY_TIMEOUT_S
         while not all(self.fabric.in_rotation(host) for host in self.hosts):
             if monotonic() > deadline_at:
-                raise TimeoutError('balancers are not ready in time; read their logs')
+                raise TimeoutError('balancers did not become ready in time; see their logs')
             await sleep(_POLL_INTERVAL_S)
 
     async def aclose(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         await gather(*(host.end() for host in self.hosts))
         for upstream in self.upstreams.values():
             upstream.close()
@@ -129,7 +129,7 @@
         data_centre: str,
         address: Address = (_LOOPBACK, 0),
     ) -> Upstream:
-        """Start an upstream and list it."""
+        """Start an upstream and write its entry."""
         number = self.random.getrandbits(_NUMBER_BITS)
         callers = (_LOOPBACK, self._ports.packets)
         upstream = Upstream(number, service, data_centre, callers, self.checks, self.runs)
@@ -141,7 +141,7 @@
         return upstream
 
     async def list_upstream(self, upstream: Upstream, *, draining: bool = False) -> None:
-        """Write an upstream's entry."""
+        """Write the entry of an upstream."""
         self.store.put_upstream(
             upstream.number,
             upstream.service,
@@ -153,12 +153,12 @@
         await self.store.tell()
 
     async def unlist_upstream(self, upstream: Upstream) -> None:
-        """Let an upstream's entry lapse."""
+        """Remove the entry of an upstream."""
         self.store.remove_object(UPSTREAMS_KIND, upstream_name(upstream.number))
         await self.store.tell()
 
     async def evacuate(self, centre: str) -> None:
-        """Ask balancers to send nothing new to a data centre."""
+        """Start an evacuation: balancers must send no new flows to the data centre."""
         self.store.put_object(EVACUATIONS_KIND, centre, {})
         await self.store.tell()
         self.evacuated_at_by_centre[centre] = monotonic()
@@ -170,9 +170,14 @@
         await self.store.tell()
 
     def evacuated_for(self, host_ip: str) -> set[str]:
-        """Return the data centres to which a host that is in touch must send nothing new."""
-        contacts = [host.disturbances for host in self.hosts if host.packets[0] == host_ip]
-        if not all(disturbances.is_stable for disturbances in (self.store_disturbances, *contacts)):
+        """Return the data centres to which a host must send no new flows.
+
+        There are none unless the host and the store are stable.
+        """
+        host_disturbances = [host.disturbances for host in self.hosts if host.packets[0] == host_ip]
+        if not all(
+            disturbances.is_stable for disturbances in (self.store_disturbances, *host_disturbances)
+        ):
             return set()
         return {
             centre
@@ -181,12 +186,12 @@
         }
 
     def update_allowed_routes(self) -> None:
-        """Let upstreams know which routes any text sent to their service."""
+        """Update the routes that upstreams may receive: all that any text sent to their service."""
         for upstream in self.upstreams.values():
             upstream.routes = self.texts.routes_of(upstream.service)
 
     def available(self, service: str = PORTAL) -> list[Upstream]:
-        """Return the upstreams of a service that are listed for new flows."""
+        """Return the live upstreams of a service that do not drain."""
         return [
             upstream
             for upstream in self.upstreams.values()
@@ -194,7 +199,7 @@
         ]
 
     def write_settings(self, host: Host) -> None:
-        """Write a host's settings, with some hosts as seeds."""
+        """Write the settings of a host, with the first hosts as seeds."""
         seeds = [other.advertised for other in self.hosts[:_SEEDS]]
         host.write_settings(seeds)
 
@@ -212,17 +217,17 @@
 
 
 def _free_ports() -> list[int]:
-    """Return ports that are free on loopback, for datagrams and for streams."""
+    """Return loopback ports that are free for both datagrams and streams."""
     ports: list[int] = []
     bound_sockets = []
     while len(ports) < _PORTS:
-        pair = [socket(AF_INET, kind) for kind in (SOCK_DGRAM, SOCK_STREAM)]
-        bound_sockets.extend(pair)
-        pair[0].bind((_LOOPBACK, 0))
-        port = pair[0].getsockname()[1]
+        sockets = [socket(AF_INET, kind) for kind in (SOCK_DGRAM, SOCK_STREAM)]
+        bound_sockets.extend(sockets)
+        sockets[0].bind((_LOOPBACK, 0))
+        port = sockets[0].getsockname()[1]
         with suppress(OSError):
-            pair[1].bind((_LOOPBACK, port))
+            sockets[1].bind((_LOOPBACK, port))
             ports.append(port)
-    for bound in bound_sockets:
-        bound.close()
+    for bound_socket in bound_sockets:
+        bound_socket.close()
     return ports
--- a/src/bronzekeel/soak/store_faults.py
+++ b/src/bronzekeel/soak/store_faults.py
@@ -1,4 +1,4 @@
-"""Strike the store for everybody."""
+"""Faults of the store that affect all its clients."""
 
 from abc import abstractmethod
 from asyncio import sleep
@@ -14,38 +14,38 @@
 _ALLOWED_CALLS = 3
 _LAPSED_ENTRIES = 2
 
-#: Seconds for which a store that comes back from a copy is away, and until its owners have written
-#: again what it has lost.  Source: the users' drill, and how often their upstreams write.
+#: Seconds that a restored store is unavailable, as in the users' drill, and seconds until the
+#: owners of its objects have written lost ones again, as often as the users' upstreams write.
 _OUTAGE_S = 0.5
 _LOST_TEXTS = 5
 _REWRITE_DELAY_S = 1.2
 
 
 class _StoreFault(Fault):
-    """Disturb the store for everybody."""
+    """Disturb the store for all its clients."""
 
     async def begin(self) -> None:
-        """Note it, and strike."""
+        """Record the disturbance and inject the fault."""
         self.site.store_disturbances.begin()
         await self.switch(on=True)
 
     async def end(self) -> None:
-        """Take it back."""
+        """Revert the fault and record the end of the disturbance."""
         await self.switch(on=False)
         self.site.store_disturbances.end()
 
     @abstractmethod
     async def switch(self, *, on: bool) -> None:
-        """Begin or end."""
+        """Inject or revert the fault."""
 
 
 class StoreDown(_StoreFault):
-    """The store answers that it is down; entries of some upstreams lapse meanwhile."""
+    """The store answers that it is down; in the meantime entries of some upstreams lapse."""
 
     kind = 'store_down'
 
     async def switch(self, *, on: bool) -> None:
-        """Go down, or come back with the entries that upstreams write again."""
+        """Take the store down, or bring it back and write the lapsed entries again."""
         if on:
             await self.site.store.switch(down=True)
             self._lapsed = self.site.random.sample(self.site.available(), _LAPSED_ENTRIES)
@@ -63,46 +63,46 @@
 
 
 class StoreSlow(_StoreFault):
-    """The store takes sixty times as long."""
+    """Calls to the store take more than a hundred times as long."""
 
     kind = 'store_slow'
 
     async def switch(self, *, on: bool) -> None:
-        """Slow down, or be quick again."""
+        """Set a high or the normal latency."""
         self.site.store.latency_s = _SLOW_LATENCY_S if on else _NORMAL_LATENCY_S
 
 
 class StoreRateLimited(_StoreFault):
-    """The store turns away what is beyond its rate."""
+    """The store refuses calls above its rate limit."""
 
     kind = 'store_over_rate'
 
     async def switch(self, *, on: bool) -> None:
-        """Refuse all but a few calls."""
+        """Refuse all but a few calls, or none."""
         self.site.store.calls_left = _ALLOWED_CALLS if on else None
 
 
 class HistoryDropped(_StoreFault):
-    """The store forgets its history; watches must list anew."""
+    """The store discards its history, so that watches must list again."""
 
     kind = 'history_dropped'
 
     async def switch(self, *, on: bool) -> None:
-        """Forget."""
+        """Discard the history."""
         self.site.store.compact()
 
 
 class StoreRestored(_StoreFault):
-    """The store comes back from a copy; what was written since the fault began is lost.
+    """The store is restored from a backup, and what was written since the fault began is lost.
 
-    Some texts are among that.  Operators and upstreams write theirs again after a moment, and one
-    more text, whose revision is less than hosts knew before.
+    The lost writes include some texts. After a moment, operators and upstreams write their objects
+    again. Then one more text follows, with a revision below those that the hosts have seen.
     """
 
     kind = 'store_restored'
 
     async def switch(self, *, on: bool) -> None:
-        """Make the copy, or come back from it."""
+        """Make the backup, or restore it."""
         store = self.site.store
         if on:
             self._copy = copy_of(store)
--- a/src/bronzekeel/soak/text_probe.py
+++ b/src/bronzekeel/soak/text_probe.py
@@ -1,4 +1,4 @@
-"""Ask every host again and again whether it goes by the newest text, and never by an older one."""
+"""Probe that each host applies the newest text in time, and never an older one afterwards."""
 
 from asyncio import create_task, gather, sleep
 from time import monotonic
@@ -13,18 +13,18 @@
 
 _INTERVAL_S = 0.3
 
-#: Seconds after which an accepted text must be in force, and what a busy machine may add.
-#: Source: the users' `configApplyMs`.
+#: Seconds within which an accepted text must be in force, the users' `configApplyMs`, and slack for
+#: a busy machine.
 _APPLY_BOUND_S = 3.0
 _SLACK_S = 0.5
 
-#: Seconds after which a host that went by a text must not go by an older one.  Source: the
-#: users' `rollbackSlackMs`.
+#: Seconds after which a host that has applied a text must not apply an older one, the users'
+#: `rollbackSlackMs`.
 _ROLLBACK_SLACK_S = 0.25
 
 
 class TextProbe:
-    """Send opening packets of the newest and of the last dropped route to each host."""
+    """Send opening packets for the newest and the last dropped route to each host."""
 
     def __init__(self, site: Site) -> None:
         """Probe the hosts of a site."""
@@ -46,50 +46,52 @@
         await gather(*tasks)
 
     async def _probe_added(self, host: Host, change: Change) -> None:
-        sent_at, start, outcome = await self._open(host, change.added)
+        sent_at, start_number, outcome = await self._open(host, change.added)
         if self._site.overloaded or not self._is_newest(change):
             return
         refused = outcome is Outcome.REFUSED
-        self._check_probe(host, change, start, sent_at, refused, 'refused its route')
+        self._check_probe(host, change, start_number, sent_at, refused, 'refused the added route')
         if outcome is Outcome.ANSWERED:
-            self._newest_by_start.setdefault((host.name, start), (0, 0))
-            if self._newest_by_start[host.name, start][0] < change.version:
-                self._newest_by_start[host.name, start] = (change.version, monotonic())
+            self._newest_by_start.setdefault((host.name, start_number), (0, 0))
+            if self._newest_by_start[host.name, start_number][0] < change.version:
+                self._newest_by_start[host.name, start_number] = (change.version, monotonic())
 
     async def _probe_dropped(self, host: Host, change: Change, route: Address) -> None:
-        sent_at, start, outcome = await self._open(host, route)
+        sent_at, start_number, outcome = await self._open(host, route)
         if self._is_newest(change):
             answered = outcome is Outcome.ANSWERED
-            self._check_probe(host, change, start, sent_at, answered, 'served a dropped route')
+            self._check_probe(
+                host, change, start_number, sent_at, answered, 'served the dropped route'
+            )
 
     async def _open(self, host: Host, route: Address) -> tuple[float, int, Outcome]:
         sent_at = monotonic()
-        start = host.starts
+        start_number = host.starts
         flow = self._site.callers.new_flow(route, self._caller)
         outcome = await self._site.callers.try_open(flow, host.packets)
         self._site.callers.end(flow)
-        return sent_at, start, outcome
+        return sent_at, start_number, outcome
 
     def _is_newest(self, change: Change) -> bool:
-        """Whether no other text came meanwhile, and the process is the same."""
+        """Whether no other text has been accepted in the meantime."""
         return change is self._site.texts.changes[-1]
 
     def _check_probe(
         self,
         host: Host,
         change: Change,
-        start: int,
+        start_number: int,
         sent_at: float,
         older: bool,  # noqa: FBT001 (what the probe found)
         description: str,
     ) -> None:
-        """Check what a probe found; `older` tells that only an older text allows it."""
+        """Check the result of a probe; `older` is set if only an older text explains it."""
         checks = self._site.checks
         description = f'{host.name} {description} of version {change.version}'
         stable = host.disturbances.is_stable and self._site.store_disturbances.is_stable
         due = sent_at > change.accepted_at + _APPLY_BOUND_S + _SLACK_S
-        if due and stable and host.starts == start:
+        if due and stable and host.starts == start_number:
             checks.check(Promise.TEXT_IN_FORCE, not older, description)
-        version, seen_at = self._newest_by_start.get((host.name, start), (0, 0))
+        version, seen_at = self._newest_by_start.get((host.name, start_number), (0, 0))
         if version >= change.version and sent_at > seen_at + _ROLLBACK_SLACK_S:
             checks.check(Promise.TEXT_KEPT, not older, description)
--- a/src/bronzekeel/soak/texts.py
+++ b/src/bronzekeel/soak/texts.py
@@ -1,4 +1,4 @@
-"""Write the operators' texts of a soak, and know what each allows."""
+"""Write the operators' texts of a soak, and track which routes each allows."""
 
 from time import monotonic
 from types import MappingProxyType
@@ -13,17 +13,17 @@
 _SERVICE_BY_ADDRESS = MappingProxyType({FEEDS: 'portal', SINGLES: 'portal', SHEETS: 'intake'})
 _CHANGING_PORT = 443
 
-#: Latency objectives in milliseconds: demand is controlled where all of them leave time for it.
+#: Latency objectives in milliseconds; demand is controlled only where they all leave time for it.
 _OBJECTIVE_MS_BY_SERVICE = MappingProxyType({'portal': 800, 'intake': 1200})
 
 
 class Change:
-    """Hold one text that was accepted: its new route, the route it dropped, and when."""
+    """An accepted text: the route that it added, the one that it dropped, and the time."""
 
     __slots__ = ('accepted_at', 'added', 'dropped', 'version')
 
     def __init__(self, version: int, added: Address, dropped: Address | None) -> None:
-        """Accept it now."""
+        """Record a text accepted now."""
         self.version = version
         self.added = added
         self.dropped = dropped
@@ -31,7 +31,7 @@
 
 
 class Texts:
-    """Write texts that add a route and drop the one that the text before added."""
+    """Write texts, each of which adds a route and drops the one that its predecessor added."""
 
     def __init__(self, store: PlatformStandIn) -> None:
         """Write to `store`."""
@@ -43,11 +43,11 @@
         self._routes_by_service: dict[str, set[Address]] = {}
 
     def routes_of(self, service: str) -> set[Address]:
-        """Return all addresses that any text sent to a service."""
+        """Return all addresses that any text so far sent to a service."""
         return self._routes_by_service.setdefault(service, set())
 
     async def change(self, more_routes: int = 0) -> Change:
-        """Put a text in force that differs from the one before."""
+        """Put a text in force that differs from its predecessor."""
         self._version += 1 + self._version % 3
         self._extra_routes += more_routes
         added = (loopback('198.20', len(self.changes)), _CHANGING_PORT)
@@ -65,6 +65,6 @@
         return change
 
     async def rewrite(self) -> None:
-        """Write the newest text as it was, for a store that has lost it."""
+        """Write the newest text again unchanged, for a store that has lost it."""
         self._store.put_text(self._version, self._service_by_address, _OBJECTIVE_MS_BY_SERVICE)
         await self._store.tell()
--- a/src/bronzekeel/soak/traffic.py
+++ b/src/bronzekeel/soak/traffic.py
@@ -1,4 +1,4 @@
-"""Send what callers ask for: feeds all the time, single requests at random."""
+"""Generate the callers' demand: continuous feeds, and single requests at random times."""
 
 from asyncio import Task, create_task, sleep
 from random import Random
@@ -14,13 +14,13 @@
 _FEED_PAUSE_S = 0.4
 _FEED_BYTES = 40
 
-#: Single requests a second in a data centre, and the most bytes of one.
+#: Rate of single requests in a data centre, and the upper bound on the bytes of one.
 _SINGLES_PER_S = 8.0
 _MAX_REQUEST_BYTES = 3000
 _SHEET_SHARE = 0.2
 _IDEMPOTENT_SHARE = 0.4
 
-#: Requests in progress at most: beyond it nothing new is asked, so that the soak itself keeps up.
+#: Maximum of tasks in progress; above it no single requests start, so that the soak keeps up.
 _MAX_IN_PROGRESS = 400
 
 
@@ -28,13 +28,13 @@
     """Own the tasks of all callers."""
 
     def __init__(self, site: Site) -> None:
-        """Ask for what the site serves."""
+        """Generate demand for a site."""
         self._site = site
         self._random = Random(site.random.random())
         self._tasks: set[Task[object]] = set()
 
     def start(self) -> None:
-        """Let all callers begin."""
+        """Start all callers."""
         for centre in CENTRES:
             callers = [caller for caller in self._site.callers.all if caller.data_centre == centre]
             self._spawn(self._send_singles(callers))
@@ -42,7 +42,7 @@
                 self._spawn(self._run_feed(callers[index % len(callers)]))
 
     def stop(self) -> None:
-        """End all callers."""
+        """Stop all callers."""
         for task in self._tasks:
             task.cancel()
 
@@ -52,7 +52,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _run_feed(self, caller: Caller) -> None:
-        """Send request after request on one flow, on another one when it fails."""
+        """Send requests one after another on one flow, and on a new flow after a failure."""
         flow: Flow | None = None
         while True:
             await sleep(self._random.expovariate(1 / _FEED_PAUSE_S))
--- a/src/bronzekeel/soak/upstream_faults.py
+++ b/src/bronzekeel/soak/upstream_faults.py
@@ -1,4 +1,4 @@
-"""Strike upstreams and their entries."""
+"""Faults of upstreams and their entries."""
 
 from asyncio import sleep
 from time import monotonic
@@ -7,23 +7,23 @@
 from bronzekeel.soak.site import INTAKE, PORTAL
 
 
-#: Seconds after which the address of an upstream that is gone may be used again, and for which
-#: one that drains serves on.  Source: the users' `reuseAfterS` and `drainMs`.
+#: Seconds after which the address of a removed upstream may be reused, and for which a draining
+#: upstream keeps serving; the users' `reuseAfterS` and `drainMs`.
 _REUSE_DELAY_S = 2.0
 _DRAIN_S = 3.5
 
-#: Seconds in which an entry lapses after its upstream fell silent.
+#: Seconds after which the entry of an upstream that has stopped renewing it lapses.
 _LAPSE_DELAY_S = 2.4
 _SLOWDOWN = 10
 
 
 class UpstreamCrashed(Fault):
-    """An upstream crashes; its entry lapses, and another one comes."""
+    """An upstream crashes; its entry lapses, and another upstream replaces it."""
 
     kind = 'upstream_crash'
 
     async def begin(self) -> None:
-        """Crash it."""
+        """Crash the upstream, and remove its entry once that lapses."""
         self._upstream = self.pick_upstream()
         if self._upstream is not None:
             self._upstream.crash()
@@ -31,19 +31,19 @@
             await self.site.unlist_upstream(self._upstream)
 
     async def end(self) -> None:
-        """Bring another."""
+        """Start a replacement."""
         if self._upstream is not None:
             self._upstream.close()
             await self.site.add_upstream(PORTAL, self._upstream.data_centre)
 
 
 class AddressReused(UpstreamCrashed):
-    """The address of an upstream that crashed goes to one of another service."""
+    """The address of a crashed upstream is reused by an upstream of another service."""
 
     kind = 'address_reused'
 
     async def end(self) -> None:
-        """Use it again."""
+        """Start an upstream of the other service at the address, and a replacement."""
         if self._upstream is None:
             return
         address = self._upstream.address
@@ -54,13 +54,13 @@
 
 
 class UpstreamReplaced(Fault):
-    """An upstream drains and leaves, after another one came."""
+    """An upstream drains and leaves after its replacement has started."""
 
     kind = 'upstream_release'
     planned = True
 
     async def begin(self) -> None:
-        """Bring another, and announce the leaving."""
+        """Start a replacement and mark the entry as draining."""
         self._upstream = self.pick_upstream()
         if self._upstream is None:
             return
@@ -69,7 +69,7 @@
         self._upstream.drained_at = monotonic()
 
     async def end(self) -> None:
-        """Leave."""
+        """Remove the entry, and stop the upstream."""
         if self._upstream is None:
             return
         await sleep(_DRAIN_S)
@@ -78,18 +78,18 @@
 
 
 class EntryLapsed(Fault):
-    """The entry of an upstream that lives lapses and comes back."""
+    """The entry of a live upstream lapses and is written again."""
 
     kind = 'entry_lapse'
 
     async def begin(self) -> None:
-        """Remove it."""
+        """Remove the entry."""
         self._upstream = self.pick_upstream()
         if self._upstream is not None:
             await self.site.unlist_upstream(self._upstream)
 
     async def end(self) -> None:
-        """Write it again."""
+        """Write the entry again."""
         if self._upstream is not None and self._upstream.alive:
             is_draining = self._upstream.drained_at is not None
             await self.site.list_upstream(self._upstream, draining=is_draining)
@@ -101,33 +101,33 @@
     kind = 'upstream_slow'
 
     async def begin(self) -> None:
-        """Slow it down."""
+        """Slow the upstream down."""
         self._upstream = self.pick_upstream()
         if self._upstream is not None:
             self._upstream.disturbances.begin()
             self._upstream.slowdown = _SLOWDOWN
 
     async def end(self) -> None:
-        """Let it be quick again."""
+        """Restore its normal speed."""
         if self._upstream is not None:
             self._upstream.slowdown = 1
             self._upstream.disturbances.end()
 
 
 class UpstreamGrey(Fault):
-    """An upstream takes everything and answers nothing."""
+    """An upstream accepts flows and requests, but answers no request."""
 
     kind = 'upstream_grey'
 
     async def begin(self) -> None:
-        """Turn it grey."""
+        """Stop answering requests."""
         self._upstream = self.pick_upstream()
         if self._upstream is not None:
             self._upstream.disturbances.begin()
             self._upstream.grey = True
 
     async def end(self) -> None:
-        """Let it answer."""
+        """Answer requests again."""
         if self._upstream is not None:
             self._upstream.grey = False
             self._upstream.disturbances.end()
--- a/src/bronzekeel/soak/upstreams.py
+++ b/src/bronzekeel/soak/upstreams.py
@@ -1,4 +1,4 @@
-"""Stand in for upstreams: they take flows, work in slots, and check what reaches them."""
+"""Simulate upstreams: they accept flows, work in slots, and check the packets that they receive."""
 
 from asyncio import DatagramProtocol, DatagramTransport, get_running_loop
 from collections import Counter, deque
@@ -29,8 +29,8 @@
 _SEQUENCE_BITS = 31
 _WORK_S = (0.01, 0.05)
 
-#: Seconds after the store's word that an upstream leaves until which new flows may reach it, and
-#: what a machine that is busy may add.  Source: the users' `drainMs`.
+#: Seconds after an upstream is marked as draining until which new flows may reach it, the users'
+#: `drainMs`, and slack for a busy machine.
 _DRAIN_S = 3.0
 _SLACK_S = 1.0
 
@@ -40,17 +40,17 @@
 
 
 class Runs:
-    """Count what ran anywhere, by request and by attempt; `refused` are attempts that must not."""
+    """Count executions by request and attempt; `refused` holds attempts that must not run."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start without any executions."""
         self.by_number: Counter[int] = Counter()
         self.attempts: set[tuple[int, int]] = set()
         self.refused: set[tuple[int, int]] = set()
 
 
 class _FlowState:
-    """Hold an upstream's end of one flow."""
+    """State of one flow at the upstream's end."""
 
     __slots__ = ('answer', 'arrived', 'expected', 'sequence')
 
@@ -62,12 +62,12 @@
 
 
 class Upstream(DatagramProtocol):
-    """Own one upstream at an address.
+    """Simulate one upstream at an address.
 
-    `alive` is off after a crash, `grey` when it answers no request, `slowdown` times its work.
-    Each fault that lets it work slower without harming it puts its factor into `harmless_slowdowns`.
-    `drained_at` is when the store was told that it leaves; `evacuated_for` tells to which data
-    centres a host must send nothing new.
+    `alive` is cleared by a crash; while `grey` is set, it answers no request; `slowdown` multiplies
+    its work time. A fault that slows it down without disturbing its flows appends its factor to
+    `harmless_slowdowns`. `drained_at` is the time at which the store listed it as draining.
+    `evacuated_for` returns the data centres to which a host must send no new flows.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         checks: Checks,
         runs: Runs,
     ) -> None:
-        """Answer callers at `callers` directly."""
+        """Send answers directly to `callers`, without a balancer."""
         self.number = number
         self.service = service
         self.data_centre = data_centre
@@ -103,7 +103,7 @@
 
     @property
     def address(self) -> Address:
-        """Where it takes packets."""
+        """Address on which it receives packets."""
         if self._transport is None:
             raise RuntimeError('not open; call `open` first')
         host, port = self._transport.get_extra_info('sockname')[:2]
@@ -111,7 +111,7 @@
 
     @property
     def speed(self) -> float:
-        """Work that a slot does in a second, with one for an upstream that nothing slows."""
+        """Work of a slot per second, where 1 is the speed without harmless slowdowns."""
         return 1 / prod(self.harmless_slowdowns)
 
     async def open(self, address: Address = ('127.0.0.1', 0)) -> None:
@@ -119,20 +119,20 @@
         self._transport = await bind_datagrams(self, address)
 
     def close(self) -> None:
-        """Leave its address to others."""
+        """Release the address."""
         self.alive = False
         if self._transport is not None:
             self._transport.close()
 
     def crash(self) -> None:
-        """Forget all flows and answer nothing any more."""
+        """Discard all flows and stop answering."""
         self.alive = False
         self.disturbances.begin()
         self._state_by_flow.clear()
         self._queue.clear()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Take one packet, if it arrives and is meant for this upstream."""
+        """Handle a packet unless the link drops it or it is addressed to another upstream."""
         link = self.link_by_host.get(str(addr[0]))
         if not self.alive or (link is not None and not link.passes(self._random)):
             return
@@ -140,7 +140,9 @@
         if number != self.number:
             return
         segment = read_echo(raw)
-        description = f'upstream {self.number} of {self.service} got {segment.source}'
+        description = (
+            f'upstream {self.number} of {self.service} received a packet of {segment.source}'
+        )
         unchanged = segment.checksum == segment.reckoned_checksum
         self._checks.check(Promise.UNCHANGED, unchanged, description)
         if segment.flags & SYN:
@@ -155,17 +157,17 @@
             self._state_by_flow.pop((segment.source, segment.target))
 
     def _open_flow(self, segment: EchoSegment, description: str, host_ip: str) -> None:
-        allowed = segment.target in self.routes
-        self._checks.check(Promise.SERVICE, allowed, f'{description} for {segment.target}')
+        is_known = segment.target in self.routes
+        self._checks.check(Promise.SERVICE, is_known, f'{description} for {segment.target}')
         if self.drained_at is not None:
-            late = monotonic() > self.drained_at + _DRAIN_S + _SLACK_S
+            is_late = monotonic() > self.drained_at + _DRAIN_S + _SLACK_S
             self._checks.check(
-                Promise.DRAINED, not late or not self.disturbances.is_stable, description
+                Promise.DRAINED, not is_late or not self.disturbances.is_stable, description
             )
         evacuated = self.evacuated_for(host_ip)
         if evacuated:
-            kept_away = self.data_centre not in evacuated
-            self._checks.check(Promise.EVACUATED, kept_away, f'{description} through {host_ip}')
+            is_allowed = self.data_centre not in evacuated
+            self._checks.check(Promise.EVACUATED, is_allowed, f'{description} through {host_ip}')
         flow = (segment.source, segment.target)
         state = self._state_by_flow.setdefault(
             flow,
@@ -183,8 +185,8 @@
         request = read_request(state.arrived)
         if request is None or len(state.arrived) < request.size:
             return
-        whole = request.is_intact(state.arrived)
-        self._checks.check(Promise.UNCHANGED, whole, f'request {request.number} changed')
+        is_whole = request.is_intact(state.arrived)
+        self._checks.check(Promise.UNCHANGED, is_whole, f'request {request.number} changed')
         state.arrived = b''
         state.answer = None
         if self._busy < SLOTS:
@@ -203,8 +205,10 @@
             description = f'request {request.number} ran after it was refused'
             self._checks.check(Promise.NOT_RUN, False, description)  # noqa: FBT003 (it ran)
         if not request.idempotent:
-            once = self._runs.by_number[request.number] == 1
-            self._checks.check(Promise.AT_MOST_ONCE, once, f'request {request.number} ran again')
+            is_first = self._runs.by_number[request.number] == 1
+            self._checks.check(
+                Promise.AT_MOST_ONCE, is_first, f'request {request.number} ran again'
+            )
         work_s = self._random.uniform(*_WORK_S) * self.slowdown / self.speed
         get_running_loop().call_later(work_s, self._finish_work, segment, state, request)
 
--- a/tests/test_soak_promises.py
+++ b/tests/test_soak_promises.py
@@ -213,7 +213,7 @@
         """It is named, and so is what it asked for."""
         checks = _checked({'a': (60, 2), 'b': (60, 58), 'crowd': (600, 300)})
         self.assertEqual(1, len(checks.broken))
-        self.assertIn('a in dc-a asked 60 times, was served 2 times', checks.broken[0])
+        self.assertIn('a in dc-a sent 60 requests, 2 were served', checks.broken[0])
 
     def test_other_data_centres_do_not_count(self) -> None:
         """A data centre that is cut off serves none of its callers."""
