--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Test what the soak decides without processes: schedules, checks, and filled templates."""
+"""Test the parts of the soak that need no processes: schedules, checks, and settings templates."""
 
 from collections import Counter
 from json import loads as decode_json
@@ -17,23 +17,23 @@
 
 
 class ScheduleTest(TestCase):
-    """What is drawn from a seed."""
+    """Test schedules drawn from a seed."""
 
-    def test_a_seed_gives_one_schedule(self) -> None:
-        """A seed that failed can be played again."""
+    def test_same_seed_gives_same_schedule(self) -> None:
+        """The same seed gives the same schedule, so that a failed run can be repeated."""
         again = [planned.kind for planned in draw_schedule(5, _SECONDS)]
         self.assertEqual([planned.kind for planned in draw_schedule(5, _SECONDS)], again)
         self.assertNotEqual([planned.kind for planned in draw_schedule(6, _SECONDS)], again)
 
-    def test_each_kind_comes_before_one_comes_twice(self) -> None:
-        """Counts of kinds differ by one at most."""
+    def test_each_kind_occurs_before_any_repeats(self) -> None:
+        """Each kind occurs once before any kind repeats, so that counts differ by one at most."""
         for seed in range(20):
             counts = Counter(planned.kind for planned in draw_schedule(seed, _SECONDS))
             least = min(counts[fault.kind] for fault in FAULTS)
             self.assertLessEqual(max(counts.values()), least + 1)
 
-    def test_the_end_is_quiet(self) -> None:
-        """Callers must be served again after the last fault."""
+    def test_no_fault_in_quiet_period(self) -> None:
+        """No fault lasts into the quiet period, in which callers must be served again."""
         for seed in range(20):
             for planned in draw_schedule(seed, _SECONDS):
                 self.assertGreaterEqual(planned.at_s, FIRST_FAULT_S)
@@ -41,10 +41,10 @@
 
 
 class ChecksTest(TestCase):
-    """What was checked, and what broke."""
+    """Test the counts of checks and the recorded violations."""
 
-    def test_a_broken_promise_is_told(self) -> None:
-        """One break is enough, and what had no chance to break is named."""
+    def test_violation_is_recorded(self) -> None:
+        """One violation fails the run, and promises that were never checked are named."""
         checks = Checks()
         checks.check(Promise.SERVICE, holds=True, description='a')
         self.assertTrue(checks.ok)
@@ -56,10 +56,10 @@
 
 
 class TemplateTest(TestCase):
-    """The settings that the platform makes of our template."""
+    """Test the settings that the platform generates from the template."""
 
-    def test_the_settings_template_is_filled(self) -> None:
-        """Addresses and the list of seeds come out as JSON that the balancer reads."""
+    def test_settings_template_is_filled(self) -> None:
+        """Addresses and the list of seeds are filled in as JSON that the balancer can parse."""
         place = HostPlace('dc-a-1', 'dc-a', ('1.2.3.4', 5), ('1.2.3.4', 6), ('1.2.3.4', 7))
         fields = host_fields(place, ('9.9.9.9', 80), [('1.1.1.1', 1), ('2.2.2.2', 2)], 6)
         settings = decode_json(filled(_SETTINGS.read_text(encoding='utf-8'), fields))
@@ -71,8 +71,8 @@
         self.assertEqual(1000, settings['link_mbps'])
         self.assertNotIn('cold_overage', settings)
 
-    def test_a_value_that_is_not_there_leaves_its_section_out(self) -> None:
-        """A platform without bounds on cold upstreams and links is one that states none."""
+    def test_missing_value_omits_its_section(self) -> None:
+        """Settings for which the platform states no bounds or limits are omitted."""
         place = HostPlace('dc-a-1', 'dc-a', ('1.2.3.4', 5), ('1.2.3.4', 6), ('1.2.3.4', 7))
         fields = host_fields(place, ('9.9.9.9', 80), [], 6)
         fields.pop('limits')
--- a/tests/test_soak_promises.py
+++ b/tests/test_soak_promises.py
@@ -1,7 +1,7 @@
-"""Test that promises of the soak turn red on balancers that break them, and only on these.
+"""Test that the soak detects balancers that break a promise, and reports no others.
 
-The balancers are stand-ins on loopback between the soak's own callers and upstreams; nothing is
-judged by time.
+The balancers are stand-ins on loopback between the soak's own callers and upstreams; no check
+depends on time.
 """
 
 from asyncio import DatagramProtocol, DatagramTransport, gather
@@ -22,12 +22,12 @@
 
 _HOST = '127.9.0.1'
 _NUMBER_BYTES = 8
-_TRIES = 20
+_REQUESTS = 20
 _CENTRE = 'dc-a'
 
 
 class _Balancer(DatagramProtocol):
-    """Send all flows to one upstream; what it `refuses` or `resets` is for a test to say."""
+    """Send all flows to one upstream; tests set which packets it `refuses` or `resets`."""
 
     def __init__(self) -> None:
         self.upstream: Upstream | None = None
@@ -37,17 +37,17 @@
         self._transport: DatagramTransport | None = None
 
     async def open(self) -> None:
-        """Bind any port."""
+        """Bind a free port."""
         self._transport = await bind_datagrams(self, self.packets)
         self.packets = self._transport.get_extra_info('sockname')[:2]
 
     def close(self) -> None:
-        """Free the socket."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Pass a packet on or refuse it; reset flows after their packet was passed on."""
+        """Refuse or forward a packet; a flow to reset is reset after its packet was forwarded."""
         segment = read_echo(data)
         opens = bool(segment.flags & SYN)
         if opens and self.refuses(segment):
@@ -61,15 +61,15 @@
             self._reset(segment)
 
     def choose(self, flow: bytes, data_centre: str) -> '_Balancer':
-        """Return itself: it is the only host."""
+        """Return this balancer, the only host."""
         return self
 
     def passes(self, host: '_Balancer') -> bool:
-        """Let all packets arrive."""
+        """Deliver all packets."""
         return True
 
     def is_undisturbed(self, packets: Address) -> bool:
-        """Tell that nothing has struck it."""
+        """Report that nothing has disturbed this balancer."""
         return True
 
     def _reset(self, segment: EchoSegment) -> None:
@@ -84,12 +84,12 @@
 
 
 class MutatedBalancerTest(IsolatedAsyncioTestCase):
-    """What callers and upstreams see of balancers that break a promise."""
+    """Test what callers and upstreams detect of balancers that break a promise."""
 
     async def asyncSetUp(self) -> None:
-        """Open one upstream and some callers around a balancer."""
-        for name, brief in (('disturbances.STABLE_S', 0), ('upstreams._WORK_S', (0, 0.002))):
-            patched = patch(f'bronzekeel.soak.{name}', brief)
+        """Start one upstream and two callers around a balancer."""
+        for name, test_value in (('disturbances.STABLE_S', 0), ('upstreams._WORK_S', (0, 0.002))):
+            patched = patch(f'bronzekeel.soak.{name}', test_value)
             patched.start()
             self.addCleanup(patched.stop)
         self.checks = Checks()
@@ -108,13 +108,13 @@
         await self.callers.open(port)
         self.addCleanup(self.callers.close)
         self.first = await self.callers.add(_CENTRE)
-        self.crowd = await self.callers.add(_CENTRE)
+        self.surging = await self.callers.add(_CENTRE)
 
-    async def test_a_sound_balancer_keeps_all(self) -> None:
-        """Symptom: the soak is red on a balancer that does nothing wrong.
+    async def test_correct_balancer_breaks_no_promise(self) -> None:
+        """A correct balancer breaks no promise while an upstream is slow and a caller surges.
 
-        Sequence: an upstream works slower, and a caller asks for five times its share.
-        Cause: a check that goes by what callers must bear.
+        The surging caller sends five times the requests of the other. A check that does not allow
+        for what callers must tolerate would fail here.
         """
         self.upstream.harmless_slowdowns.append(3)
         await self._count_shares()
@@ -122,62 +122,63 @@
         self.assertGreater(self.checks.count_by_promise[Promise.SLOW_KEPT], 0)
         self.assertGreater(self.checks.count_by_promise[Promise.SHARED], 0)
 
-    async def test_resetting_flows_of_a_slow_upstream_is_seen(self) -> None:
-        """Symptom: the soak is green though callers lose their flows.
+    async def test_reset_of_slow_upstreams_flow_is_detected(self) -> None:
+        """Resets of the flows of a slow upstream are detected.
 
-        Sequence: an upstream works slower; the balancer resets its flows.
-        Cause: taking every slow upstream for one that may lose flows.
+        An upstream works slower, and the balancer resets its flows. The check must not assume that
+        every slow upstream may lose flows.
         """
         self.upstream.harmless_slowdowns.append(3)
         self.balancer.resets = lambda segment: self.upstream.speed < 1
         await self._send_requests(self.first, 1)
         self.assertIn(Promise.SLOW_KEPT, self._broken())
 
-    async def test_running_what_was_refused_is_seen(self) -> None:
-        """Symptom: work is done twice, and the soak is green.
+    async def test_refused_request_that_ran_is_detected(self) -> None:
+        """A refused request that ran is detected.
 
-        Sequence: the balancer passes a request on and refuses it; the caller asks again.
-        Cause: looking only at refused openings, behind which no request was sent.
+        The balancer forwards a request and also refuses it, so the caller retries and the work is
+        done twice. Checking only refused openings, behind which no request was sent, would miss
+        this.
         """
         self.balancer.resets = lambda segment: True
         await self._send_requests(self.first, 1)
         self.assertIn(Promise.NOT_RUN, self._broken())
 
-    async def test_shutting_a_caller_out_is_seen(self) -> None:
-        """Symptom: the soak is green though one caller takes all.
+    async def test_starved_caller_is_detected(self) -> None:
+        """Starving a caller is detected.
 
-        Sequence: one caller asks for five times its share; the balancer refuses the other.
-        Cause: counting requests of all callers together.
+        One caller sends five times the requests of the other, and the balancer refuses the other.
+        Counting the requests of all callers together would miss this.
         """
-        self.balancer.refuses = lambda segment: segment.source[0] != self.crowd.address
+        self.balancer.refuses = lambda segment: segment.source[0] != self.surging.address
         await self._count_shares()
         self.assertIn(Promise.SHARED, self._broken())
 
-    async def test_an_answer_after_the_crowd_counts_for_nothing(self) -> None:
-        """Symptom: the soak is green though one caller takes all while it asks.
+    async def test_answer_after_surge_is_not_counted(self) -> None:
+        """Answers that arrive after the surge are not counted.
 
-        Sequence: others are kept waiting until the crowd is over; then they are served.
-        Cause: counting what is served afterwards.
+        Other callers are kept waiting until the surge ends, and are served then. Counting these
+        answers would hide that one caller was served alone.
         """
         share_counts = ShareCounts({FEEDS})
         self.callers.share_counts = share_counts
-        asking = gather(*(self._send_requests(self.first, 1) for _ in range(_TRIES)))
-        await self._send_requests(self.crowd, 1)
+        asking = gather(*(self._send_requests(self.first, 1) for _ in range(_REQUESTS)))
+        await self._send_requests(self.surging, 1)
         self.callers.share_counts = None
         await asking
         served = share_counts.served(_CENTRE, self.first.address)
-        self.assertLess(served, _TRIES)
+        self.assertLess(served, _REQUESTS)
 
-    async def test_who_refuses_the_crowd_is_sound(self) -> None:
-        """The one that asks for too much may be refused while others are served."""
+    async def test_surging_caller_may_be_refused(self) -> None:
+        """A balancer may refuse the surging caller while it serves the others."""
         self.balancer.refuses = self._is_of_surge
         await self._count_shares()
         self.assertEqual([], self.checks.broken)
         self.assertGreater(self.checks.count_by_promise[Promise.NOT_RUN], 0)
 
     def _is_of_surge(self, segment: EchoSegment) -> bool:
-        """Whether a packet opens a flow of the crowd, but for every fourth one."""
-        return segment.source[0] == self.crowd.address and bool(segment.source[1] % 4)
+        """Whether a packet belongs to a flow of the surging caller, except on every fourth port."""
+        return segment.source[0] == self.surging.address and bool(segment.source[1] % 4)
 
     def _broken(self) -> set[Promise]:
         names = {description.split(':')[0] for description in self.checks.broken}
@@ -187,7 +188,8 @@
         share_counts = ShareCounts({FEEDS})
         self.callers.share_counts = share_counts
         await gather(
-            self._send_requests(self.first, _TRIES), self._send_requests(self.crowd, 5 * _TRIES)
+            self._send_requests(self.first, _REQUESTS),
+            self._send_requests(self.surging, 5 * _REQUESTS),
         )
         share_counts.check(self.checks)
 
@@ -199,24 +201,24 @@
 
 
 class SharesTest(TestCase):
-    """What counts as shut out."""
+    """Test which callers count as starved."""
 
-    def test_all_that_are_served_little_are_treated_alike(self) -> None:
-        """Symptom: the soak is red on a busy machine.
+    def test_equally_underserved_callers_are_not_starved(self) -> None:
+        """No caller counts as starved if all are served equally little.
 
-        Sequence: every caller gets a tenth of what it asks for.
-        Cause: going by what a caller asked for alone.
+        On a busy machine every caller is served a tenth of its requests. Comparing this with the
+        caller's own demand alone would fail the soak.
         """
         self.assertTrue(_checked({'a': (200, 20), 'b': (200, 24), 'c': (200, 16)}).ok)
 
-    def test_one_that_is_shut_out_is_told(self) -> None:
-        """It is named, and so is what it asked for."""
-        checks = _checked({'a': (60, 2), 'b': (60, 58), 'crowd': (600, 300)})
+    def test_violation_names_starved_caller(self) -> None:
+        """The violation names the starved caller and its demand."""
+        checks = _checked({'a': (60, 2), 'b': (60, 58), 'surging': (600, 300)})
         self.assertEqual(1, len(checks.broken))
         self.assertIn('a in dc-a sent 60 requests, 2 were served', checks.broken[0])
 
-    def test_other_data_centres_do_not_count(self) -> None:
-        """A data centre that is cut off serves none of its callers."""
+    def test_data_centres_are_not_compared(self) -> None:
+        """Callers of different data centres are not compared, as one may be cut off."""
         share_counts = ShareCounts({FEEDS})
         for number in range(40):
             share_counts.count_request(f'dc-{number % 2}', 'a')
@@ -226,20 +228,20 @@
         share_counts.check(checks)
         self.assertTrue(checks.ok)
 
-    def test_few_requests_are_chance(self) -> None:
-        """Nothing is judged by a handful."""
+    def test_few_requests_are_not_checked(self) -> None:
+        """Callers with few requests due are not checked: these may go unserved by chance."""
         checks = _checked({'a': (5, 0), 'b': (5, 5)})
         self.assertEqual(0, checks.count_by_promise[Promise.SHARED])
 
-    def test_nothing_is_judged_while_callers_move(self) -> None:
-        """They use hosts of two data centres in turn."""
+    def test_discarded_counts_are_not_checked(self) -> None:
+        """Counts are not checked if callers used hosts of two data centres in turn."""
         self.assertTrue(_checked({'a': (60, 2), 'b': (600, 300)}, discarded=True).ok)
 
 
-def _checked(figures: dict[str, tuple[int, int]], *, discarded: bool = False) -> Checks:
+def _checked(requests_by_address: dict[str, tuple[int, int]], *, discarded: bool = False) -> Checks:
     share_counts = ShareCounts({FEEDS})
-    for address, (asked, served) in figures.items():
-        for _ in range(asked):
+    for address, (requested, served) in requests_by_address.items():
+        for _ in range(requested):
             share_counts.count_request(_CENTRE, address)
         for _ in range(served):
             share_counts.count_served(_CENTRE, address)
