--- a/src/bronzekeel/soak/hosts.py
+++ b/src/bronzekeel/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Run balancers as the deploy file does: a process each, with a settings file of its own."""
+"""Run balancers as the deploy file does: one process each, with its own settings file."""
 
 from asyncio import create_subprocess_exec, create_task, sleep
 from asyncio.subprocess import Process
@@ -14,7 +14,7 @@
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.platform.host_description import HostDescription, template_fields
 from bronzekeel.platform.start import SETTINGS_VARIABLE
-from bronzekeel.soak.contact import Contact
+from bronzekeel.soak.disturbances import Disturbances
 from bronzekeel.soak.links import Address, DatagramProxy, StreamProxy, loopback
 from bronzekeel.standins.template import filled
 
@@ -23,13 +23,13 @@
 START_SCRIPT = _ROOT / 'deploy' / 'start.py'
 _TEMPLATE = _ROOT / 'deploy' / 'settings.json'
 
-#: Seconds that a stop may take, and after which a process that ended is started again.
-STOP_S = 6
-RESTART_S = 0.3
+#: Seconds that a stop may take, and delay in seconds before an exited process is restarted.
+MAX_STOP_S = 6
+RESTART_DELAY_S = 0.3
 
 
 class Ports:
-    """Hold the ports that are the same on all hosts."""
+    """Ports that are the same on all hosts."""
 
     __slots__ = ('packets', 'peers', 'readiness')
 
@@ -41,10 +41,11 @@
 
 
 class Host:
-    """Own one balancer's process, its settings, and the proxies before it.
+    """Own one balancer's process, its settings, and the proxies in front of it.
 
-    `expected` tells that it was told to end; `starts` counts its processes.  `contact` notes all
-    that disturbs it, `unplanned` what no operator asked for.
+    `exit_expected` is set when the process was asked to exit; `starts` counts its processes.
+    `disturbances` records everything that disturbs it, `unplanned_disturbances` only what no
+    operator requested.
     """
 
     def __init__(
@@ -55,20 +56,20 @@
         ports: Ports,
         folder: Path,
     ) -> None:
-        """Place the host at loopback addresses of its own."""
+        """Assign the host its own loopback addresses."""
         self.name = name
         self.data_centre = data_centre
-        ip = loopback('127.9', number)
+        address = loopback('127.9', number)
         proxy_ip = loopback('127.8', number)
-        self.packets: Address = (ip, ports.packets)
-        self.peers: Address = (ip, ports.peers)
-        self.readiness: Address = (ip, ports.readiness)
+        self.packets: Address = (address, ports.packets)
+        self.peers: Address = (address, ports.peers)
+        self.readiness: Address = (address, ports.readiness)
         self.advertised: Address = (proxy_ip, ports.peers)
-        self.contact = Contact()
-        self.unplanned = Contact()
+        self.disturbances = Disturbances()
+        self.unplanned_disturbances = Disturbances()
         self.starts = 0
-        self.expected = False
-        self.left = False
+        self.exit_expected = False
+        self.is_closed = False
         self.failures: list[str] = []
         random = Random(name)
         self.heartbeats = DatagramProxy(self.peers, random)
@@ -80,33 +81,35 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process is running."""
         return self._process is not None and self._process.returncode is None
 
     async def open(self, store_port: int) -> None:
-        """Bind the proxies before the host."""
+        """Bind the proxies in front of the host."""
         await self.heartbeats.open(self.advertised)
         await self.views.open(self.advertised)
         self.store.target = ('127.0.0.1', store_port)
         await self.store.open(('127.0.0.1', 0))
 
-    def write_settings(self, seeds: list[Address], stop_within_s: int = STOP_S) -> None:
-        """Write the settings that the template gives, in one piece."""
-        place = HostDescription(
+    def write_settings(self, seeds: list[Address], stop_within_s: int = MAX_STOP_S) -> None:
+        """Write the settings from the template, replacing the file atomically."""
+        host_place = HostDescription(
             self.name, self.data_centre, self.packets, self.readiness, self.peers
         )
         store = ('127.0.0.1', self.store.port)
         template = _TEMPLATE.read_text(encoding='utf-8')
-        fields = decode_json(filled(template, template_fields(place, store, seeds, stop_within_s)))
+        fields = decode_json(
+            filled(template, template_fields(host_place, store, seeds, stop_within_s))
+        )
         fields['peers_advertised'] = f'{self.advertised[0]}:{self.advertised[1]}'
-        fresh = self._path.with_suffix('.new')
-        fresh.write_text(encode_json(fields), encoding='utf-8')
-        fresh.rename(self._path)
+        temporary = self._path.with_suffix('.new')
+        temporary.write_text(encode_json(fields), encoding='utf-8')
+        temporary.rename(self._path)
 
     async def start(self, script: Path) -> None:
-        """Start its process; it is started again whenever it ends."""
+        """Start the process; it is restarted whenever it exits, until `end` is called."""
         self.starts += 1
-        self.contact.touch()
+        self.disturbances.note()
         sources = pathsep.join((str(_ROOT / 'src'), *module_path))
         with self.log_path.open('ab') as log:
             self._process = await create_subprocess_exec(
@@ -117,43 +120,43 @@
                 stdout=log,
                 stderr=log,
             )
-        create_task(self._watch(self._process, script))  # noqa: RUF006 (ends with the process)
+        create_task(self._supervise(self._process, script))  # noqa: RUF006 (ends with the process)
 
     def signal(self, number: int) -> None:
-        """Send a signal to its process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self.running:
             self._process.send_signal(number)
 
     def kill(self) -> None:
-        """End its process at once."""
-        self.expected = True
-        self.unplanned.touch()
+        """Kill the process."""
+        self.exit_expected = True
+        self.unplanned_disturbances.note()
         self.signal(SIGKILL)
 
     def stop(self) -> None:
-        """End its process in the planned way."""
-        self.expected = True
+        """Stop the process gracefully."""
+        self.exit_expected = True
         self.signal(SIGTERM)
 
     def pause(self) -> None:
-        """Let its process stand still."""
-        self.contact.begin()
-        self.unplanned.begin()
+        """Pause the process."""
+        self.disturbances.begin()
+        self.unplanned_disturbances.begin()
         self.signal(SIGSTOP)
 
-    def go_on(self) -> None:
-        """Let its process go on."""
+    def resume(self) -> None:
+        """Resume the process."""
         self.signal(SIGCONT)
-        self.contact.end()
-        self.unplanned.end()
+        self.disturbances.end()
+        self.unplanned_disturbances.end()
 
     def reload(self) -> None:
-        """Tell its process that the settings have changed."""
+        """Signal the process to reload its settings."""
         self.signal(SIGHUP)
 
     async def end(self) -> None:
-        """End its process for good, and free the proxies."""
-        self.left = True
+        """Kill the process without a restart, and close the proxies."""
+        self.is_closed = True
         self.signal(SIGCONT)
         self.kill()
         if self._process is not None:
@@ -162,19 +165,19 @@
         self.views.close()
         self.store.close()
 
-    def faults_logged(self) -> list[str]:
-        """Return lines that no balancer should write."""
+    def logged_faults(self) -> list[str]:
+        """Return log lines that report an internal fault or are not JSON."""
         lines = self.log_path.read_text(encoding='utf-8', errors='replace').splitlines()
         fault = f'"event": {int(LogNumber.INTERNAL_FAULT)},'
         return [line for line in lines if line and (not line.startswith('{') or fault in line)]
 
-    async def _watch(self, process: Process, script: Path) -> None:
+    async def _supervise(self, process: Process, script: Path) -> None:
         code = await process.wait()
-        if not self.expected:
-            self.failures.append(f'{self.name} ended by itself with code {code}')
-        self.expected = False
-        if self.left:
+        if not self.exit_expected:
+            self.failures.append(f'{self.name} exited unexpectedly with code {code}')
+        self.exit_expected = False
+        if self.is_closed:
             return
-        await sleep(RESTART_S)
-        if not self.left:
+        await sleep(RESTART_DELAY_S)
+        if not self.is_closed:
             await self.start(script)
--- a/src/bronzekeel/soak/links.py
+++ b/src/bronzekeel/soak/links.py
@@ -1,4 +1,4 @@
-"""Stand between processes: pass datagrams and streams on, late, in part, or not at all."""
+"""Proxy datagrams and streams between processes, with delay, loss or a complete block."""
 
 from asyncio import (
     Server,
@@ -22,79 +22,79 @@
 Address = tuple[str, int]
 
 _CHUNK = 65536
-_ADDRESSES_A_NET = 250
+_ADDRESSES_PER_OCTET = 250
 
 
 def loopback(net: str, number: int) -> str:
-    """Return the `number`th address that begins with the two octets of `net`."""
-    third, fourth = divmod(number, _ADDRESSES_A_NET)
+    """Return the address number `number` of those that begin with the two octets of `net`."""
+    third, fourth = divmod(number, _ADDRESSES_PER_OCTET)
     return '.'.join((net, str(third), str(fourth + 1)))
 
 
 @dataclass(slots=True)
 class Link:
-    """Say what happens to what passes one way: `silent` drops all of it."""
+    """Impairments of one direction of a link; `silent` drops everything."""
 
     silent: bool = False
     lost_share: float = 0
     delay_s: float = 0
 
     def passes(self, random: Random) -> bool:
-        """Whether a datagram arrives."""
+        """Whether a datagram gets through."""
         return not self.silent and random.random() >= self.lost_share
 
 
-async def bound_datagrams(protocol: DatagramProtocol, address: Address) -> DatagramTransport:
-    """Bind a socket for datagrams that `protocol` takes."""
+async def bind_datagrams(protocol: DatagramProtocol, address: Address) -> DatagramTransport:
+    """Bind a datagram socket that is served by `protocol`."""
     bound = await get_running_loop().create_datagram_endpoint(lambda: protocol, local_addr=address)
     return bound[0]
 
 
 class DatagramProxy(DatagramProtocol):
-    """Pass datagrams on to one target; links are found by where they come from."""
+    """Forward datagrams to one target; the source address selects the link."""
 
     def __init__(self, target: Address, random: Random) -> None:
-        """Pass on to `target`."""
+        """Forward to `target`."""
         self.target = target
         self.link_by_source: dict[Address, Link] = {}
-        self.inward = Link()
+        self.inbound = Link()
         self._random = random
         self._transport: DatagramTransport | None = None
 
     async def open(self, address: Address) -> None:
         """Bind `address`."""
-        self._transport = await bound_datagrams(self, address)
+        self._transport = await bind_datagrams(self, address)
 
     def close(self) -> None:
-        """Free the socket."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Pass one datagram on, or not."""
-        outward = self.link_by_source.get(addr[:2], _CLEAR)
-        if not self.inward.passes(self._random) or not outward.passes(self._random):
+        """Forward a datagram, or drop it."""
+        outbound = self.link_by_source.get(addr[:2], _UNIMPAIRED)
+        if not self.inbound.passes(self._random) or not outbound.passes(self._random):
             return
-        delay_s = self.inward.delay_s + outward.delay_s
+        delay_s = self.inbound.delay_s + outbound.delay_s
         if delay_s:
-            get_running_loop().call_later(delay_s, self._pass, data)
+            get_running_loop().call_later(delay_s, self._forward, data)
             return
-        self._pass(data)
+        self._forward(data)
 
-    def _pass(self, raw: bytes) -> None:
+    def _forward(self, raw: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(raw, self.target)
 
 
 class StreamProxy:
-    """Pass connections on to one target.
+    """Forward connections to one target.
 
-    While `refusing` new ones are reset and open ones end; while `link` is silent open ones
-    stay open and carry nothing.
+    While `refusing` is set, new connections are reset; `reset` ends those that are open. While
+    `link` is silent, open connections stay open and carry no data.
     """
 
     def __init__(self, target: Address) -> None:
-        """Pass on to `target`."""
+        """Forward to `target`."""
         self.target = target
         self.link = Link()
         self.refusing = False
@@ -107,20 +107,20 @@
 
     @property
     def port(self) -> int:
-        """Port that it is bound to."""
+        """Port that the proxy is bound to."""
         if self._server is None:
             raise RuntimeError('not open; call `open` first')
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     def close(self) -> None:
-        """End all connections and free the port."""
+        """Abort all connections and close the socket."""
         self.reset()
         if self._server is not None:
             self._server.close()
 
     def reset(self) -> None:
-        """End all open connections at once."""
+        """Abort all open connections."""
         for writer in self._writers:
             writer.transport.abort()
 
@@ -129,21 +129,21 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await open_connection(*self.target)
+            target_reader, target_writer = await open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        both = {writer, far_writer}
-        self._writers |= both
-        passing = (self._pass(reader, far_writer), self._pass(far_reader, writer))
+        ends = {writer, target_writer}
+        self._writers |= ends
+        directions = (self._forward(reader, target_writer), self._forward(target_reader, writer))
         with suppress(OSError):
-            await gather(*(create_task(one_way) for one_way in passing))
-        self._writers -= both
-        for end in both:
+            await gather(*(create_task(direction) for direction in directions))
+        self._writers -= ends
+        for end in ends:
             end.transport.abort()
 
-    async def _pass(self, reader: StreamReader, writer: StreamWriter) -> None:
-        """Carry one direction until it ends; what passes while the link is silent is lost."""
+    async def _forward(self, reader: StreamReader, writer: StreamWriter) -> None:
+        """Copy one direction until it ends; data read while the link is silent is dropped."""
         while chunk := await reader.read(_CHUNK):
             if self.link.delay_s:
                 await sleep(self.link.delay_s)
@@ -154,4 +154,4 @@
         writer.transport.abort()
 
 
-_CLEAR = Link()
+_UNIMPAIRED = Link()
--- a/src/bronzekeel/soak/load_faults.py
+++ b/src/bronzekeel/soak/load_faults.py
@@ -1,4 +1,4 @@
-"""Change what operators want and what callers ask for."""
+"""Change the operators' configuration and the callers' demand."""
 
 from asyncio import sleep
 
@@ -6,10 +6,10 @@
 from bronzekeel.soak.site import CENTRES
 
 
-_STORM = 5
-_STORM_GAP_S = 0.1
-_MANY_ROUTES = 300
-_BURST = 4
+_STORM_TEXTS = 5
+_STORM_INTERVAL_S = 0.1
+_ADDED_ROUTES = 300
+_BURST_FACTOR = 4
 
 
 class TextChanged(Fault):
@@ -19,23 +19,23 @@
     planned = True
 
     async def begin(self) -> None:
-        """Change it once."""
+        """Change the text once."""
         await self.site.texts.change()
-        self.site.allow_routes()
+        self.site.update_allowed_routes()
 
 
 class TextStorm(Fault):
-    """Texts come in quick succession."""
+    """Several texts follow in quick succession."""
 
     kind = 'text_storm'
     planned = True
 
     async def begin(self) -> None:
-        """Change it five times in half a second."""
-        for _ in range(_STORM):
+        """Change the text five times in half a second."""
+        for _ in range(_STORM_TEXTS):
             await self.site.texts.change()
-            self.site.allow_routes()
-            await sleep(_STORM_GAP_S)
+            self.site.update_allowed_routes()
+            await sleep(_STORM_INTERVAL_S)
 
 
 class TextGrown(Fault):
@@ -45,9 +45,9 @@
     planned = True
 
     async def begin(self) -> None:
-        """Add three hundred."""
-        await self.site.texts.change(_MANY_ROUTES)
-        self.site.allow_routes()
+        """Add 300 routes."""
+        await self.site.texts.change(_ADDED_ROUTES)
+        self.site.update_allowed_routes()
 
 
 class CentreEvacuated(Fault):
@@ -57,29 +57,29 @@
     planned = True
 
     async def begin(self) -> None:
-        """Evacuate one, if none is."""
+        """Evacuate a random data centre if none is evacuated."""
         self._centre = ''
         if not self.site.evacuated_at_by_centre:
             self._centre = self.site.random.choice(CENTRES)
             await self.site.evacuate(self._centre)
 
     async def end(self) -> None:
-        """Take it back."""
+        """End the evacuation."""
         if self._centre:
-            await self.site.take_back(self._centre)
+            await self.site.end_evacuation(self._centre)
 
 
 class Burst(Fault):
-    """Callers ask for four times as much."""
+    """Demand rises to four times the normal rate."""
 
     kind = 'burst'
 
     async def begin(self) -> None:
-        """Begin."""
-        self.site.load_contact.begin()
-        self.site.ask_for(_BURST)
+        """Raise the demand."""
+        self.site.load_disturbances.begin()
+        self.site.set_demand(_BURST_FACTOR)
 
     async def end(self) -> None:
-        """End."""
-        self.site.ask_for(1)
-        self.site.load_contact.end()
+        """Restore the normal demand."""
+        self.site.set_demand(1)
+        self.site.load_disturbances.end()
