--- a/src/bronzekeel/commands/balancer.py
+++ b/src/bronzekeel/commands/balancer.py
@@ -16,7 +16,7 @@
 )
 from bronzekeel.balancer.web import StatusServer
 from bronzekeel.commands.base import Command, ExitCode
-from bronzekeel.commands.output import complain
+from bronzekeel.commands.output import print_error
 from bronzekeel.platform.start import serve_on_platform
 
 
@@ -38,12 +38,12 @@
                 return ExitCode(serve_on_platform(str(options.settings)))
             settings = read_settings(options.settings)
         except SettingsError as fault:
-            complain(fault)
+            print_error(fault)
             return ExitCode.REFUSED
         try:
             run(_serve(settings))
         except OSError as fault:
-            complain(f'{fault}; free the port or change `ports`')
+            print_error(f'{fault}; free the port or change `ports`')
             return ExitCode.REFUSED
         return ExitCode.DONE
 
--- a/src/bronzekeel/commands/bench.py
+++ b/src/bronzekeel/commands/bench.py
@@ -17,7 +17,7 @@
 from bronzekeel.bench.start import StartBenchmark
 from bronzekeel.bench.views import ViewBenchmark
 from bronzekeel.commands.base import Command, ExitCode
-from bronzekeel.commands.output import say
+from bronzekeel.commands.output import print_line
 
 BENCHMARKS: tuple[type[Benchmark], ...] = (
     FlowBenchmark,
@@ -56,5 +56,5 @@
         """Run one; refuse when it says that a promise was broken."""
         figures = self._by_name[options.benchmark].run(options)
         line = encode(figures)
-        say(line.decode() if options.json else pretty(line).decode())
+        print_line(line.decode() if options.json else pretty(line).decode())
         return ExitCode.DONE if getattr(figures, 'ok', False) else ExitCode.REFUSED
--- a/src/bronzekeel/commands/demo.py
+++ b/src/bronzekeel/commands/demo.py
@@ -8,9 +8,9 @@
 from msgspec.structs import asdict
 
 from bronzekeel.commands.base import Command, ExitCode
-from bronzekeel.commands.output import say
-from bronzekeel.demo.connection_ids import play_connection_ids
-from bronzekeel.demo.scenario import play
+from bronzekeel.commands.output import print_line
+from bronzekeel.demo.connection_ids import run_connection_id_demo
+from bronzekeel.demo.scenario import run_demo
 
 
 class DemoCommand(Command):
@@ -26,20 +26,20 @@
 
     def run(self, options: Namespace) -> ExitCode:
         """Play, then print a table and one line of JSON."""
-        by_id = run(play_connection_ids(_progress, options.seed))
-        outcome = run(play(_progress, options.seed))
-        _show(by_id)
-        _show(outcome)
+        by_id = run(run_connection_id_demo(_print_progress, options.seed))
+        outcome = run(run_demo(_print_progress, options.seed))
+        _print_outcome(by_id)
+        _print_outcome(outcome)
         return ExitCode.DONE if outcome.ok and by_id.ok else ExitCode.REFUSED
 
 
-def _show(outcome: Struct) -> None:
+def _print_outcome(outcome: Struct) -> None:
     """Print what was counted, as a table and as one line of JSON."""
-    say()
+    print_line()
     for name, counted in asdict(outcome).items():
-        say(f'{name:26} {counted}')
-    say(encode(outcome).decode())
+        print_line(f'{name:26} {counted}')
+    print_line(encode(outcome).decode())
 
 
-def _progress(words: str) -> None:
-    say(words)
+def _print_progress(message: str) -> None:
+    print_line(message)
--- a/src/bronzekeel/commands/explain.py
+++ b/src/bronzekeel/commands/explain.py
@@ -6,16 +6,15 @@
 from msgspec.json import encode
 
 from bronzekeel.commands.base import Command, ExitCode
-from bronzekeel.commands.output import complain, say
+from bronzekeel.commands.output import print_error, print_line
+from bronzekeel.explain.diagnosis import Diagnosis, explain
 from bronzekeel.explain.lines import LogLine, read_lines
-from bronzekeel.explain.story import Story, explain
 
-
-_LEFT_OUT = frozenset(('time', 'steady', 'event', 'name', 'host', 'left_out'))
+_HIDDEN_FIELDS = frozenset(('time', 'steady', 'event', 'name', 'host', 'left_out'))
 
 
 class ExplainCommand(Command):
-    """Show a flow's story and its cause."""
+    """Show a flow's diagnosis and its cause."""
 
     name = 'explain'
     summary = 'tell from logs of many hosts what became of one flow'
@@ -28,33 +27,33 @@
         parser.add_argument('--json', action='store_true', help='one line of JSON')
 
     def run(self, options: Namespace) -> ExitCode:
-        """Read all files and print the story; refuse when no line tells of the flow."""
+        """Read all files and print the diagnosis; refuse when no line tells of the flow."""
         raw_lines: list[str] = []
         for path in options.files:
             try:
                 content = path.read_text(encoding='utf-8', errors='replace')
             except OSError as fault:
-                complain(f'{path}: {fault.strerror}; name readable log files')
+                print_error(f'{path}: {fault.strerror}; name readable log files')
                 return ExitCode.USAGE
             raw_lines.extend(content.splitlines())
-        story = explain(options.flow, read_lines(raw_lines))
-        say(_as_json(story) if options.json else _as_text(story))
-        return ExitCode.DONE if story.lines else ExitCode.REFUSED
+        diagnosis = explain(options.flow, read_lines(raw_lines))
+        print_line(_as_json(diagnosis) if options.json else _as_text(diagnosis))
+        return ExitCode.DONE if diagnosis.lines else ExitCode.REFUSED
 
 
-def _as_json(story: Story) -> str:
-    lines = [line.fields for line in story.lines]
-    return encode({'flow': story.flow, 'cause': story.cause, 'lines': lines}).decode()
+def _as_json(diagnosis: Diagnosis) -> str:
+    lines = [line.fields for line in diagnosis.lines]
+    return encode({'flow': diagnosis.flow, 'cause': diagnosis.cause, 'lines': lines}).decode()
 
 
-def _as_text(story: Story) -> str:
-    begun_at = story.lines[0].at if story.lines else 0
-    rows = [_row(line, begun_at) for line in story.lines]
-    return '\n'.join((*rows, f'cause: {story.cause}'))
+def _as_text(diagnosis: Diagnosis) -> str:
+    started_at = diagnosis.lines[0].at if diagnosis.lines else 0
+    rows = [_row(line, started_at) for line in diagnosis.lines]
+    return '\n'.join((*rows, f'cause: {diagnosis.cause}'))
 
 
-def _row(line: LogLine, begun_at: float) -> str:
+def _row(line: LogLine, started_at: float) -> str:
     fields = ' '.join(
-        f'{name}={found}' for name, found in line.fields.items() if name not in _LEFT_OUT
+        f'{name}={found}' for name, found in line.fields.items() if name not in _HIDDEN_FIELDS
     )
-    return f'{line.at - begun_at:+8.3f} s  {line.host}  {line.event.name.lower()}  {fields}'
+    return f'{line.at - started_at:+8.3f} s  {line.host}  {line.event.name.lower()}  {fields}'
--- a/src/bronzekeel/commands/inspect.py
+++ b/src/bronzekeel/commands/inspect.py
@@ -4,28 +4,28 @@
 from asyncio import run
 
 from aiohttp import ClientError, ClientSession, ClientTimeout
-from msgspec.json import decode, format as pretty
+from msgspec.json import decode
+from msgspec.json import format as pretty
 
 from bronzekeel.commands.base import Command, ExitCode
-from bronzekeel.commands.output import complain, say
+from bronzekeel.commands.output import print_error, print_line
 
-
-_CALL_S = 5.0
+_TIMEOUT_S = 5.0
 
 
 async def _get(url: str) -> bytes:
-    async with ClientSession(timeout=ClientTimeout(total=_CALL_S)) as session:
+    async with ClientSession(timeout=ClientTimeout(total=_TIMEOUT_S)) as session:
         async with session.get(url) as reply:
             reply.raise_for_status()
             return await reply.read()
 
 
-def _fetch(base: str, path: str) -> bytes | None:
+def _fetch(base_url: str, path: str) -> bytes | None:
     """Return a page of a balancer, or say why there is none."""
     try:
-        return run(_get(base.rstrip('/') + path))
+        return run(_get(base_url.rstrip('/') + path))
     except (ClientError, TimeoutError) as fault:
-        complain(f'{base}: {fault!r}; name the address and metrics port')
+        print_error(f'{base_url}: {fault!r}; name the address and metrics port')
         return None
 
 
@@ -44,18 +44,18 @@
     def run(self, options: Namespace) -> ExitCode:
         """Print a line for each balancer; refuse if one is not ready."""
         code = ExitCode.DONE
-        for base in options.balancers:
-            content = _fetch(base, '/status')
+        for base_url in options.balancers:
+            content = _fetch(base_url, '/status')
             if content is None:
                 code = ExitCode.UNKNOWN
                 continue
             if options.json:
-                say(pretty(content).decode())
+                print_line(pretty(content).decode())
                 continue
             status = decode(content)
-            word = 'ready' if status['ready'] else 'not ready'
-            say(
-                f'{status["name"]:20} {word:10} text {status["generation"]}'
+            readiness = 'ready' if status['ready'] else 'not ready'
+            print_line(
+                f'{status["name"]:20} {readiness:10} text {status["generation"]}'
                 f'  keeps {status["shards_kept"]} shards'
                 f'  unsettled {status["buckets_unsettled"]}',
             )
@@ -80,5 +80,5 @@
         content = _fetch(options.balancer, '/events')
         if content is None:
             return ExitCode.UNKNOWN
-        say(content.decode().rstrip())
+        print_line(content.decode().rstrip())
         return ExitCode.DONE
--- a/src/bronzekeel/commands/main.py
+++ b/src/bronzekeel/commands/main.py
@@ -16,7 +16,6 @@
 from bronzekeel.commands.texts import CheckCommand, DiffCommand, SubmitCommand
 from bronzekeel.version import VERSION
 
-
 _COMMANDS: tuple[type[Command], ...] = (
     BalancerCommand,
     CheckCommand,
--- a/src/bronzekeel/commands/output.py
+++ b/src/bronzekeel/commands/output.py
@@ -3,12 +3,12 @@
 from sys import stderr, stdout
 
 
-def say(words: object = '') -> None:
+def print_line(message: object = '') -> None:
     """Write a line of result."""
-    stdout.write(f'{words}\n')
+    stdout.write(f'{message}\n')
     stdout.flush()
 
 
-def complain(words: object) -> None:
+def print_error(message: object) -> None:
     """Write a line about what went wrong."""
-    stderr.write(f'{words}\n')
+    stderr.write(f'{message}\n')
--- a/src/bronzekeel/commands/replay.py
+++ b/src/bronzekeel/commands/replay.py
@@ -7,7 +7,7 @@
 from msgspec.json import encode
 
 from bronzekeel.commands.base import Command, ExitCode
-from bronzekeel.commands.output import complain, say
+from bronzekeel.commands.output import print_error, print_line
 from bronzekeel.replay.player import Player, failed_outcomes
 from bronzekeel.replay.recorded import is_recorded, replay_recorded
 from bronzekeel.replay.trace import Bounds, TraceError, read_outcomes, read_trace
@@ -42,12 +42,12 @@
                 stated = read_outcomes(options.outcomes)
             observed = _observe(options)
         except TraceError as fault:
-            complain(fault)
+            print_error(fault)
             return ExitCode.REFUSED
         failed = failed_outcomes(observed, stated)
         for name in failed:
-            complain(f'{name}: stated {stated[name]}, observed {observed.get(name)}')
-        say(encode(_Outcome(observed, failed, not failed)).decode())
+            print_error(f'{name}: stated {stated[name]}, observed {observed.get(name)}')
+        print_line(encode(_Outcome(observed, failed, not failed)).decode())
         return ExitCode.REFUSED if failed else ExitCode.DONE
 
 
--- a/src/bronzekeel/commands/report.py
+++ b/src/bronzekeel/commands/report.py
@@ -6,11 +6,10 @@
 from msgspec.json import encode
 
 from bronzekeel.commands.base import Command, ExitCode
-from bronzekeel.commands.output import complain, say
-from bronzekeel.report.burn import Burn, Objective, burns
+from bronzekeel.commands.output import print_error, print_line
+from bronzekeel.report.burn import Burn, Objective, compute_burns
+from bronzekeel.report.chart import draw_burn_chart
 from bronzekeel.report.outcomes import OutcomesError, read_outcome_lines
-from bronzekeel.report.picture import draw
-
 
 _HEADING = f'{"service":24} {"group":12} requests    bad     fast     slow budget left'
 
@@ -34,7 +33,7 @@
     def run(self, options: Namespace) -> ExitCode:
         """Print a table, draw a picture where asked."""
         if not 0 < options.target < 1:
-            complain('--target: name a share between 0 and 1, such as 0.999')
+            print_error('--target: name a share between 0 and 1, such as 0.999')
             return ExitCode.USAGE
         objective = Objective(
             options.target,
@@ -44,27 +43,27 @@
         try:
             lines = list(read_outcome_lines(options.outcomes))
         except OutcomesError as fault:
-            complain(fault)
+            print_error(fault)
             return ExitCode.REFUSED
         if not lines:
-            complain('no outcome is recorded; set `outcomes` in the settings')
+            print_error('no outcome is recorded; set `outcomes` in the settings')
             return ExitCode.REFUSED
-        listed = burns(lines, objective)
+        burns = compute_burns(lines, objective)
         if options.json:
-            say(encode(listed).decode())
+            print_line(encode(burns).decode())
         else:
-            _say_table(listed)
+            _print_table(burns)
         if options.png is not None:
-            draw(lines, objective, options.png)
+            draw_burn_chart(lines, objective, options.png)
         return ExitCode.DONE
 
 
-def _say_table(listed: list[Burn]) -> None:
-    say(_HEADING)
-    for burn in listed:
-        say(
+def _print_table(burns: list[Burn]) -> None:
+    print_line(_HEADING)
+    for burn in burns:
+        print_line(
             f'{burn.service:24} {burn.group or "all":12} {burn.requests:8} {burn.bad:6}'
             f' {burn.fast:8.2f} {burn.slow:8.2f} {burn.budget_left:10.1%}',
         )
         for kind, count in sorted(burn.bad_by_kind.items()):
-            say(f'{"":37} {kind}: {count}')
+            print_line(f'{"":37} {kind}: {count}')
--- a/src/bronzekeel/commands/soak.py
+++ b/src/bronzekeel/commands/soak.py
@@ -11,13 +11,12 @@
 from rich.progress import Progress
 
 from bronzekeel.commands.base import Command, ExitCode
-from bronzekeel.commands.output import complain, say
+from bronzekeel.commands.output import print_error, print_line
 from bronzekeel.soak.runner import Soak, SoakReport, keep_failure
 
-
-_SECONDS = 60.0
-_HOSTS = 6
-_LEAST_SECONDS = 20.0
+_DEFAULT_SECONDS = 60.0
+_DEFAULT_HOSTS = 6
+_MIN_SECONDS = 20.0
 
 
 class SoakCommand(Command):
@@ -30,15 +29,15 @@
     def add_options(self, parser: ArgumentParser) -> None:
         """Offer the seed, how long and how many, and where failures are kept."""
         parser.add_argument('--seed', type=int, default=1)
-        parser.add_argument('--seconds', type=float, default=_SECONDS)
-        parser.add_argument('--hosts', type=int, default=_HOSTS)
+        parser.add_argument('--seconds', type=float, default=_DEFAULT_SECONDS)
+        parser.add_argument('--hosts', type=int, default=_DEFAULT_HOSTS)
         parser.add_argument('--json', action='store_true', help='one line of JSON')
         parser.add_argument('--folder', type=Path, default=Path('out/soak'), metavar='FOLDER')
 
     def run(self, options: Namespace) -> ExitCode:
         """Soak; keep logs and schedule of a run that breaks a promise."""
-        if options.seconds < _LEAST_SECONDS:
-            complain(f'--seconds {options.seconds}: faults need {_LEAST_SECONDS:g} at least')
+        if options.seconds < _MIN_SECONDS:
+            print_error(f'--seconds {options.seconds}: faults need {_MIN_SECONDS:g} at least')
             return ExitCode.USAGE
         options.folder.mkdir(parents=True, exist_ok=True)
         folder = Path(mkdtemp(prefix=f'seed-{options.seed}-', dir=options.folder))
@@ -46,11 +45,11 @@
         with Progress(console=Console(stderr=True)) as progress:
             task = progress.add_task(f'seed {options.seed}', total=options.seconds)
             report = run(soak.run(lambda done_s: progress.update(task, completed=done_s)))
-        say(encode(report).decode() if options.json else _as_text(report))
+        print_line(encode(report).decode() if options.json else _as_text(report))
         if report.ok:
             rmtree(folder)
             return ExitCode.DONE
-        complain(f'kept in {folder}; again: {keep_failure(report, folder)}')
+        print_error(f'kept in {folder}; again: {keep_failure(report, folder)}')
         return ExitCode.REFUSED
 
 
--- a/src/bronzekeel/commands/texts.py
+++ b/src/bronzekeel/commands/texts.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 from uuid import uuid4
 
-from bronzekeel.platform.client import PlatformClient
 from bronzekeel.commands.base import Command, ExitCode
-from bronzekeel.commands.output import complain, say
+from bronzekeel.commands.output import print_error, print_line
+from bronzekeel.platform.client import PlatformClient
 from bronzekeel.text.checks import check_change, parse_text
 from bronzekeel.text.differences import differences
 from bronzekeel.text.faults import TextError
@@ -25,19 +25,19 @@
 )
 
 
-def _read(path: Path) -> Document | None:
+def _read_text(path: Path) -> Document | None:
     """Return a checked text, or print all its faults and return None."""
     try:
         return parse_text(path.read_bytes())
     except OSError as fault:
-        complain(f'{path}: {fault.strerror}; name a readable file')
+        print_error(f'{path}: {fault.strerror}; name a readable file')
     except TextError as fault:
         for line in fault.faults:
-            complain(f'{path}: {line}')
+            print_error(f'{path}: {line}')
     return None
 
 
-def _add_platform(parser: ArgumentParser) -> None:
+def _add_platform_option(parser: ArgumentParser) -> None:
     parser.add_argument('--platform', required=True, metavar='URL')
 
 
@@ -61,20 +61,20 @@
         parser.add_argument('--after', type=Path, metavar='TEXT', help='the text in force')
 
     def run(self, options: Namespace) -> ExitCode:
-        """Check, and check the change where a former text is given."""
-        document = _read(options.text)
+        """Check, and check the change where a previous text is given."""
+        document = _read_text(options.text)
         if document is None:
             return ExitCode.REFUSED
         if options.after is not None:
-            former = _read(options.after)
-            if former is None:
+            previous = _read_text(options.after)
+            if previous is None:
                 return ExitCode.REFUSED
             try:
-                check_change(former, document)
+                check_change(previous, document)
             except TextError as fault:
-                complain(fault)
+                print_error(fault)
                 return ExitCode.REFUSED
-        say(f'{options.text}: {len(document.services)} services, no fault')
+        print_line(f'{options.text}: {len(document.services)} services, no fault')
         return ExitCode.DONE
 
 
@@ -94,26 +94,26 @@
 
     def run(self, options: Namespace) -> ExitCode:
         """Print one line a difference."""
-        latter = _read(options.text)
-        if latter is None:
+        proposed = _read_text(options.text)
+        if proposed is None:
             return ExitCode.REFUSED
-        former: Document | None
+        previous: Document | None
         if options.after is None:
             try:
-                former = run(_in_force(options.platform))
+                previous = run(_load_text_in_force(options.platform))
             except (StoreLost, StoreRefused) as fault:
-                complain(fault)
+                print_error(fault)
                 return ExitCode.UNKNOWN
         else:
-            former = _read(options.after)
-        if former is None:
+            previous = _read_text(options.after)
+        if previous is None:
             return ExitCode.REFUSED
-        for line in differences(former, latter):
-            say(line)
+        for line in differences(previous, proposed):
+            print_line(line)
         return ExitCode.DONE
 
 
-async def _in_force(url: str) -> Document:
+async def _load_text_in_force(url: str) -> Document:
     async with PlatformClient(url) as client:
         _, head = await read_head(client)
         if head is None:
@@ -139,7 +139,7 @@
             metavar='GENERATION',
             help='refuse if another generation is in force',
         )
-        _add_platform(parser)
+        _add_platform_option(parser)
 
     def run(self, options: Namespace) -> ExitCode:
         """Submit or settle, and say what came of it."""
@@ -147,25 +147,25 @@
         try:
             outcome = run(_submit(options, submission))
         except TextError as fault:
-            complain(fault)
+            print_error(fault)
             return ExitCode.REFUSED
         except (StoreRefused, StoreLost) as fault:
-            complain(f'not submitted: {fault}; submit again')
+            print_error(f'not submitted: {fault}; submit again')
             return ExitCode.REFUSED
         except OSError as fault:
-            complain(f'{fault}; name a readable file')
+            print_error(f'{fault}; name a readable file')
             return ExitCode.REFUSED
         if isinstance(outcome, Accepted):
-            say(f'accepted as generation {outcome.generation} (submission {submission})')
+            print_line(f'accepted as generation {outcome.generation} (submission {submission})')
             return ExitCode.DONE
         if isinstance(outcome, Conflict):
-            say(f'conflict: generation {outcome.generation} is in force and differs:')
+            print_line(f'conflict: generation {outcome.generation} is in force and differs:')
             for line in outcome.differences:
-                say(f'  {line}')
-            say(outcome.remedy)
+                print_line(f'  {line}')
+            print_line(outcome.remedy)
             return ExitCode.REFUSED
         remedy = _NOT_FOUND if options.settle else outcome.remedy
-        complain(f'outcome unknown; {remedy}')
+        print_error(f'outcome unknown; {remedy}')
         return ExitCode.UNKNOWN
 
 
--- a/src/bronzekeel/demo/connection_ids.py
+++ b/src/bronzekeel/demo/connection_ids.py
@@ -28,9 +28,9 @@
 _SLOTS = 100
 _FLOWS = 300
 _UPSTREAMS = 4
-_STEP_S = 0.05
+_INTERVAL_S = 0.05
 _ROUNDS = 6
-_PATIENCE_S = 10.0
+_TIMEOUT_S = 10.0
 
 
 class ConnectionIdOutcome(Struct, frozen=True):
@@ -45,7 +45,7 @@
     ok: bool
 
 
-class _Running:
+class _BalancerThread:
     """Hold one balancer and the thread that it runs in."""
 
     def __init__(self, balancer: EntryBalancer) -> None:
@@ -68,7 +68,7 @@
         self.callers = EchoCallers(_SERVICE, Random(seed))
         self.caller_port = 0
         self.upstreams: list[EchoUpstream] = []
-        self.running: dict[str, _Running] = {}
+        self.running: dict[str, _BalancerThread] = {}
         self._sink = open_file(devnull, O_WRONLY)
 
     async def open(self) -> None:
@@ -110,10 +110,10 @@
         packet_format = PlatformPackets(self.caller_port)
         balancer = EntryBalancer(settings, packet_format, PlatformStore(), self._sink)
         balancer.start()
-        self.running[name] = _Running(balancer)
-        give_up_at = monotonic() + _PATIENCE_S
-        while not balancer.state.ready and monotonic() < give_up_at:
-            await sleep(_STEP_S)
+        self.running[name] = _BalancerThread(balancer)
+        deadline = monotonic() + _TIMEOUT_S
+        while not balancer.state.ready and monotonic() < deadline:
+            await sleep(_INTERVAL_S)
         self.callers.balancers[name] = (_LOOPBACK, balancer.packets.port)
         return balancer.state.ready
 
@@ -130,12 +130,12 @@
         self.callers.balancers.pop(name)
         await self.running.pop(name).end()
 
-    async def step_all(self, rounds: int) -> None:
+    async def send_on_all_flows(self, rounds: int) -> None:
         """Send packets of all flows."""
         for _ in range(rounds):
             for flow in self.callers.flow_by_port.values():
                 self.callers.step(flow)
-            await sleep(_STEP_S)
+            await sleep(_INTERVAL_S)
 
     async def close(self) -> None:
         """End everything that still runs."""
@@ -147,41 +147,45 @@
         await self.store.close()
 
 
-async def play_connection_ids(say: Callable[[str], None], seed: int) -> ConnectionIdOutcome:
+async def run_connection_id_demo(
+    print_line: Callable[[str], None], seed: int
+) -> ConnectionIdOutcome:
     """Play all changes and count what came of them."""
     site = _Site(seed)
     await site.open()
-    await site.step_all(_ROUNDS)
-    say('connection ids: three balancers, every packet sprayed, flows open')
-    await _change_upstreams(site)
-    say('connection ids: one upstream drains, one joins')
-    await _change_balancers(site)
-    say('connection ids: one balancer stopped, another started')
-    learnt = await _lose_store(site)
-    say('connection ids: the store away and back, one balancer killed, one learnt from peers')
+    await site.send_on_all_flows(_ROUNDS)
+    print_line('connection ids: three balancers, every packet sprayed, flows open')
+    await _replace_upstream(site)
+    print_line('connection ids: one upstream drains, one joins')
+    await _replace_balancer(site)
+    print_line('connection ids: one balancer stopped, another started')
+    learnt = await _simulate_store_outage(site)
+    print_line(
+        'connection ids: the store away and back, one balancer killed, one learnt from peers'
+    )
     outcome = await _count(site, learnt_from_peers=learnt)
     await site.close()
     return outcome
 
 
-async def _change_upstreams(site: _Site) -> None:
+async def _replace_upstream(site: _Site) -> None:
     await site.list_upstream(site.upstreams[0], draining=True)
     await site.add_upstream()
-    await site.step_all(_ROUNDS)
+    await site.send_on_all_flows(_ROUNDS)
 
 
-async def _change_balancers(site: _Site) -> None:
+async def _replace_balancer(site: _Site) -> None:
     await site.stop('a1')
     await site.start('a4')
-    await site.step_all(_ROUNDS)
+    await site.send_on_all_flows(_ROUNDS)
 
 
-async def _lose_store(site: _Site) -> bool:
+async def _simulate_store_outage(site: _Site) -> bool:
     """Take the store away; return whether a balancer that started then was ready."""
     await site.store.switch(down=True)
     await site.kill('a2')
     learnt = await site.start('a5')
-    await site.step_all(_ROUNDS)
+    await site.send_on_all_flows(_ROUNDS)
     site.store.put_text(2, {_SERVICE: _NAME})
     await site.store.switch(down=False)
     return learnt
@@ -191,10 +195,10 @@
     """Let every flow be answered once more, and count."""
     flows = list(site.callers.flow_by_port.values())
     before = {flow.port: flow.answered for flow in flows}
-    give_up_at = monotonic() + _PATIENCE_S
+    deadline = monotonic() + _TIMEOUT_S
     waiting = flows
-    while waiting and monotonic() < give_up_at:
-        await site.step_all(1)
+    while waiting and monotonic() < deadline:
+        await site.send_on_all_flows(1)
         waiting = [flow for flow in flows if flow.answered <= before[flow.port]]
     broken = sum(flow.reset for flow in flows)
     misdelivered = sum(upstream.misdelivered for upstream in site.upstreams)
--- a/src/bronzekeel/demo/scenario.py
+++ b/src/bronzekeel/demo/scenario.py
@@ -11,56 +11,56 @@
 
 
 _FLOWS = 1500
-_FLOW_STEP_S = 1.0
-_REQUEST_EVERY_S = 0.02
-_HOSTS_PER_CENTRE = 3
-_READY_S = 15.0
-_IN_FORCE_S = 9.0
-_LEAVING_S = 5.0
+_FLOW_INTERVAL_S = 1.0
+_REQUEST_INTERVAL_S = 0.02
+_BALANCERS_PER_CENTRE = 3
+_READY_TIMEOUT_S = 15.0
+_IN_FORCE_TIMEOUT_S = 9.0
+_DRAIN_WAIT_S = 5.0
 
 
 class _Scenario:
     """Hold the demo's progress."""
 
-    def __init__(self, site: Site, say: Callable[[str], None]) -> None:
+    def __init__(self, site: Site, print_line: Callable[[str], None]) -> None:
         self.site = site
         self.started_at = monotonic()
         self.in_force_s: list[float] = []
         self.broken_planned = 0
         self.late = 0
         self.refused = False
-        self._say = say
+        self._print_line = print_line
         self._tasks: list[Task[None]] = []
         self._requests: set[Task[object]] = set()
 
-    def say(self, words: str) -> None:
+    def log_progress(self, message: str) -> None:
         """Write a line of progress."""
-        passed_s = monotonic() - self.started_at
+        elapsed_s = monotonic() - self.started_at
         broken = sum(flow.reset for flow in self.site.fabric.flow_by_key.values())
         answered = self.site.caller.outcomes['answered']
-        self._say(f'{passed_s:5.1f} s  broken {broken}  answered {answered:4d}  {words}')
+        self._print_line(f'{elapsed_s:5.1f} s  broken {broken}  answered {answered:4d}  {message}')
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """Let everything happen, one after the other."""
-        await self.begin()
+        await self.set_up()
         await sleep(2)
-        await self.change_upstreams()
-        await self.stop_one()
-        await self.kill_one()
-        await self.lose_platform()
+        await self.replace_upstream()
+        await self.stop_balancer_gracefully()
+        await self.kill_balancer()
+        await self.simulate_platform_outage()
         await sleep(1)
 
-    async def begin(self) -> None:
+    async def set_up(self) -> None:
         """Start nine balancers, put the first text in force, open flows."""
         await self.site.open()
-        for index in range(_HOSTS_PER_CENTRE):
+        for index in range(_BALANCERS_PER_CENTRE):
             for centre in CENTRES:
                 await self.site.start_balancer(f'{centre}-{index + 1}', centre)
         await self.submit()
-        give_up_at = monotonic() + _READY_S
-        while monotonic() < give_up_at and not self._all_ready():
+        deadline = monotonic() + _READY_TIMEOUT_S
+        while monotonic() < deadline and not self._all_ready():
             await sleep(0.1)
-        self.say('nine balancers ready' if self._all_ready() else 'not all ready')
+        self.log_progress('nine balancers ready' if self._all_ready() else 'not all ready')
         self._tasks.append(create_task(self._run_flows()))
         self._tasks.append(create_task(self._run_requests()))
 
@@ -69,68 +69,70 @@
         begun_at = monotonic()
         outcome = await self.site.submit()
         if not isinstance(outcome, Accepted):
-            self.say(f'submission not accepted: {outcome}')
+            self.log_progress(f'submission not accepted: {outcome}')
             return
         generation = outcome.generation
-        give_up_at = begun_at + _IN_FORCE_S
+        deadline = begun_at + _IN_FORCE_TIMEOUT_S
         running = list(self.site.balancers.values())
-        while monotonic() < give_up_at:
+        while monotonic() < deadline:
             if all(generation in balancer.in_force_at for balancer in running):
                 break
             await sleep(0.02)
-        newest = max(balancer.in_force_at.get(generation, give_up_at) for balancer in running)
+        newest = max(balancer.in_force_at.get(generation, deadline) for balancer in running)
         self.in_force_s.append(newest - begun_at)
-        self.say(f'text {generation} in force everywhere after {newest - begun_at:.2f} s')
+        self.log_progress(f'text {generation} in force everywhere after {newest - begun_at:.2f} s')
 
-    async def change_upstreams(self) -> None:
+    async def replace_upstream(self) -> None:
         """Drain one upstream and let another join, in one text."""
         leaving = next(iter(self.site.flow_upstreams[PORTAL]))
         self.site.draining.add(leaving)
         self.site.joined.add(await self.site.add_upstream(PORTAL))
-        self.say(f'upstream {leaving} drains, one joins')
+        self.log_progress(f'upstream {leaving} drains, one joins')
         await self.submit()
-        await sleep(_LEAVING_S)
+        await sleep(_DRAIN_WAIT_S)
         opened = self.site.flow_upstreams[PORTAL][leaving].opened
-        self._open_more()
+        self._open_new_flows()
         await sleep(2)
         self.late = self.site.flow_upstreams[PORTAL][leaving].opened - opened
-        self.say(f'{self.late} new flows on the leaving upstream after {_LEAVING_S:.0f} s')
+        self.log_progress(
+            f'{self.late} new flows on the leaving upstream after {_DRAIN_WAIT_S:.0f} s'
+        )
 
-    async def stop_one(self) -> None:
+    async def stop_balancer_gracefully(self) -> None:
         """Stop a balancer in the planned way."""
         name = f'{CENTRES[0]}-1'
-        self.say(f'balancer {name} is stopped in a planned way')
+        self.log_progress(f'balancer {name} is stopped in a planned way')
         balancer = self.site.balancers[name]
         stopping = create_task(balancer.stop())
         await sleep(0.3)
-        self.site.unlist(name)
+        self.site.remove_balancer(name)
         await stopping
         self.site.balancers.pop(name)
         await sleep(2)
         self.broken_planned = sum(flow.reset for flow in self.site.fabric.flow_by_key.values())
 
-    async def kill_one(self) -> None:
+    async def kill_balancer(self) -> None:
         """End a balancer without warning; the fabric notices late."""
         name = f'{CENTRES[1]}-1'
-        self.say(f'balancer {name} dies')
+        self.log_progress(f'balancer {name} dies')
         balancer = self.site.balancers.pop(name)
         await balancer.close()
         await sleep(3)
-        self.site.unlist(name)
+        self.site.remove_balancer(name)
         await sleep(3)
 
-    async def lose_platform(self) -> None:
+    async def simulate_platform_outage(self) -> None:
         """Take the platform away for a while, and bring it back."""
-        self.say('the platform goes away')
+        self.log_progress('the platform goes away')
         await self.site.platform.switch(down=True)
         try:
             await self.site.submit()
         except (StoreLost, StoreRefused) as fault:
             self.refused = True
-            self.say(f'submission refused: {fault}')
+            self.log_progress(f'submission refused: {fault}')
         await sleep(4)
         await self.site.platform.switch(down=False)
-        self.say('the platform is back')
+        self.log_progress('the platform is back')
         self.site.joined.add(await self.site.add_upstream(INTAKE))
         await self.submit()
 
@@ -165,7 +167,7 @@
             for start in range(0, len(flows), batch):
                 for flow in flows[start : start + batch]:
                     fabric.step(flow)
-                await sleep(_FLOW_STEP_S * batch / len(flows))
+                await sleep(_FLOW_INTERVAL_S * batch / len(flows))
 
     async def _run_requests(self) -> None:
         number = 0
@@ -183,20 +185,20 @@
             )
             self._requests.add(task)
             task.add_done_callback(self._requests.discard)
-            await sleep(_REQUEST_EVERY_S)
+            await sleep(_REQUEST_INTERVAL_S)
 
-    def _open_more(self) -> None:
+    def _open_new_flows(self) -> None:
         """Open short flows, to see where new ones go."""
         fabric = self.site.fabric
         for number in range(_FLOWS, _FLOWS + 200):
             fabric.step(fabric.add_flow(('198.51.100.10', 443), number))
 
 
-async def play(say: Callable[[str], None], seed: int = 1) -> Outcome:
+async def run_demo(print_line: Callable[[str], None], seed: int = 1) -> Outcome:
     """Play the whole demo; return what was counted."""
-    scenario = _Scenario(Site(Random(seed)), say)
+    scenario = _Scenario(Site(Random(seed)), print_line)
     try:
-        await scenario.play()
+        await scenario.run()
     except CancelledError:
-        scenario.say('stopped')
+        scenario.log_progress('stopped')
     return await scenario.end()
--- a/src/bronzekeel/demo/site.py
+++ b/src/bronzekeel/demo/site.py
@@ -49,7 +49,7 @@
     draining: set[str] = field(default_factory=set)
     joined: set[str] = field(default_factory=set)
     fabric: FabricStandIn = field(init=False)
-    answer_to: tuple[str, int] = ('', 0)
+    reply_address: tuple[str, int] = ('', 0)
     submissions: int = 0
 
     def __post_init__(self) -> None:
@@ -59,7 +59,7 @@
     async def open(self) -> None:
         """Start everything but the balancers."""
         await self.platform.open()
-        self.answer_to = await self.fabric.open()
+        self.reply_address = await self.fabric.open()
         for service, size in _SIZE_BY_SERVICE.items():
             for _ in range(size):
                 await self.add_upstream(service)
@@ -68,7 +68,7 @@
         """Start one more upstream of a service; return its endpoint."""
         address = _ADDRESS_BY_FLOW_SERVICE.get(service)
         if address is not None:
-            flow = FlowUpstream(address, self.answer_to)
+            flow = FlowUpstream(address, self.reply_address)
             endpoint = await flow.open()
             while endpoint in self._endpoints():
                 flow.close()
@@ -103,7 +103,7 @@
         """Write the platform's list of hosts."""
         self.platform.put(HOSTS_KEY, encode(tuple(self.hosts.values())))
 
-    def unlist(self, name: str) -> None:
+    def remove_balancer(self, name: str) -> None:
         """Take a balancer from the list, the fabric and the callers."""
         self.hosts.pop(name, None)
         self.list_hosts()
@@ -120,7 +120,7 @@
                 kind='flow' if flow else 'request',
                 address=address[0],
                 port=address[1] or 8000 + len(services),
-                upstreams=self._placed(name),
+                upstreams=self._upstreams_by_centre(name),
                 idempotent=name == CHECKS,
                 idle_s=_IDLE_S,
                 buckets=256,
@@ -163,14 +163,14 @@
             endpoints.update(*kind.values())
         return endpoints
 
-    def _placed(self, service: str) -> dict[str, tuple[UpstreamText, ...]]:
+    def _upstreams_by_centre(self, service: str) -> dict[str, tuple[UpstreamText, ...]]:
         endpoints = self.flow_upstreams.get(service) or self.request_upstreams[service]
-        placed: dict[str, list[UpstreamText]] = {}
+        by_centre: dict[str, list[UpstreamText]] = {}
         for index, endpoint in enumerate(endpoints):
             centre = CENTRES[index % len(CENTRES)]
             state = 'draining' if endpoint in self.draining else 'active'
             member = _MEMBERS[index % len(_MEMBERS)]
-            placed.setdefault(centre, []).append(
+            by_centre.setdefault(centre, []).append(
                 UpstreamText(endpoint, state=state, member=member),  # type: ignore[arg-type]
             )
-        return {centre: tuple(listed) for centre, listed in placed.items()}
+        return {centre: tuple(listed) for centre, listed in by_centre.items()}
--- a/src/bronzekeel/explain/lines.py
+++ b/src/bronzekeel/explain/lines.py
@@ -8,9 +8,8 @@
 
 from bronzekeel.core.log_numbers import LogNumber
 
-
 #: What a line raises that is no event of ours; files hold others beside them.
-_NO_EVENT = (KeyError, TypeError, ValueError)
+_NOT_AN_EVENT = (KeyError, TypeError, ValueError)
 
 
 class LogLine:
@@ -43,14 +42,14 @@
     lines = []
     for raw in raw_lines:
         _, brace, rest = raw.partition('{')
-        with suppress(*_NO_EVENT):
+        with suppress(*_NOT_AN_EVENT):
             lines.append(LogLine(decode_json(f'{brace}{rest}')))
-    _even_out(lines)
+    _align_clocks(lines)
     lines.sort(key=lambda line: (line.at, line.host, line.steady))
     return lines
 
 
-def _even_out(lines: list[LogLine]) -> None:
+def _align_clocks(lines: list[LogLine]) -> None:
     """Give each run of a process one offset between its two clocks.
 
     Its median is what a jump of the time of day moves least.
--- a/src/bronzekeel/report/burn.py
+++ b/src/bronzekeel/report/burn.py
@@ -26,7 +26,7 @@
     slow_s: float = 6 * HOUR_S
 
     @property
-    def allowed(self) -> float:
+    def error_budget(self) -> float:
         """Share of requests that may be bad."""
         return 1 - self.target
 
@@ -44,7 +44,7 @@
     bad_by_kind: dict[str, int]
 
 
-def burns(lines: Iterable[OutcomeLine], objective: Objective) -> list[Burn]:
+def compute_burns(lines: Iterable[OutcomeLine], objective: Objective) -> list[Burn]:
     """Return the burn per service and per caller group, '' for all groups."""
     lines_by_key: dict[tuple[str, str], list[OutcomeLine]] = {}
     newest = float(0)
@@ -64,11 +64,11 @@
 ) -> Burn:
     recent = [line for line in lines if line.at > newest - objective.period_s]
     bad = [line for line in recent if line.outcome != 'answered']
-    kinds: dict[str, int] = {}
+    count_by_kind: dict[str, int] = {}
     for line in bad:
-        word = f'{line.outcome}.{line.kind}'
-        kinds[word] = kinds.get(word, 0) + 1
-    allowed = objective.allowed * max(1, len(recent))
+        key_of_kind = f'{line.outcome}.{line.kind}'
+        count_by_kind[key_of_kind] = count_by_kind.get(key_of_kind, 0) + 1
+    allowed = objective.error_budget * max(1, len(recent))
     return Burn(
         service=key[0],
         group=key[1],
@@ -77,7 +77,7 @@
         fast=burn_rate(recent, newest - objective.fast_s, newest, objective),
         slow=burn_rate(recent, newest - objective.slow_s, newest, objective),
         budget_left=round(1 - len(bad) / allowed, 4),
-        bad_by_kind=kinds,
+        bad_by_kind=count_by_kind,
     )
 
 
@@ -92,4 +92,4 @@
     if not inside:
         return 0
     bad = sum(line.outcome != 'answered' for line in inside)
-    return round(bad / len(inside) / objective.allowed, 2)
+    return round(bad / len(inside) / objective.error_budget, 2)
--- a/src/bronzekeel/report/picture.py
+++ b/src/bronzekeel/report/chart.py
@@ -12,24 +12,24 @@
 _WIDTH_IN = 9
 _HEIGHT_IN = 4.5
 _MINUTE_S = 60
-_LEAST_STEP_S = 0.001
+_MIN_STEP_S = 0.001
 _DPI = 110
 
 
-def draw(lines: list[OutcomeLine], objective: Objective, path: Path) -> None:
+def draw_burn_chart(lines: list[OutcomeLine], objective: Objective, path: Path) -> None:
     """Draw the fast window's burn of every service over the recorded time."""
     figure = Figure(figsize=(_WIDTH_IN, _HEIGHT_IN), layout='constrained')
     FigureCanvasAgg(figure)
     axes = figure.add_subplot()
-    begun = min(line.at for line in lines)
-    lasted_s = max(line.at for line in lines) - begun
-    step = max(lasted_s / _POINTS, _LEAST_STEP_S)
-    window_s = max(step, min(objective.fast_s, lasted_s / 10))
+    started_at = min(line.at for line in lines)
+    duration_s = max(line.at for line in lines) - started_at
+    step = max(duration_s / _POINTS, _MIN_STEP_S)
+    window_s = max(step, min(objective.fast_s, duration_s / 10))
     for service in sorted({line.service for line in lines}):
         listed = [line for line in lines if line.service == service]
-        times = [begun + step * (index + 1) for index in range(_POINTS)]
+        times = [started_at + step * (index + 1) for index in range(_POINTS)]
         rates = [burn_rate(listed, at - window_s, at, objective) for at in times]
-        axes.plot([(at - begun) / _MINUTE_S for at in times], rates, label=service)
+        axes.plot([(at - started_at) / _MINUTE_S for at in times], rates, label=service)
     axes.axhline(1, color='grey', linestyle='--', linewidth=1)
     axes.set_xlabel('minutes since the first request')
     axes.set_ylabel('burn rate (1 spends the budget in its period)')
--- a/tests/run.py
+++ b/tests/run.py
@@ -23,15 +23,15 @@
 
 _TESTS = Path(__file__).parent
 _KNOWN_RED = _TESTS.parent / 'KNOWN-RED.txt'
-_CLOSING = re.compile(r'^(\d+) passed, (\d+) failed$', re.MULTILINE)
+_SUMMARY_LINE = re.compile(r'^(\d+) passed, (\d+) failed$', re.MULTILINE)
 
 #: Modules of tests that run at a time.  Source: the machines that tests are run on
 #: have four cores at least.
-PROCESSES = 4
+MAX_PROCESSES = 4
 
 #: Seconds after which a module that has not ended has failed.  Source: ten times the
 #: longest one, thirteen seconds alone, beside load.
-MODULE_S = 300
+MODULE_TIMEOUT_S = 300
 
 
 class Counts(NamedTuple):
@@ -41,7 +41,7 @@
     failed: int
 
 
-def known_red(content: str) -> dict[str, str]:
+def parse_known_red(content: str) -> dict[str, str]:
     """Return the lines of KNOWN-RED.txt by the id of their test."""
     lines = [line for line in content.splitlines() if line.strip()]
     return {line.partition(',')[0].strip(): line for line in lines}
@@ -52,27 +52,27 @@
 
     PASSED = 'passed'
     FAILED = 'failed'
-    PASSED_OVER = 'passed over'
+    IGNORED = 'passed over'
 
 
-def verdict_on(event: Any, *, known_red: bool) -> Verdict:
+def classify_outcome(event: Any, *, known_red: bool) -> Verdict:
     """Return how an outcome counts.
 
     A part of a test is told beside the test: one that holds counts with its
     test, one that fails counts as a failure, since its test is not told then.
     """
     if event.outcome == 'subtest':
-        good = event.exc_info is None
-        if good:
-            return Verdict.PASSED_OVER
+        succeeded = event.exc_info is None
+        if succeeded:
+            return Verdict.IGNORED
     else:
-        good = event.outcome == 'passed' and event.expected
+        succeeded = event.outcome == 'passed' and event.expected
     if known_red:
-        return Verdict.FAILED if good else Verdict.PASSED_OVER
-    return Verdict.PASSED if good else Verdict.FAILED
+        return Verdict.FAILED if succeeded else Verdict.IGNORED
+    return Verdict.PASSED if succeeded else Verdict.FAILED
 
 
-class _LoggedFaults(Handler):
+class _AsyncioErrorHandler(Handler):
     """Keep what asyncio says of exceptions in callbacks and tasks.
 
     What goes wrong without it: an exception in a callback ends nothing, so a test passes though
@@ -81,16 +81,16 @@
 
     def __init__(self) -> None:
         super().__init__(ERROR)
-        self.told: list[str] = []
+        self.messages: list[str] = []
 
     def emit(self, record: LogRecord) -> None:
         """Keep one line, with the exception if there is one."""
         fault = record.exc_info[1] if record.exc_info else None
-        self.told.append(f'{record.getMessage()}: {fault!r}')
+        self.messages.append(f'{record.getMessage()}: {fault!r}')
 
 
-_LOGGED = _LoggedFaults()
-getLogger('asyncio').addHandler(_LOGGED)
+_ASYNCIO_ERRORS = _AsyncioErrorHandler()
+getLogger('asyncio').addHandler(_ASYNCIO_ERRORS)
 
 
 class CountOutcomes(Plugin):
@@ -100,21 +100,21 @@
     configSection = 'count-outcomes'  # noqa: N815
     passed = 0
     failed = 0
-    red_by_test = known_red(_KNOWN_RED.read_text(encoding='utf-8'))
+    red_by_test = parse_known_red(_KNOWN_RED.read_text(encoding='utf-8'))
 
     def startTest(self, event: Any) -> None:  # noqa: N802
         """Begin to watch for faults that only a log line tells."""
-        _LOGGED.told.clear()
+        _ASYNCIO_ERRORS.messages.clear()
 
     def testOutcome(self, event: Any) -> None:  # noqa: N802
         """Count one test's outcome."""
-        if _LOGGED.told and event.outcome == 'passed':
+        if _ASYNCIO_ERRORS.messages and event.outcome == 'passed':
             event.outcome = 'failed'
-            named = event.test.id()
-            sys.stdout.write(f'{named} left a fault in the log: {_LOGGED.told}\n')
+            test_id = event.test.id()
+            sys.stdout.write(f'{test_id} left a fault in the log: {_ASYNCIO_ERRORS.messages}\n')
         test = getattr(event.test, 'test_case', event.test)
         known = self.red_by_test.get(test.id())
-        verdict = verdict_on(event, known_red=known is not None)
+        verdict = classify_outcome(event, known_red=known is not None)
         if known is not None:
             sys.stdout.write(f'known red, {verdict}: {known}\n')
         if verdict is Verdict.PASSED:
@@ -123,7 +123,7 @@
             CountOutcomes.failed += 1
 
 
-def run_here(names: Sequence[str]) -> Counts:
+def run_in_process(names: Sequence[str]) -> Counts:
     """Run the named tests in this process."""
     PluggableTestProgram(
         argv=['nose2', '-s', 'tests', '-t', '.', *names],
@@ -136,13 +136,13 @@
     return Counts(counts.passed, counts.failed)
 
 
-def counts_of(written: str, code: int) -> Counts:
+def parse_counts(output: str, code: int) -> Counts:
     """Return what a module's process counted.
 
     One that ended in any other way than by its closing line, or without a test, has
     failed once: a module that cannot be imported or dies must not pass.
     """
-    found = _CLOSING.findall(written)
+    found = _SUMMARY_LINE.findall(output)
     if not found:
         return Counts(0, 1)
     counts = Counts(int(found[-1][0]), int(found[-1][1]))
@@ -155,21 +155,23 @@
     """Run one module of tests in a process of its own, and show what it wrote."""
     command = (sys.executable, '-m', 'tests.run', name)
     try:
-        done = run_process(command, stdout=PIPE, stderr=STDOUT, check=False, timeout=MODULE_S)
-    except TimeoutExpired as hanging:
-        written = (hanging.stdout or b'').decode(errors='replace')
-        sys.stdout.write(f'{name}\n{written}\nno end after {MODULE_S} s\n')
+        done = run_process(
+            command, stdout=PIPE, stderr=STDOUT, check=False, timeout=MODULE_TIMEOUT_S
+        )
+    except TimeoutExpired as timeout:
+        output = (timeout.stdout or b'').decode(errors='replace')
+        sys.stdout.write(f'{name}\n{output}\nno end after {MODULE_TIMEOUT_S} s\n')
         return Counts(0, 1)
-    written = done.stdout.decode(errors='replace')
-    sys.stdout.write(f'{name}\n{written}')
+    output = done.stdout.decode(errors='replace')
+    sys.stdout.write(f'{name}\n{output}')
     sys.stdout.flush()
-    return counts_of(written, done.returncode)
+    return parse_counts(output, done.returncode)
 
 
 def run_all() -> Counts:
-    """Run all modules of tests, ``PROCESSES`` at a time."""
+    """Run all modules of tests, ``MAX_PROCESSES`` at a time."""
     modules = sorted(f'tests.{path.stem}' for path in _TESTS.glob('test_*.py'))
-    with ThreadPoolExecutor(PROCESSES) as pool:
+    with ThreadPoolExecutor(MAX_PROCESSES) as pool:
         counts = list(pool.map(run_module, modules))
     return Counts(
         sum(count.passed for count in counts),
@@ -180,7 +182,7 @@
 def main() -> int:
     """Return zero when every test passed."""
     names = sys.argv[1:]
-    counts = run_here(names) if names else run_all()
+    counts = run_in_process(names) if names else run_all()
     sys.stdout.write(f'{counts.passed} passed, {counts.failed} failed\n')
     return int(counts.failed > 0 or not counts.passed)
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -27,22 +27,22 @@
 
 
 @contextmanager
-def captured() -> Iterator[StringIO]:
+def captured_output() -> Iterator[StringIO]:
     """Capture what commands say and complain."""
-    said = StringIO()
-    with patch.object(output, 'stdout', said), patch.object(output, 'stderr', said):
-        with redirect_stdout(said), redirect_stderr(said):
-            yield said
+    buffer = StringIO()
+    with patch.object(output, 'stdout', buffer), patch.object(output, 'stderr', buffer):
+        with redirect_stdout(buffer), redirect_stderr(buffer):
+            yield buffer
 
 
-def call(*arguments: str) -> tuple[int, str]:
+def run_command(*arguments: str) -> tuple[int, str]:
     """Run a command; return its exit code and words."""
-    with captured() as said:
+    with captured_output() as buffer:
         try:
             code = main(arguments)
         except SystemExit as ended:
             code = int(ended.code or 0)
-    return code, said.getvalue()
+    return code, buffer.getvalue()
 
 
 class CommandTest(TestCase):
@@ -62,35 +62,35 @@
             'bench',
             'demo',
         ):
-            code, words = call(name, '--help')
+            code, output_text = run_command(name, '--help')
             self.assertEqual(0, code)
-            self.assertIn(f'bronzekeel {name}', words.split('example:')[1])
+            self.assertIn(f'bronzekeel {name}', output_text.split('example:')[1])
 
     def test_check_tells_sound_from_faulty(self) -> None:
         """A sound text is done, a faulty one refused, no text a usage error."""
-        self.assertEqual(0, call('check', _EXAMPLE)[0])
-        code, words = call('check', str(_ROOT / 'pyproject.toml'))
+        self.assertEqual(0, run_command('check', _EXAMPLE)[0])
+        code, output_text = run_command('check', str(_ROOT / 'pyproject.toml'))
         self.assertEqual(1, code)
-        self.assertIn('remedy:', words)
-        self.assertEqual(1, call('check', 'no-such-file')[0])
-        self.assertEqual(2, call('check')[0])
+        self.assertIn('remedy:', output_text)
+        self.assertEqual(1, run_command('check', 'no-such-file')[0])
+        self.assertEqual(2, run_command('check')[0])
 
     def test_submit_without_a_platform_is_refused(self) -> None:
         """Nothing was submitted, and the command says so."""
-        code, words = call('submit', _EXAMPLE, '--platform', 'http://127.0.0.1:1')
+        code, output_text = run_command('submit', _EXAMPLE, '--platform', 'http://127.0.0.1:1')
         self.assertEqual(1, code)
-        self.assertIn('not submitted', words)
+        self.assertIn('not submitted', output_text)
 
     def test_status_of_nobody_is_unknown(self) -> None:
         """A balancer that does not answer has an unknown status."""
-        self.assertEqual(3, call('status', 'http://127.0.0.1:1')[0])
+        self.assertEqual(3, run_command('status', 'http://127.0.0.1:1')[0])
 
     def test_replay_gives_the_same_bytes_for_the_same_seed(self) -> None:
         """Two runs agree to the letter and hold the stated outcomes."""
         trace = str(_ROOT / 'traces' / 'drain.jsonl')
         outcomes = str(_ROOT / 'traces' / 'drain.json')
-        first = call('replay', trace, '--outcomes', outcomes)
-        self.assertEqual(first, call('replay', trace, '--outcomes', outcomes))
+        first = run_command('replay', trace, '--outcomes', outcomes)
+        self.assertEqual(first, run_command('replay', trace, '--outcomes', outcomes))
         self.assertEqual(0, first[0])
 
     def test_replay_names_each_outcome_that_fails(self) -> None:
@@ -99,39 +99,39 @@
             path = Path(folder) / 'outcomes.json'
             path.write_bytes(encode({'flows': {'least': 10_000}, 'broken': {'most': 0}}))
             trace = str(_ROOT / 'traces' / 'drain.jsonl')
-            code, words = call('replay', trace, '--outcomes', str(path))
+            code, output_text = run_command('replay', trace, '--outcomes', str(path))
         self.assertEqual(1, code)
-        self.assertIn('flows: stated', words)
-        self.assertEqual(['flows'], decode(words.splitlines()[-1])['failed'])
+        self.assertIn('flows: stated', output_text)
+        self.assertEqual(['flows'], decode(output_text.splitlines()[-1])['failed'])
 
     def test_other_traces_hold_their_outcomes(self) -> None:
         """Each trace in traces/ holds what stands beside it."""
         for trace in sorted((_ROOT / 'traces').glob('*.jsonl')):
             outcomes = trace.with_suffix('.json')
-            code, words = call('replay', str(trace), '--outcomes', str(outcomes))
-            self.assertEqual(0, code, words)
+            code, output_text = run_command('replay', str(trace), '--outcomes', str(outcomes))
+            self.assertEqual(0, code, output_text)
 
     def test_report_shows_burn_and_draws_it(self) -> None:
         """A service with one bad request in a hundred burns ten times too fast."""
         lines = [
-            OutcomeLine(1000 + number, 'replies', 'firm', _word(number), 'overloaded', 0.1)
+            OutcomeLine(1000 + number, 'replies', 'firm', _outcome(number), 'overloaded', 0.1)
             for number in range(1000)
         ]
         with TemporaryDirectory() as folder:
             path = Path(folder) / 'outcomes.jsonl'
             path.write_bytes(b'\n'.join(encode(line) for line in lines))
             picture = Path(folder) / 'burn.png'
-            code, words = call('report', str(path), '--png', str(picture), '--json')
-            table = call('report', str(path))[1]
+            code, output_text = run_command('report', str(path), '--png', str(picture), '--json')
+            table = run_command('report', str(path))[1]
             self.assertGreater(picture.stat().st_size, 1000)
         self.assertEqual(0, code)
-        burn = decode(words)[0]
+        burn = decode(output_text)[0]
         self.assertEqual(10, burn['fast'])
         self.assertEqual(-9, burn['budget_left'])
         self.assertIn('not_run.overloaded: 10', table)
 
 
-def _word(number: int) -> str:
+def _outcome(number: int) -> str:
     return 'not_run' if number % 100 == 0 else 'answered'
 
 
--- a/tests/test_connection_id_demo.py
+++ b/tests/test_connection_id_demo.py
@@ -3,7 +3,7 @@
 from asyncio import run
 from unittest import TestCase
 
-from bronzekeel.demo.connection_ids import play_connection_ids
+from bronzekeel.demo.connection_ids import run_connection_id_demo
 
 
 class ConnectionIdDemoTest(TestCase):
@@ -17,7 +17,7 @@
         Cause: state of a flow that one process has, or one that knows nothing.
         """
         told: list[str] = []
-        outcome = run(play_connection_ids(told.append, 3))
+        outcome = run(run_connection_id_demo(told.append, 3))
         self.assertEqual((0, 0, 0), (outcome.broken, outcome.misdelivered, outcome.flows - 300))
         self.assertTrue(outcome.ok, outcome)
         self.assertEqual(4, len(told))
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -225,7 +225,7 @@
             site.fabric.step(flow)
         await until(lambda: all(flow.established for flow in flows))
         balancer = site.balancers.pop('a1')
-        site.unlist('a1')
+        site.remove_balancer('a1')
         await balancer.stop()
         for flow in flows:
             site.fabric.step(flow)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -12,7 +12,7 @@
 from bronzekeel.commands.main import main
 from bronzekeel.core.log_numbers import LogNumber
 from bronzekeel.explain.lines import read_lines
-from bronzekeel.explain.story import explain
+from bronzekeel.explain.diagnosis import explain
 
 
 _FLOW = '100.64.0.4:1237>198.18.0.15:443'
@@ -125,8 +125,8 @@
         )
         lines = [line(event, 0.5, upstream='i-1') for event in around]
         lines.append(line(LogNumber.TEXT_OLDER, 0.5, 'another'))
-        story = explain(_FLOW, read_lines((*lines, placed(1, 'i-1'))))
-        self.assertEqual([*around, LogNumber.FLOW_PLACED], [told.event for told in story.lines])
+        diagnosis = explain(_FLOW, read_lines((*lines, placed(1, 'i-1'))))
+        self.assertEqual([*around, LogNumber.FLOW_PLACED], [told.event for told in diagnosis.lines])
 
     def test_a_flow_that_nobody_logged(self) -> None:
         """What was left out is said."""
@@ -139,7 +139,7 @@
     """Lines of many hosts in one order."""
 
     def test_a_jump_of_the_time_of_day_does_not_mix_the_order(self) -> None:
-        """Symptom: a story tells the reset before the crash.
+        """Symptom: a diagnosis tells the reset before the crash.
 
         Sequence: a host's time of day jumps back by two seconds for a while.
         Cause: ordering lines by the time of day.
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -95,7 +95,7 @@
         await fleet.open()
         flows = [site.fabric.add_flow(('198.51.100.10', 443), number) for number in range(100)]
         await self._step_until_answered(fleet, flows)
-        site.unlist('a1')
+        site.remove_balancer('a1')
         fleet.processes['a1'].send_signal(SIGTERM)
         self.assertEqual(0, await wait_for(fleet.processes['a1'].wait(), _STOP_S))
         await self._step_until_answered(fleet, flows)
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 from unittest import TestCase
 
-from tests.run import Counts, Verdict, counts_of, known_red, verdict_on
+from tests.run import Counts, Verdict, parse_counts, parse_known_red, classify_outcome
 
 
 class CountTest(TestCase):
@@ -19,7 +19,7 @@
             ('skipped', False, Verdict.FAILED),
         ):
             event = SimpleNamespace(outcome=outcome, expected=expected)
-            self.assertEqual(verdict, verdict_on(event, known_red=False))
+            self.assertEqual(verdict, classify_outcome(event, known_red=False))
 
     def test_parts(self) -> None:
         """Symptom: a run without a failure ends as failed.
@@ -29,19 +29,19 @@
         """
         good = SimpleNamespace(outcome='subtest', exc_info=None)
         bad = SimpleNamespace(outcome='subtest', exc_info=(AssertionError, AssertionError(), None))
-        self.assertEqual(Verdict.PASSED_OVER, verdict_on(good, known_red=False))
-        self.assertEqual(Verdict.FAILED, verdict_on(bad, known_red=False))
+        self.assertEqual(Verdict.IGNORED, classify_outcome(good, known_red=False))
+        self.assertEqual(Verdict.FAILED, classify_outcome(bad, known_red=False))
 
     def test_known_red(self) -> None:
         """A known failure is passed over; one that passes has to leave the list."""
         failed = SimpleNamespace(outcome='failed', expected=False)
         passed = SimpleNamespace(outcome='passed', expected=True)
-        self.assertEqual(Verdict.PASSED_OVER, verdict_on(failed, known_red=True))
-        self.assertEqual(Verdict.FAILED, verdict_on(passed, known_red=True))
+        self.assertEqual(Verdict.IGNORED, classify_outcome(failed, known_red=True))
+        self.assertEqual(Verdict.FAILED, classify_outcome(passed, known_red=True))
 
     def test_lines_name_their_test(self) -> None:
         """The first word of a line, up to the comma, is the test's id."""
-        lines = known_red('tests.a.B.test_c, slow link, issue 9\n\n')
+        lines = parse_known_red('tests.a.B.test_c, slow link, issue 9\n\n')
         self.assertEqual({'tests.a.B.test_c': 'tests.a.B.test_c, slow link, issue 9'}, lines)
 
     def test_a_module_that_ends_without_counts_has_failed(self) -> None:
@@ -50,8 +50,8 @@
         Sequence: a module can't be imported, or its process is killed.
         Cause: adding up only what was counted.
         """
-        self.assertEqual(Counts(0, 1), counts_of('Segmentation fault\n', -11))
-        self.assertEqual(Counts(0, 1), counts_of('', 0))
-        self.assertEqual(Counts(3, 1), counts_of('3 passed, 0 failed\n', -9))
-        self.assertEqual(Counts(2, 1), counts_of('OK\n2 passed, 1 failed\n', 1))
-        self.assertEqual(Counts(3, 0), counts_of('1 passed, 0 failed\n3 passed, 0 failed\n', 0))
+        self.assertEqual(Counts(0, 1), parse_counts('Segmentation fault\n', -11))
+        self.assertEqual(Counts(0, 1), parse_counts('', 0))
+        self.assertEqual(Counts(3, 1), parse_counts('3 passed, 0 failed\n', -9))
+        self.assertEqual(Counts(2, 1), parse_counts('OK\n2 passed, 1 failed\n', 1))
+        self.assertEqual(Counts(3, 0), parse_counts('1 passed, 0 failed\n3 passed, 0 failed\n', 0))
