--- a/src/bronzekeel/commands/__init__.py
+++ b/src/bronzekeel/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Serve the command line."""
+"""The command-line interface."""
--- a/src/bronzekeel/commands/balancer.py
+++ b/src/bronzekeel/commands/balancer.py
@@ -1,4 +1,4 @@
-"""Run one balancer until it is told to stop."""
+"""Command that runs one balancer until it receives SIGTERM or SIGINT."""
 
 from argparse import ArgumentParser, Namespace
 from asyncio import Event, get_running_loop, run
@@ -21,18 +21,18 @@
 
 
 class BalancerCommand(Command):
-    """Run the daemon."""
+    """The `balancer` command, which runs the daemon."""
 
     name = 'balancer'
-    summary = 'run one balancer; SIGTERM stops it in the planned way'
+    summary = 'run one balancer; SIGTERM stops it gracefully'
     example = 'bronzekeel balancer --settings examples/settings.json'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Ask for the settings file."""
+        """Add the option for the settings file."""
         parser.add_argument('--settings', type=Path, required=True, metavar='FILE')
 
     def run(self, options: Namespace) -> ExitCode:
-        """Run until SIGTERM or SIGINT; the setting `steering` chooses the daemon."""
+        """Run until SIGTERM or SIGINT; the setting `steering` selects which daemon to run."""
         try:
             if steers_by_connection_ids(options.settings):
                 return ExitCode(serve_on_platform(str(options.settings)))
--- a/src/bronzekeel/commands/base.py
+++ b/src/bronzekeel/commands/base.py
@@ -1,4 +1,4 @@
-"""Define what every command of the command line has."""
+"""Base class and exit codes of all commands."""
 
 from abc import ABC, abstractmethod
 from argparse import ArgumentParser, Namespace
@@ -7,7 +7,7 @@
 
 
 class ExitCode(IntEnum):
-    """Name the exit codes of all commands."""
+    """Exit codes of all commands."""
 
     DONE = 0
     REFUSED = 1
@@ -16,7 +16,7 @@
 
 
 class Command(ABC):
-    """Hold one subcommand: its name, help, example, options and work."""
+    """One subcommand: its name, help text, example, options and action."""
 
     name: ClassVar[str]
     summary: ClassVar[str]
@@ -27,4 +27,4 @@
 
     @abstractmethod
     def run(self, options: Namespace) -> ExitCode:
-        """Do the work and return the exit code."""
+        """Run the command and return the exit code."""
--- a/src/bronzekeel/commands/bench.py
+++ b/src/bronzekeel/commands/bench.py
@@ -1,4 +1,4 @@
-"""Run one benchmark."""
+"""Command that runs one benchmark."""
 
 from argparse import ArgumentParser, Namespace
 
@@ -34,18 +34,18 @@
 
 
 class BenchCommand(Command):
-    """Measure."""
+    """The `bench` command, with one subcommand per benchmark."""
 
     name = 'bench'
-    summary = 'measure the product against baselines and floors'
+    summary = 'run a benchmark against baselines and lower bounds'
     example = 'bronzekeel bench flows --json'
 
     def __init__(self) -> None:
-        """Make every benchmark once."""
+        """Create one instance of every benchmark."""
         self._by_name = {kind.name: kind() for kind in BENCHMARKS}
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the benchmarks as subcommands."""
+        """Add each benchmark as a subcommand."""
         subparsers = parser.add_subparsers(dest='benchmark', required=True)
         for name, benchmark in self._by_name.items():
             subparser = subparsers.add_parser(name, help=benchmark.summary)
@@ -53,7 +53,7 @@
             benchmark.add_options(subparser)
 
     def run(self, options: Namespace) -> ExitCode:
-        """Run one; refuse when it says that a promise was broken."""
+        """Run the selected benchmark; return REFUSED unless its result has a true `ok`."""
         figures = self._by_name[options.benchmark].run(options)
         line = encode(figures)
         print_line(line.decode() if options.json else pretty(line).decode())
--- a/src/bronzekeel/commands/demo.py
+++ b/src/bronzekeel/commands/demo.py
@@ -1,4 +1,4 @@
-"""Run the demo and tell what was counted."""
+"""Command that runs the demo and prints its counts."""
 
 from argparse import ArgumentParser, Namespace
 from asyncio import run
@@ -14,18 +14,18 @@
 
 
 class DemoCommand(Command):
-    """Show the whole system in one process."""
+    """The `demo` command, which runs the whole system in one process."""
 
     name = 'demo'
-    summary = "play the Stichting's day with nine balancers in one process"
+    summary = "simulate the Stichting's workload with nine balancers in one process"
     example = 'bronzekeel demo --seed 7'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the seed."""
+        """Add the option for the random seed."""
         parser.add_argument('--seed', type=int, default=1)
 
     def run(self, options: Namespace) -> ExitCode:
-        """Play, then print a table and one line of JSON."""
+        """Run both demos; print a table and one line of JSON for each."""
         by_id = run(run_connection_id_demo(_print_progress, options.seed))
         outcome = run(run_demo(_print_progress, options.seed))
         _print_outcome(by_id)
@@ -34,7 +34,7 @@
 
 
 def _print_outcome(outcome: Struct) -> None:
-    """Print what was counted, as a table and as one line of JSON."""
+    """Print the counts as a table and as one line of JSON."""
     print_line()
     for name, counted in asdict(outcome).items():
         print_line(f'{name:26} {counted}')
--- a/src/bronzekeel/commands/explain.py
+++ b/src/bronzekeel/commands/explain.py
@@ -1,4 +1,4 @@
-"""Explain what became of one flow, from collected logs."""
+"""Command that explains the outcome of one flow from collected logs."""
 
 from argparse import ArgumentParser, Namespace
 from pathlib import Path
@@ -14,26 +14,26 @@
 
 
 class ExplainCommand(Command):
-    """Show a flow's diagnosis and its cause."""
+    """The `explain` command, which prints a flow's log lines and the cause of its outcome."""
 
     name = 'explain'
-    summary = 'tell from logs of many hosts what became of one flow'
+    summary = 'explain the outcome of one flow from the logs of many hosts'
     example = "bronzekeel explain '100.64.0.4:1237>198.18.0.15:443' edge-*.log"
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Ask for the flow and the files."""
-        parser.add_argument('flow', help='CALLER:PORT>ADDRESS:PORT, or a part of it')
+        """Add the arguments for the flow and the log files."""
+        parser.add_argument('flow', help='CALLER:PORT>ADDRESS:PORT, or a substring of it')
         parser.add_argument('files', nargs='+', type=Path, metavar='FILE')
         parser.add_argument('--json', action='store_true', help='one line of JSON')
 
     def run(self, options: Namespace) -> ExitCode:
-        """Read all files and print the diagnosis; refuse when no line tells of the flow."""
+        """Read all files and print the diagnosis; return REFUSED if no line concerns the flow."""
         raw_lines: list[str] = []
         for path in options.files:
             try:
                 content = path.read_text(encoding='utf-8', errors='replace')
             except OSError as fault:
-                print_error(f'{path}: {fault.strerror}; name readable log files')
+                print_error(f'{path}: {fault.strerror}; specify readable log files')
                 return ExitCode.USAGE
             raw_lines.extend(content.splitlines())
         diagnosis = explain(options.flow, read_lines(raw_lines))
--- a/src/bronzekeel/commands/inspect.py
+++ b/src/bronzekeel/commands/inspect.py
@@ -1,4 +1,4 @@
-"""Show a running balancer's status and recent events."""
+"""Commands that print the status and the recent events of running balancers."""
 
 from argparse import ArgumentParser, Namespace
 from asyncio import run
@@ -21,28 +21,31 @@
 
 
 def _fetch(base_url: str, path: str) -> bytes | None:
-    """Return a page of a balancer, or say why there is none."""
+    """Fetch a page from a balancer; on failure print the error and return None."""
     try:
         return run(_get(base_url.rstrip('/') + path))
     except (ClientError, TimeoutError) as fault:
-        print_error(f'{base_url}: {fault!r}; name the address and metrics port')
+        print_error(f'{base_url}: {fault!r}; check the address and the metrics port')
         return None
 
 
 class StatusCommand(Command):
-    """Show status."""
+    """The `status` command."""
 
     name = 'status'
-    summary = 'show what balancers say of themselves'
+    summary = 'show the status of running balancers'
     example = 'bronzekeel status http://127.0.0.1:9100 http://127.0.0.2:9100'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Ask for the balancers."""
+        """Add the arguments for the URLs of the balancers."""
         parser.add_argument('balancers', nargs='+', metavar='URL')
-        parser.add_argument('--json', action='store_true', help='print all that is known')
+        parser.add_argument('--json', action='store_true', help='print the complete status as JSON')
 
     def run(self, options: Namespace) -> ExitCode:
-        """Print a line for each balancer; refuse if one is not ready."""
+        """Print one line for each balancer.
+
+        Return UNKNOWN if a balancer does not answer, else REFUSED if one is not ready.
+        """
         code = ExitCode.DONE
         for base_url in options.balancers:
             content = _fetch(base_url, '/status')
@@ -65,14 +68,14 @@
 
 
 class EventsCommand(Command):
-    """Show recent events."""
+    """The `events` command."""
 
     name = 'events'
     summary = 'show the newest numbered events of a balancer'
     example = 'bronzekeel events http://127.0.0.1:9100'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Ask for the balancer."""
+        """Add the argument for the URL of the balancer."""
         parser.add_argument('balancer', metavar='URL')
 
     def run(self, options: Namespace) -> ExitCode:
--- a/src/bronzekeel/commands/main.py
+++ b/src/bronzekeel/commands/main.py
@@ -1,4 +1,4 @@
-"""Read the command line and run one command."""
+"""Entry point: parses the command line and runs one command."""
 
 import sys
 from argparse import ArgumentParser, RawDescriptionHelpFormatter
@@ -35,7 +35,7 @@
 def _parser(commands: dict[str, Command]) -> ArgumentParser:
     parser = ArgumentParser(
         prog='bronzekeel',
-        description='Balance long flows and requests over upstreams.',
+        description='Balance long-lived flows and requests over upstreams.',
         epilog='exit codes: 0 done, 1 refused, 2 wrong usage, 3 outcome unknown',
     )
     parser.add_argument('--version', action='version', version=VERSION)
@@ -53,7 +53,10 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command; return its exit code."""
+    """Run one command and return its exit code.
+
+    Return UNKNOWN on an interrupt and DONE if the reader of standard output has gone away.
+    """
     commands = {kind.name: kind() for kind in _COMMANDS}
     options = _parser(commands).parse_args(arguments)
     try:
--- a/src/bronzekeel/commands/output.py
+++ b/src/bronzekeel/commands/output.py
@@ -1,14 +1,14 @@
-"""Write what commands tell the operator."""
+"""Output of commands to the operator."""
 
 from sys import stderr, stdout
 
 
 def print_line(message: object = '') -> None:
-    """Write a line of result."""
+    """Write one line of the result to standard output."""
     stdout.write(f'{message}\n')
     stdout.flush()
 
 
 def print_error(message: object) -> None:
-    """Write a line about what went wrong."""
+    """Write one line about an error to standard error."""
     stderr.write(f'{message}\n')
--- a/src/bronzekeel/commands/replay.py
+++ b/src/bronzekeel/commands/replay.py
@@ -1,4 +1,4 @@
-"""Replay a trace against stated outcomes."""
+"""Command that replays a trace and checks the outcomes against stated bounds."""
 
 from argparse import ArgumentParser, Namespace
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 
 class _Outcome(Struct, frozen=True):
-    """Hold what was observed, what was stated, and what failed."""
+    """Result of a replay: observed values and the names of outcomes out of bounds."""
 
     observed: dict[str, float]
     failed: list[str]
@@ -22,20 +22,20 @@
 
 
 class ReplayCommand(Command):
-    """Replay a written or recorded trace."""
+    """The `replay` command, for hand-written and recorded traces."""
 
     name = 'replay'
-    summary = 'replay a trace and compare what happens with stated outcomes'
+    summary = 'replay a trace and compare the outcomes with stated bounds'
     example = 'bronzekeel replay traces/drain.jsonl --outcomes traces/drain.json'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Ask for the trace, offer outcomes and seed."""
+        """Add the argument for the trace and the options for stated outcomes and seed."""
         parser.add_argument('trace', type=Path)
         parser.add_argument('--outcomes', type=Path, metavar='FILE')
         parser.add_argument('--seed', type=int, default=1)
 
     def run(self, options: Namespace) -> ExitCode:
-        """Print one JSON object; refuse naming each outcome that fails."""
+        """Print one JSON object; report each failed outcome and return REFUSED if there are any."""
         stated: dict[str, Bounds] = {}
         try:
             if options.outcomes is not None:
--- a/src/bronzekeel/commands/report.py
+++ b/src/bronzekeel/commands/report.py
@@ -1,4 +1,4 @@
-"""Report service-level burn."""
+"""Command that reports error-budget burn rates."""
 
 from argparse import ArgumentParser, Namespace
 from pathlib import Path
@@ -15,14 +15,14 @@
 
 
 class ReportCommand(Command):
-    """Show how fast services burn their error budget."""
+    """The `report` command, which shows how fast services burn their error budget."""
 
     name = 'report'
-    summary = 'report service-level burn from recorded outcomes'
+    summary = 'report error-budget burn rates from recorded outcomes'
     example = 'bronzekeel report outcomes-*.jsonl --target 0.999 --png burn.png'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Ask for the records, offer the objective."""
+        """Add the arguments for the recorded outcomes and the options for the objective."""
         parser.add_argument('outcomes', type=Path, nargs='+')
         parser.add_argument('--target', type=float, default=Objective().target)
         parser.add_argument('--fast-s', type=float, default=Objective().fast_s)
@@ -31,9 +31,9 @@
         parser.add_argument('--json', action='store_true')
 
     def run(self, options: Namespace) -> ExitCode:
-        """Print a table, draw a picture where asked."""
+        """Print a table or JSON, and draw a chart if `--png` is given."""
         if not 0 < options.target < 1:
-            print_error('--target: name a share between 0 and 1, such as 0.999')
+            print_error('--target: must be between 0 and 1, for example 0.999')
             return ExitCode.USAGE
         objective = Objective(
             options.target,
@@ -46,7 +46,7 @@
             print_error(fault)
             return ExitCode.REFUSED
         if not lines:
-            print_error('no outcome is recorded; set `outcomes` in the settings')
+            print_error('no outcomes are recorded; set `outcomes` in the settings')
             return ExitCode.REFUSED
         burns = compute_burns(lines, objective)
         if options.json:
--- a/src/bronzekeel/commands/soak.py
+++ b/src/bronzekeel/commands/soak.py
@@ -1,4 +1,4 @@
-"""Run the real programs under faults and check the promises."""
+"""Command that runs real processes under injected faults and checks the guarantees."""
 
 from argparse import ArgumentParser, Namespace
 from asyncio import run
@@ -20,14 +20,14 @@
 
 
 class SoakCommand(Command):
-    """Soak."""
+    """The `soak` command."""
 
     name = 'soak'
-    summary = 'run balancers as processes under faults from outside, and check every promise'
+    summary = 'run balancers as processes under injected faults and check every guarantee'
     example = 'bronzekeel soak --seed 7 --seconds 60 --json'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the seed, how long and how many, and where failures are kept."""
+        """Add the options for seed, duration, number of hosts and the folder for failed runs."""
         parser.add_argument('--seed', type=int, default=1)
         parser.add_argument('--seconds', type=float, default=_DEFAULT_SECONDS)
         parser.add_argument('--hosts', type=int, default=_DEFAULT_HOSTS)
@@ -35,9 +35,9 @@
         parser.add_argument('--folder', type=Path, default=Path('out/soak'), metavar='FOLDER')
 
     def run(self, options: Namespace) -> ExitCode:
-        """Soak; keep logs and schedule of a run that breaks a promise."""
+        """Run the soak test; keep the logs and the schedule if a guarantee was violated."""
         if options.seconds < _MIN_SECONDS:
-            print_error(f'--seconds {options.seconds}: faults need {_MIN_SECONDS:g} at least')
+            print_error(f'--seconds {options.seconds}: faults need at least {_MIN_SECONDS:g} s')
             return ExitCode.USAGE
         options.folder.mkdir(parents=True, exist_ok=True)
         folder = Path(mkdtemp(prefix=f'seed-{options.seed}-', dir=options.folder))
@@ -49,7 +49,9 @@
         if report.ok:
             rmtree(folder)
             return ExitCode.DONE
-        print_error(f'kept in {folder}; again: {keep_failure(report, folder)}')
+        print_error(
+            f'logs and schedule in {folder}; reproduce with: {keep_failure(report, folder)}'
+        )
         return ExitCode.REFUSED
 
 
@@ -60,6 +62,6 @@
     faults = sum(report.faults.values())
     rows.append(
         f'seed {report.seed}: {report.flows} flows, {report.requests} requests, {faults} faults '
-        f'of {len(report.faults)} kinds, {len(report.broken)} promises broken',
+        f'of {len(report.faults)} kinds, {len(report.broken)} guarantees violated',
     )
     return '\n'.join(rows)
--- a/src/bronzekeel/commands/texts.py
+++ b/src/bronzekeel/commands/texts.py
@@ -1,4 +1,4 @@
-"""Check, compare and submit the operators' text."""
+"""Commands that check, compare and submit the operators' text."""
 
 from argparse import ArgumentParser, Namespace
 from asyncio import run
@@ -26,11 +26,11 @@
 
 
 def _read_text(path: Path) -> Document | None:
-    """Return a checked text, or print all its faults and return None."""
+    """Read and check a text; on failure print all errors and return None."""
     try:
         return parse_text(path.read_bytes())
     except OSError as fault:
-        print_error(f'{path}: {fault.strerror}; name a readable file')
+        print_error(f'{path}: {fault.strerror}; specify a readable file')
     except TextError as fault:
         for line in fault.faults:
             print_error(f'{path}: {line}')
@@ -41,27 +41,27 @@
     parser.add_argument('--platform', required=True, metavar='URL')
 
 
-#: Said of a submission that the platform does not know, so far.
+#: Remedy for a submission that the platform does not know yet.
 _NOT_FOUND = (
-    'the platform does not hold this submission: ask once more in a minute, '
-    'and if it is still not there, submit the text again'
+    'the platform does not have this submission: query it again in a minute, '
+    'and if it is still missing, submit the text again'
 )
 
 
 class CheckCommand(Command):
-    """Check a text."""
+    """The `check` command."""
 
     name = 'check'
-    summary = 'check a text and report all faults with their places'
+    summary = 'check a text and report all errors with their locations'
     example = 'bronzekeel check examples/stichting.json'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Ask for the text, and the one it follows."""
+        """Add the argument for the text and the option for the text that it replaces."""
         parser.add_argument('text', type=Path)
-        parser.add_argument('--after', type=Path, metavar='TEXT', help='the text in force')
+        parser.add_argument('--after', type=Path, metavar='TEXT', help='the text that is in force')
 
     def run(self, options: Namespace) -> ExitCode:
-        """Check, and check the change where a previous text is given."""
+        """Check the text, and the change from the previous text if one is given."""
         document = _read_text(options.text)
         if document is None:
             return ExitCode.REFUSED
@@ -74,26 +74,26 @@
             except TextError as fault:
                 print_error(fault)
                 return ExitCode.REFUSED
-        print_line(f'{options.text}: {len(document.services)} services, no fault')
+        print_line(f'{options.text}: {len(document.services)} services, no errors')
         return ExitCode.DONE
 
 
 class DiffCommand(Command):
-    """Compare two texts."""
+    """The `diff` command."""
 
     name = 'diff'
     summary = 'compare two texts, or a text with the one in force'
     example = 'bronzekeel diff new.json --platform http://127.0.0.1:9000'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Ask for one text and what to compare it with."""
+        """Add the arguments for the text and for the text or platform to compare it with."""
         parser.add_argument('text', type=Path)
         group = parser.add_mutually_exclusive_group(required=True)
         group.add_argument('--after', type=Path, metavar='TEXT')
         group.add_argument('--platform', metavar='URL')
 
     def run(self, options: Namespace) -> ExitCode:
-        """Print one line a difference."""
+        """Print one line per difference."""
         proposed = _read_text(options.text)
         if proposed is None:
             return ExitCode.REFUSED
@@ -122,17 +122,19 @@
 
 
 class SubmitCommand(Command):
-    """Submit a text."""
+    """The `submit` command."""
 
     name = 'submit'
-    summary = 'submit a text; it is accepted whole or not at all'
+    summary = 'submit a text; it is accepted atomically or rejected'
     example = 'bronzekeel submit new.json --platform http://127.0.0.1:9000 --based-on 12'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Ask for the text or for the submission to settle."""
+        """Add the argument for the text or the id of the submission to settle."""
         group = parser.add_mutually_exclusive_group(required=True)
         group.add_argument('text', type=Path, nargs='?')
-        group.add_argument('--settle', metavar='ID', help='find out what became of one')
+        group.add_argument(
+            '--settle', metavar='ID', help='determine the outcome of an earlier submission'
+        )
         parser.add_argument(
             '--based-on',
             type=int,
@@ -142,7 +144,7 @@
         _add_platform_option(parser)
 
     def run(self, options: Namespace) -> ExitCode:
-        """Submit or settle, and say what came of it."""
+        """Submit a text or settle a submission, and print the outcome."""
         submission = options.settle or uuid4().hex
         try:
             outcome = run(_submit(options, submission))
@@ -153,7 +155,7 @@
             print_error(f'not submitted: {fault}; submit again')
             return ExitCode.REFUSED
         except OSError as fault:
-            print_error(f'{fault}; name a readable file')
+            print_error(f'{fault}; specify a readable file')
             return ExitCode.REFUSED
         if isinstance(outcome, Accepted):
             print_line(f'accepted as generation {outcome.generation} (submission {submission})')
--- a/src/bronzekeel/demo/__init__.py
+++ b/src/bronzekeel/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Show the whole system in one process, counted from outside."""
+"""Demo of the whole system in one process, with counts taken at callers and upstreams."""
--- a/src/bronzekeel/demo/connection_ids.py
+++ b/src/bronzekeel/demo/connection_ids.py
@@ -1,4 +1,4 @@
-"""Play flows over connection ids while balancers, upstreams and the store come and go."""
+"""Demo of flows with connection ids while balancers, upstreams and the store come and go."""
 
 from asyncio import sleep
 from asyncio import to_thread as in_thread
@@ -34,7 +34,7 @@
 
 
 class ConnectionIdOutcome(Struct, frozen=True):
-    """Hold what callers and upstreams have seen; `ok` that all promises were kept."""
+    """Counts taken at callers and upstreams; `ok` is true if all guarantees held."""
 
     flows: int
     opened: int
@@ -46,7 +46,7 @@
 
 
 class _BalancerThread:
-    """Hold one balancer and the thread that it runs in."""
+    """One balancer and the thread that it runs in."""
 
     def __init__(self, balancer: EntryBalancer) -> None:
         self.balancer = balancer
@@ -54,14 +54,14 @@
         self.thread.start()
 
     async def end(self) -> None:
-        """End it at once, as a crash would."""
+        """Stop the balancer immediately, as a crash would."""
         self.balancer.loop.stop()
         await in_thread(self.thread.join)
         self.balancer.close()
 
 
 class _Site:
-    """Hold store, callers, upstreams and balancers."""
+    """The store, callers, upstreams and balancers of the demo."""
 
     def __init__(self, seed: int) -> None:
         self.store = PlatformStandIn()
@@ -72,7 +72,7 @@
         self._sink = open_file(devnull, O_WRONLY)
 
     async def open(self) -> None:
-        """Start everything, and open all flows."""
+        """Start everything and add all flows."""
         await self.store.open()
         self.caller_port = await self.callers.open()
         for _ in range(_UPSTREAMS):
@@ -84,7 +84,7 @@
             self.callers.add_flow()
 
     async def add_upstream(self) -> EchoUpstream:
-        """Start one more upstream and list it."""
+        """Start another upstream and list it in the store."""
         upstream = EchoUpstream(len(self.upstreams) + 1, (_LOOPBACK, self.caller_port))
         await upstream.open()
         self.upstreams.append(upstream)
@@ -92,7 +92,7 @@
         return upstream
 
     async def list_upstream(self, upstream: EchoUpstream, *, draining: bool = False) -> None:
-        """Write an upstream's entry."""
+        """Write an upstream's entry to the store."""
         self.store.put_upstream(
             upstream.number,
             _NAME,
@@ -104,7 +104,7 @@
         await self.store.tell()
 
     async def start(self, name: str) -> bool:
-        """Start a balancer; return whether it was ready in time."""
+        """Start a balancer; return whether it became ready within ``_TIMEOUT_S``."""
         seeds = [f'{_LOOPBACK}:{other.balancer.peers.port}' for other in self.running.values()]
         settings = EntrySettings(loopback_settings(name, self.store.port, seeds=seeds))
         packet_format = PlatformPackets(self.caller_port)
@@ -118,7 +118,7 @@
         return balancer.state.ready
 
     async def stop(self, name: str) -> None:
-        """Stop a balancer in the planned way: the fabric leaves it first."""
+        """Stop a balancer gracefully, after the fabric has stopped sending to it."""
         running = self.running.pop(name)
         self.callers.balancers.pop(name)
         running.balancer.loop.call_at(0, lambda: running.balancer.handle(StopAsked()))
@@ -126,19 +126,19 @@
         running.balancer.close()
 
     async def kill(self, name: str) -> None:
-        """End a balancer at once."""
+        """Stop a balancer abruptly."""
         self.callers.balancers.pop(name)
         await self.running.pop(name).end()
 
     async def send_on_all_flows(self, rounds: int) -> None:
-        """Send packets of all flows."""
+        """Send a packet on every flow in each of `rounds` rounds."""
         for _ in range(rounds):
             for flow in self.callers.flow_by_port.values():
                 self.callers.step(flow)
             await sleep(_INTERVAL_S)
 
     async def close(self) -> None:
-        """End everything that still runs."""
+        """Stop everything that is still running."""
         for running in self.running.values():
             await running.end()
         for upstream in self.upstreams:
@@ -150,7 +150,7 @@
 async def run_connection_id_demo(
     print_line: Callable[[str], None], seed: int
 ) -> ConnectionIdOutcome:
-    """Play all changes and count what came of them."""
+    """Run all changes and return the counts."""
     site = _Site(seed)
     await site.open()
     await site.send_on_all_flows(_ROUNDS)
@@ -160,9 +160,7 @@
     await _replace_balancer(site)
     print_line('connection ids: one balancer stopped, another started')
     learnt = await _simulate_store_outage(site)
-    print_line(
-        'connection ids: the store away and back, one balancer killed, one learnt from peers'
-    )
+    print_line('connection ids: store outage ended, one balancer killed, one learnt from peers')
     outcome = await _count(site, learnt_from_peers=learnt)
     await site.close()
     return outcome
@@ -181,7 +179,7 @@
 
 
 async def _simulate_store_outage(site: _Site) -> bool:
-    """Take the store away; return whether a balancer that started then was ready."""
+    """Run a store outage; return whether a balancer started during it became ready."""
     await site.store.switch(down=True)
     await site.kill('a2')
     learnt = await site.start('a5')
@@ -192,7 +190,7 @@
 
 
 async def _count(site: _Site, *, learnt_from_peers: bool) -> ConnectionIdOutcome:
-    """Let every flow be answered once more, and count."""
+    """Wait until every flow was answered once more, or the timeout, and count."""
     flows = list(site.callers.flow_by_port.values())
     before = {flow.port: flow.answered for flow in flows}
     deadline = monotonic() + _TIMEOUT_S
@@ -202,7 +200,7 @@
         waiting = [flow for flow in flows if flow.answered <= before[flow.port]]
     broken = sum(flow.reset for flow in flows)
     misdelivered = sum(upstream.misdelivered for upstream in site.upstreams)
-    kept = not any((broken, misdelivered, waiting))
+    guarantees_held = not any((broken, misdelivered, waiting))
     return ConnectionIdOutcome(
         flows=len(flows),
         opened=sum(flow.opened for flow in flows),
@@ -210,5 +208,5 @@
         misdelivered=misdelivered,
         not_answered_at_the_end=len(waiting),
         learnt_from_peers=learnt_from_peers,
-        ok=kept and learnt_from_peers,
+        ok=guarantees_held and learnt_from_peers,
     )
--- a/src/bronzekeel/demo/counts.py
+++ b/src/bronzekeel/demo/counts.py
@@ -1,4 +1,4 @@
-"""Count the demo's outcomes at the callers and upstreams."""
+"""Counts of the demo's outcomes, taken at the callers and upstreams."""
 
 from collections import Counter
 
@@ -12,7 +12,7 @@
 
 
 class Outcome(Struct, frozen=True):
-    """Hold the demo's result; `ok` tells whether every promise was kept."""
+    """Result of the demo; `ok` is true if every guarantee held."""
 
     flows: int
     broken_flows_planned: int
@@ -43,11 +43,18 @@
     *,
     refused: bool,
 ) -> Outcome:
-    """Return what callers and upstreams have seen."""
+    """Return the counts of callers and upstreams.
+
+    `in_force_s` are the seconds that each text took to be in force everywhere, `late` the new
+    flows on the draining upstream, and `refused` whether the submission during the platform outage
+    was refused.
+    """
     caller = site.caller
     ran = _runs(site)
-    twice = sum(1 for told in caller.told if ran[told.request] > 1)
-    lied = sum(1 for told in caller.told if told.outcome == 'not_run' and told.request in ran)
+    ran_twice = sum(1 for reply in caller.told if ran[reply.request] > 1)
+    not_run_but_ran = sum(
+        1 for reply in caller.told if reply.outcome == 'not_run' and reply.request in ran
+    )
     flows = list(site.fabric.flow_by_key.values())
     broken = sum(flow.reset for flow in flows)
     misdelivered = sum(
@@ -55,8 +62,8 @@
         for upstreams in site.flow_upstreams.values()
         for flow in upstreams.values()
     )
-    broken_promises = (broken_planned, misdelivered, twice, lied, late)
-    kept = not any(broken_promises) and not caller.cut and not caller.crossed
+    violations = (broken_planned, misdelivered, ran_twice, not_run_but_ran, late)
+    guarantees_held = not any(violations) and not caller.cut and not caller.crossed
     return Outcome(
         flows=len(flows),
         broken_flows_planned=broken_planned,
@@ -66,8 +73,8 @@
         answered=caller.outcomes['answered'],
         not_run=caller.outcomes['not_run'],
         unknown=caller.outcomes['unknown'],
-        ran_twice=twice,
-        not_run_but_ran=lied,
+        ran_twice=ran_twice,
+        not_run_but_ran=not_run_but_ran,
         cut_answers=caller.cut,
         crossed_answers=caller.crossed,
         late_flows_on_leaving=late,
@@ -76,12 +83,12 @@
         text_in_force_p99_s=round(quantile(in_force_s, _P99), 3),
         handed_share=_handed_share(site),
         platform_outage_refused=refused,
-        ok=kept and caller.outcomes['answered'] > 0 and bool(in_force_s) and refused,
+        ok=guarantees_held and caller.outcomes['answered'] > 0 and bool(in_force_s) and refused,
     )
 
 
 def _runs(site: Site) -> Counter[str]:
-    """Count how often upstreams ran each request, by id."""
+    """Return how often upstreams ran each request, by request id."""
     runs: Counter[str] = Counter()
     for upstreams in site.request_upstreams.values():
         for upstream in upstreams.values():
@@ -90,9 +97,9 @@
 
 
 def _imbalance(site: Site) -> dict[str, float]:
-    """Return the most over the mean, of flows or requests, per service.
+    """Return the ratio of maximum to mean per upstream, of flows or requests, by service.
 
-    Upstreams that joined or left on the way are not counted.
+    Upstreams that joined or drained during the demo are excluded from the flow ratios.
     """
     changed = site.draining | site.joined
     result = {}
--- a/src/bronzekeel/demo/scenario.py
+++ b/src/bronzekeel/demo/scenario.py
@@ -1,4 +1,4 @@
-"""Play the demo: flows and requests while everything changes."""
+"""Demo scenario: flows and requests while balancers, upstreams and the platform change."""
 
 from asyncio import CancelledError, Task, create_task, gather, sleep
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class _Scenario:
-    """Hold the demo's progress."""
+    """State of a running demo."""
 
     def __init__(self, site: Site, print_line: Callable[[str], None]) -> None:
         self.site = site
@@ -34,14 +34,14 @@
         self._requests: set[Task[object]] = set()
 
     def log_progress(self, message: str) -> None:
-        """Write a line of progress."""
+        """Print a line with the elapsed time, the counts so far and `message`."""
         elapsed_s = monotonic() - self.started_at
         broken = sum(flow.reset for flow in self.site.fabric.flow_by_key.values())
         answered = self.site.caller.outcomes['answered']
         self._print_line(f'{elapsed_s:5.1f} s  broken {broken}  answered {answered:4d}  {message}')
 
     async def run(self) -> None:
-        """Let everything happen, one after the other."""
+        """Run all steps in order."""
         await self.set_up()
         await sleep(2)
         await self.replace_upstream()
@@ -51,7 +51,7 @@
         await sleep(1)
 
     async def set_up(self) -> None:
-        """Start nine balancers, put the first text in force, open flows."""
+        """Start nine balancers, submit the first text, and start the load."""
         await self.site.open()
         for index in range(_BALANCERS_PER_CENTRE):
             for centre in CENTRES:
@@ -65,7 +65,7 @@
         self._tasks.append(create_task(self._run_requests()))
 
     async def submit(self) -> None:
-        """Submit the site's text and measure until it is in force everywhere."""
+        """Submit the site's text and measure the time until it is in force everywhere."""
         begun_at = monotonic()
         outcome = await self.site.submit()
         if not isinstance(outcome, Accepted):
@@ -83,7 +83,7 @@
         self.log_progress(f'text {generation} in force everywhere after {newest - begun_at:.2f} s')
 
     async def replace_upstream(self) -> None:
-        """Drain one upstream and let another join, in one text."""
+        """Drain one upstream and add another in the same text."""
         leaving = next(iter(self.site.flow_upstreams[PORTAL]))
         self.site.draining.add(leaving)
         self.site.joined.add(await self.site.add_upstream(PORTAL))
@@ -99,9 +99,9 @@
         )
 
     async def stop_balancer_gracefully(self) -> None:
-        """Stop a balancer in the planned way."""
+        """Stop a balancer gracefully."""
         name = f'{CENTRES[0]}-1'
-        self.log_progress(f'balancer {name} is stopped in a planned way')
+        self.log_progress(f'balancer {name} is stopped gracefully')
         balancer = self.site.balancers[name]
         stopping = create_task(balancer.stop())
         await sleep(0.3)
@@ -112,9 +112,9 @@
         self.broken_planned = sum(flow.reset for flow in self.site.fabric.flow_by_key.values())
 
     async def kill_balancer(self) -> None:
-        """End a balancer without warning; the fabric notices late."""
+        """Stop a balancer abruptly; the fabric detects it after a delay."""
         name = f'{CENTRES[1]}-1'
-        self.log_progress(f'balancer {name} dies')
+        self.log_progress(f'balancer {name} is killed')
         balancer = self.site.balancers.pop(name)
         await balancer.close()
         await sleep(3)
@@ -122,8 +122,8 @@
         await sleep(3)
 
     async def simulate_platform_outage(self) -> None:
-        """Take the platform away for a while, and bring it back."""
-        self.log_progress('the platform goes away')
+        """Make the platform unavailable for some seconds, then restore it."""
+        self.log_progress('the platform is unavailable')
         await self.site.platform.switch(down=True)
         try:
             await self.site.submit()
@@ -132,12 +132,12 @@
             self.log_progress(f'submission refused: {fault}')
         await sleep(4)
         await self.site.platform.switch(down=False)
-        self.log_progress('the platform is back')
+        self.log_progress('the platform is available again')
         self.site.joined.add(await self.site.add_upstream(INTAKE))
         await self.submit()
 
     async def end(self) -> Outcome:
-        """End the load and count."""
+        """Stop the load, close the site and return the counts."""
         for task in self._tasks:
             task.cancel()
         await gather(*self._tasks, return_exceptions=True)
@@ -188,14 +188,14 @@
             await sleep(_REQUEST_INTERVAL_S)
 
     def _open_new_flows(self) -> None:
-        """Open short flows, to see where new ones go."""
+        """Open additional flows, to check which upstreams receive new flows."""
         fabric = self.site.fabric
         for number in range(_FLOWS, _FLOWS + 200):
             fabric.step(fabric.add_flow(('198.51.100.10', 443), number))
 
 
 async def run_demo(print_line: Callable[[str], None], seed: int = 1) -> Outcome:
-    """Play the whole demo; return what was counted."""
+    """Run the whole demo and return the counts."""
     scenario = _Scenario(Site(Random(seed)), print_line)
     try:
         await scenario.run()
--- a/src/bronzekeel/demo/site.py
+++ b/src/bronzekeel/demo/site.py
@@ -1,4 +1,4 @@
-"""Set up the demo's site: platform, fabric, upstreams, nine balancers."""
+"""The demo's site: platform, fabric, callers, upstreams and balancers."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Site:
-    """Hold all parts of the demo and start or end them."""
+    """All parts of the demo, with methods to start and stop them."""
 
     random: Random
     platform: PlatformStandIn = field(default_factory=PlatformStandIn)
@@ -53,11 +53,11 @@
     submissions: int = 0
 
     def __post_init__(self) -> None:
-        """Give the fabric the site's randomness."""
+        """Create the fabric with the site's random generator."""
         self.fabric = FabricStandIn(self.random)
 
     async def open(self) -> None:
-        """Start everything but the balancers."""
+        """Start everything except the balancers."""
         await self.platform.open()
         self.reply_address = await self.fabric.open()
         for service, size in _SIZE_BY_SERVICE.items():
@@ -65,7 +65,7 @@
                 await self.add_upstream(service)
 
     async def add_upstream(self, service: str) -> str:
-        """Start one more upstream of a service; return its endpoint."""
+        """Start another upstream of a service; return its endpoint."""
         address = _ADDRESS_BY_FLOW_SERVICE.get(service)
         if address is not None:
             flow = FlowUpstream(address, self.reply_address)
@@ -90,7 +90,7 @@
         )
 
     async def add_balancer(self, settings: Settings) -> None:
-        """Start a balancer and list it at the platform, the fabric and the callers."""
+        """Start a balancer and register it with the platform, the fabric and the callers."""
         balancer = Balancer(settings)
         host = await balancer.start()
         self.balancers[host.name] = balancer
@@ -100,11 +100,11 @@
         self.caller.add(host.name, host.address, host.callers)
 
     def list_hosts(self) -> None:
-        """Write the platform's list of hosts."""
+        """Write the list of hosts to the platform."""
         self.platform.put(HOSTS_KEY, encode(tuple(self.hosts.values())))
 
     def remove_balancer(self, name: str) -> None:
-        """Take a balancer from the list, the fabric and the callers."""
+        """Remove a balancer from the list of hosts, the fabric and the callers."""
         self.hosts.pop(name, None)
         self.list_hosts()
         self.fabric.balancers.pop(name, None)
@@ -139,7 +139,7 @@
             )
 
     async def close(self) -> None:
-        """End everything that still runs."""
+        """Stop everything that is still running."""
         self.caller.close()
         for balancer in self.balancers.values():
             await balancer.close()
@@ -155,8 +155,8 @@
     def _endpoints(self) -> set[str]:
         """Return the endpoints of all upstreams.
 
-        Ports for datagrams and for streams are given out each for themselves, so an upstream of
-        requests may get the number of a flow's; a text with both is refused.
+        UDP and TCP ports are allocated independently, so a request upstream may get the port
+        number of a flow upstream; a text that contains both is refused.
         """
         endpoints: set[str] = set()
         for kind in (self.flow_upstreams, self.request_upstreams):
--- a/src/bronzekeel/explain/__init__.py
+++ b/src/bronzekeel/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Explain from logs what became of one flow."""
+"""Diagnosis of a flow's outcome from collected logs."""
--- a/src/bronzekeel/explain/diagnosis.py
+++ b/src/bronzekeel/explain/diagnosis.py
@@ -1,4 +1,4 @@
-"""Tell from log lines what became of one flow, and why."""
+"""Diagnosis of one flow's outcome and its cause from log lines."""
 
 from collections.abc import Callable
 
@@ -31,26 +31,30 @@
     ),
 )
 
-#: Seconds around a flow's lines in which other events may have to do with it.
-#: Source: an entry lapses up to three heartbeats after a crash, 2.3 s on the
-#: users' sites, and a caller asks for some seconds.
+#: Seconds before and after a flow's lines in which other events may be related to it.  An entry
+#: lapses up to three heartbeats after a crash, 2.3 s on the users' sites, and a caller retries for
+#: some seconds.
 CONTEXT_WINDOW_S = 4.0
 
 
 class Diagnosis:
-    """Hold the lines that describe of a flow, in the order of time, and the cause."""
+    """The log lines that concern a flow, in chronological order, and the cause of its outcome."""
 
     __slots__ = ('cause', 'flow', 'lines')
 
     def __init__(self, flow: str, lines: list[LogLine], cause: str) -> None:
-        """Keep the story."""
+        """Store the lines and the cause."""
         self.flow = flow
         self.lines = lines
         self.cause = cause
 
 
 def explain(flow: str, lines: list[LogLine]) -> Diagnosis:
-    """Return the story of `flow`, or of the flows whose name it is part of."""
+    """Return the diagnosis of `flow`, or of all flows whose name contains it.
+
+    It includes what the flow's hosts logged about themselves and about its upstreams from
+    ``CONTEXT_WINDOW_S`` seconds before the flow's first line until as long after its last.
+    """
     own = [line for line in lines if line.event in _FLOW_EVENTS and flow in line.text('flow')]
     if not own:
         return Diagnosis(flow, [], _cause_without_lines(lines))
@@ -84,15 +88,15 @@
         for line in own:
             if line.event is event:
                 return describe(line, own, related)
-    return 'placed; nothing of ours ended it'
+    return 'placed; not ended by a balancer'
 
 
 def _describe_refusal(line: LogLine, own: list[LogLine], related: list[LogLine]) -> str:
     if line.text('by') == 'overloaded':
         return (
             f'refused by {line.host}: {line.text("service")} is overloaded, with '
-            f'{line.text("in_progress")} requests in progress of {line.text("limit")} that may '
-            f'be, while {line.text("waiting")} others waited'
+            f'{line.text("in_progress")} requests in progress of at most {line.text("limit")} '
+            f'and {line.text("waiting")} others waiting'
         )
     if line.text('by') == 'above_share':
         return (
@@ -101,28 +105,28 @@
         )
     generation = line.text('generation')
     if line.text('by') != 'no_route':
-        return f'refused by {line.host}: the service has no upstream that takes flows'
+        return f'refused by {line.host}: the service has no upstream that accepts flows'
     return f'refused by {line.host}: the text of generation {generation} has no such route'
 
 
 def _describe_reset(line: LogLine, own: list[LogLine], related: list[LogLine]) -> str:
-    upstream = line.text('upstream') or 'an upstream that nobody lists'
+    upstream = line.text('upstream') or 'an upstream that is not listed'
     fate = 'is gone'
     for other in related:
         if other.event is LogNumber.UPSTREAM_UNLISTED and other.text('upstream') == upstream:
             fate = 'had left as announced' if other.fields.get('left') else 'crashed or was cut off'
-    return f'reset by {line.host}: upstream {upstream} {fate}, and the caller repeated itself'
+    return f'reset by {line.host}: upstream {upstream} {fate}, and the caller retransmitted'
 
 
 def _describe_placement(line: LogLine, own: list[LogLine], related: list[LogLine]) -> str:
     repeats = [other for other in own if int(other.fields.get('copy', 0)) > 0]
     if not repeats:
-        return f'placed at {line.text("upstream")}; nothing of ours ended it'
+        return f'placed at {line.text("upstream")}; not ended by a balancer'
     first = repeats[0]
     if first is own[0]:
         return (
-            f'{first.host} saw repeats of the opening packet only: the first was lost, '
-            'or the host that got it was down'
+            f'{first.host} received only repeats of the opening packet: the first was lost, '
+            'or the host that received it was down'
         )
     unresponsive = own[0].text('upstream')
     waited_s = round(first.at - own[0].at, 2)
--- a/src/bronzekeel/explain/lines.py
+++ b/src/bronzekeel/explain/lines.py
@@ -1,4 +1,4 @@
-"""Read log lines of many hosts and put them in the order of time."""
+"""Parser that merges the log lines of many hosts into chronological order."""
 
 from collections.abc import Iterable
 from contextlib import suppress
@@ -8,21 +8,21 @@
 
 from bronzekeel.core.log_numbers import LogNumber
 
-#: What a line raises that is no event of ours; files hold others beside them.
+#: Exceptions that a line raises which is no event of this program; log files contain other lines.
 _NOT_AN_EVENT = (KeyError, TypeError, ValueError)
 
 
 class LogLine:
-    """Hold one line: which host wrote it, which event, when, with which fields.
+    """One event: the host that logged it, the event, its time and its fields.
 
-    `at` is the time of day that the host's steady clock shows: its own time of
-    day may have jumped.
+    `at` is wall-clock time derived from the host's monotonic clock, because the wall clock of
+    the host may have jumped.
     """
 
     __slots__ = ('at', 'event', 'fields', 'host', 'steady')
 
     def __init__(self, fields: dict[str, Any]) -> None:
-        """Keep a decoded line.  Raises KeyError or ValueError if it is no event."""
+        """Store a decoded line.  Raises KeyError, TypeError or ValueError if it is no event."""
         self.host = str(fields['host'])
         self.event = LogNumber(fields['event'])
         self.steady = float(fields['steady'])
@@ -30,14 +30,14 @@
         self.fields = fields
 
     def text(self, name: str) -> str:
-        """Return a field as text, empty if it is not there."""
+        """Return a field as a string, or an empty string if it is missing."""
         return str(self.fields.get(name, ''))
 
 
 def read_lines(raw_lines: Iterable[str]) -> list[LogLine]:
-    """Return the events among lines of any kind, in the order of time.
+    """Return the events among arbitrary lines, in chronological order.
 
-    What stands before the JSON object, as collectors put it there, is left out.
+    A prefix before the JSON object, as log collectors add it, is ignored.
     """
     lines = []
     for raw in raw_lines:
@@ -50,9 +50,9 @@
 
 
 def _align_clocks(lines: list[LogLine]) -> None:
-    """Give each run of a process one offset between its two clocks.
+    """Apply one offset between wall clock and monotonic clock to each process run.
 
-    Its median is what a jump of the time of day moves least.
+    The offset is the median over the run, since a jump of the wall clock affects the median least.
     """
     run_by_host: dict[str, list[LogLine]] = {}
     for line in lines:
--- a/src/bronzekeel/report/__init__.py
+++ b/src/bronzekeel/report/__init__.py
@@ -1,1 +1,1 @@
-"""Tell how fast services burn their error budget."""
+"""Recorded request outcomes and error-budget burn rates."""
--- a/src/bronzekeel/report/burn.py
+++ b/src/bronzekeel/report/burn.py
@@ -1,8 +1,8 @@
-"""Compute service-level burn from recorded outcomes.
+"""Error-budget burn rates computed from recorded outcomes.
 
-A request is good when it was answered.  The burn rate of a window is its share
-of bad requests over the share that the objective allows: at 1 the budget
-lasts exactly the period, at 14 a thirty-day budget is gone in two days.
+A request is good if it was answered.  The burn rate of a window is its share of bad requests
+divided by the share that the objective allows: at 1 the budget lasts exactly the period, at 14 a
+thirty-day budget is spent in two days.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,10 @@
 
 
 class Objective(Struct, frozen=True):
-    """Hold the objective: a share of good requests over a period in seconds."""
+    """Service-level objective: the share of good requests over a period, in seconds.
+
+    `fast_s` and `slow_s` are the lengths of the two burn-rate windows in seconds.
+    """
 
     target: float = 0.999
     period_s: float = _PERIOD_DAYS * DAY_S
@@ -32,7 +35,7 @@
 
 
 class Burn(Struct, frozen=True):
-    """Hold the burn of one service and caller group at the newest outcome."""
+    """Burn rates of one service and caller group at the time of the newest outcome."""
 
     service: str
     group: str
@@ -45,7 +48,7 @@
 
 
 def compute_burns(lines: Iterable[OutcomeLine], objective: Objective) -> list[Burn]:
-    """Return the burn per service and per caller group, '' for all groups."""
+    """Return the burn per service and caller group; the group '' stands for all callers."""
     lines_by_key: dict[tuple[str, str], list[OutcomeLine]] = {}
     newest = float(0)
     for line in lines:
@@ -87,7 +90,7 @@
     until: float,
     objective: Objective,
 ) -> float:
-    """Return the burn rate of a window, zero when nothing was asked in it."""
+    """Return the burn rate of a window, or zero if no request ended in it."""
     inside = [line for line in lines if since < line.at <= until]
     if not inside:
         return 0
--- a/src/bronzekeel/report/chart.py
+++ b/src/bronzekeel/report/chart.py
@@ -1,4 +1,4 @@
-"""Draw burn over time as a PNG."""
+"""Chart of burn rates over time, as a PNG file."""
 
 from pathlib import Path
 
@@ -17,7 +17,10 @@
 
 
 def draw_burn_chart(lines: list[OutcomeLine], objective: Objective, path: Path) -> None:
-    """Draw the fast window's burn of every service over the recorded time."""
+    """Draw the fast-window burn rate of every service over the recorded time.
+
+    The window is shortened to a tenth of the recorded time if that is less than `fast_s`.
+    """
     figure = Figure(figsize=(_WIDTH_IN, _HEIGHT_IN), layout='constrained')
     FigureCanvasAgg(figure)
     axes = figure.add_subplot()
@@ -32,7 +35,7 @@
         axes.plot([(at - started_at) / _MINUTE_S for at in times], rates, label=service)
     axes.axhline(1, color='grey', linestyle='--', linewidth=1)
     axes.set_xlabel('minutes since the first request')
-    axes.set_ylabel('burn rate (1 spends the budget in its period)')
-    axes.set_title(f'Burn of an objective of {objective.target}')
+    axes.set_ylabel('burn rate (1 spends the budget in exactly its period)')
+    axes.set_title(f'Burn rate for an objective of {objective.target}')
     axes.legend(loc='upper left')
     figure.savefig(path, dpi=_DPI)
--- a/src/bronzekeel/report/outcomes.py
+++ b/src/bronzekeel/report/outcomes.py
@@ -1,4 +1,4 @@
-"""Record how requests ended, a JSON line each, and read the lines again."""
+"""Recorder and reader of request outcomes, stored as one JSON line per request."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -9,11 +9,11 @@
 
 
 class OutcomesError(ValueError):
-    """Tell which line of recorded outcomes cannot be read, and what to correct."""
+    """A file or line of recorded outcomes is unreadable; the message gives a remedy."""
 
 
 class OutcomeLine(Struct, frozen=True):
-    """Hold one request's end; `at` is Unix time and `took_s` seconds."""
+    """Outcome of one request; `at` is Unix time and `took_s` its duration in seconds."""
 
     at: float
     service: str
@@ -24,7 +24,7 @@
 
 
 class OutcomeRecorder:
-    """Append outcomes to a file, or do nothing without a path."""
+    """Recorder that appends outcomes to a file, or does nothing if the path is empty."""
 
     def __init__(self, path: str) -> None:
         """Open `path` for appending, unless it is empty."""
@@ -33,7 +33,10 @@
             self._file = Path(path).open('a', encoding='utf-8', buffering=1)
 
     def record(self, line: OutcomeLine) -> None:
-        """Write one outcome; a full disk must not stop the balancer."""
+        """Write one outcome.
+
+        On an error, such as a full disk, recording ends, so that the balancer keeps running.
+        """
         if self._file is None:
             return
         try:
@@ -49,12 +52,12 @@
 
 
 def read_outcome_lines(paths: list[Path]) -> Iterator[OutcomeLine]:
-    """Yield the outcomes in files of several balancers.  Raises OutcomesError."""
+    """Yield the outcomes recorded in the files of several balancers.  Raises OutcomesError."""
     for path in paths:
         try:
             lines = path.read_bytes().splitlines()
         except OSError as fault:
-            raise OutcomesError(f'{path}: {fault.strerror}; name a readable file') from fault
+            raise OutcomesError(f'{path}: {fault.strerror}; specify a readable file') from fault
         for number, line in enumerate(lines, start=1):
             try:
                 yield decode(line, type=OutcomeLine)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -75,7 +75,7 @@
         refused = line(LogNumber.FLOW_REFUSED, 1, flow=_FLOW, by='no_route', generation=15)
         self.assertIn('the text of generation 15 has no such route', cause_of(refused))
         refused = line(LogNumber.FLOW_REFUSED, 1, flow=_FLOW, by='no_upstream', generation=15)
-        self.assertIn('no upstream that takes flows', cause_of(refused))
+        self.assertIn('no upstream that accepts flows', cause_of(refused))
 
     def test_refused_in_an_overload(self) -> None:
         """The service is named, and what was full."""
@@ -91,8 +91,8 @@
         )
         cause = cause_of(refused)
         self.assertIn('refused by a1: portal is overloaded', cause)
-        self.assertIn('7 requests in progress of 6.5', cause)
-        self.assertIn('4 others waited', cause)
+        self.assertIn('7 requests in progress of at most 6.5', cause)
+        self.assertIn('4 others waiting', cause)
 
     def test_refused_above_the_share(self) -> None:
         """Guards against callers who are refused and nobody can say why."""
@@ -109,7 +109,9 @@
 
     def test_the_first_packet_went_to_a_host_that_was_down(self) -> None:
         """A host that sees repeats only is not the one that the first went to."""
-        self.assertIn('a1 saw repeats of the opening packet only', cause_of(placed(1, 'i-1', 2)))
+        self.assertIn(
+            'a1 received only repeats of the opening packet', cause_of(placed(1, 'i-1', 2))
+        )
 
     def test_what_the_host_went_by_is_told(self) -> None:
         """A request was handled by an old text, and nothing said that newer ones were left out.
