--- a/tests/run.py
+++ b/tests/run.py
@@ -1,9 +1,9 @@
-"""Run all tests with nose2 and close with one line of counts.
+"""Test runner on top of nose2 that ends with one line of counts.
 
-Each module of tests has a process of its own, a few at a time; named modules run
-here, one after the other.  Tests that stand in KNOWN-RED.txt, a line each with test,
-cause and issue, may fail: they are printed and not counted.  One of them that passes
-is counted as a failure, so that its line is taken out.
+Without arguments it runs each test module in a subprocess, several at a time; named modules run
+sequentially in this process.  Tests listed in KNOWN-RED.txt, one line each with test, cause and
+issue, may fail: they are printed and not counted.  A listed test that passes counts as a failure,
+so that its line gets removed.
 """
 
 import re
@@ -25,30 +25,30 @@
 _KNOWN_RED = _TESTS.parent / 'KNOWN-RED.txt'
 _SUMMARY_LINE = re.compile(r'^(\d+) passed, (\d+) failed$', re.MULTILINE)
 
-#: Modules of tests that run at a time.  Source: the machines that tests are run on
-#: have four cores at least.
+#: Number of test modules that run concurrently.  The machines that run the tests have at least
+#: four cores.
 MAX_PROCESSES = 4
 
-#: Seconds after which a module that has not ended has failed.  Source: ten times the
-#: longest one, thirteen seconds alone, beside load.
+#: Timeout of a test module in seconds: ten times the duration of the longest module under load,
+#: which takes 13 s when it runs alone.
 MODULE_TIMEOUT_S = 300
 
 
 class Counts(NamedTuple):
-    """Hold how many tests passed and failed."""
+    """Numbers of passed and failed tests."""
 
     passed: int
     failed: int
 
 
 def parse_known_red(content: str) -> dict[str, str]:
-    """Return the lines of KNOWN-RED.txt by the id of their test."""
+    """Return the lines of KNOWN-RED.txt by test id."""
     lines = [line for line in content.splitlines() if line.strip()]
     return {line.partition(',')[0].strip(): line for line in lines}
 
 
 class Verdict(StrEnum):
-    """Name how an outcome counts."""
+    """How a test outcome is counted."""
 
     PASSED = 'passed'
     FAILED = 'failed'
@@ -56,10 +56,10 @@
 
 
 def classify_outcome(event: Any, *, known_red: bool) -> Verdict:
-    """Return how an outcome counts.
+    """Return how a test outcome is counted.
 
-    A part of a test is told beside the test: one that holds counts with its
-    test, one that fails counts as a failure, since its test is not told then.
+    Subtests are reported in addition to their test.  A passed subtest is ignored, since its test
+    is counted; a failed one counts as a failure, since its test is not reported then.
     """
     if event.outcome == 'subtest':
         succeeded = event.exc_info is None
@@ -73,10 +73,10 @@
 
 
 class _AsyncioErrorHandler(Handler):
-    """Keep what asyncio says of exceptions in callbacks and tasks.
+    """Logging handler that collects asyncio's reports of exceptions in callbacks and tasks.
 
-    What goes wrong without it: an exception in a callback ends nothing, so a test passes though
-    each message of a kind fails.
+    Without this, a test passes although the handling of every message of some kind fails, because
+    an exception in a callback stops nothing.
     """
 
     def __init__(self) -> None:
@@ -84,7 +84,7 @@
         self.messages: list[str] = []
 
     def emit(self, record: LogRecord) -> None:
-        """Keep one line, with the exception if there is one."""
+        """Store the message of one record, with the exception if there is one."""
         fault = record.exc_info[1] if record.exc_info else None
         self.messages.append(f'{record.getMessage()}: {fault!r}')
 
@@ -94,24 +94,26 @@
 
 
 class CountOutcomes(Plugin):
-    """Count the outcomes of all tests; an unexpected success is a failure."""
+    """nose2 plugin that counts test outcomes; an unexpected success counts as a failure."""
 
-    alwaysOn = True  # noqa: N815 (nose2 asks for this name)
+    alwaysOn = True  # noqa: N815 (nose2 requires this name)
     configSection = 'count-outcomes'  # noqa: N815
     passed = 0
     failed = 0
     red_by_test = parse_known_red(_KNOWN_RED.read_text(encoding='utf-8'))
 
     def startTest(self, event: Any) -> None:  # noqa: N802
-        """Begin to watch for faults that only a log line tells."""
+        """Discard the errors that asyncio logged before this test."""
         _ASYNCIO_ERRORS.messages.clear()
 
     def testOutcome(self, event: Any) -> None:  # noqa: N802
-        """Count one test's outcome."""
+        """Count one test's outcome; a passed test fails if asyncio logged an error during it."""
         if _ASYNCIO_ERRORS.messages and event.outcome == 'passed':
             event.outcome = 'failed'
             test_id = event.test.id()
-            sys.stdout.write(f'{test_id} left a fault in the log: {_ASYNCIO_ERRORS.messages}\n')
+            sys.stdout.write(
+                f'{test_id} logged errors through asyncio: {_ASYNCIO_ERRORS.messages}\n'
+            )
         test = getattr(event.test, 'test_case', event.test)
         known = self.red_by_test.get(test.id())
         verdict = classify_outcome(event, known_red=known is not None)
@@ -137,10 +139,10 @@
 
 
 def parse_counts(output: str, code: int) -> Counts:
-    """Return what a module's process counted.
+    """Return the counts from the output and exit code of a module's process.
 
-    One that ended in any other way than by its closing line, or without a test, has
-    failed once: a module that cannot be imported or dies must not pass.
+    Output without a closing line counts as one failure, as does a nonzero exit code without a
+    counted one: a module that cannot be imported, has no tests or crashes must not pass.
     """
     found = _SUMMARY_LINE.findall(output)
     if not found:
@@ -152,7 +154,7 @@
 
 
 def run_module(name: str) -> Counts:
-    """Run one module of tests in a process of its own, and show what it wrote."""
+    """Run one test module in a subprocess and print its output."""
     command = (sys.executable, '-m', 'tests.run', name)
     try:
         done = run_process(
@@ -160,7 +162,7 @@
         )
     except TimeoutExpired as timeout:
         output = (timeout.stdout or b'').decode(errors='replace')
-        sys.stdout.write(f'{name}\n{output}\nno end after {MODULE_TIMEOUT_S} s\n')
+        sys.stdout.write(f'{name}\n{output}\ntimed out after {MODULE_TIMEOUT_S} s\n')
         return Counts(0, 1)
     output = done.stdout.decode(errors='replace')
     sys.stdout.write(f'{name}\n{output}')
@@ -169,7 +171,7 @@
 
 
 def run_all() -> Counts:
-    """Run all modules of tests, ``MAX_PROCESSES`` at a time."""
+    """Run all test modules, at most ``MAX_PROCESSES`` at a time."""
     modules = sorted(f'tests.{path.stem}' for path in _TESTS.glob('test_*.py'))
     with ThreadPoolExecutor(MAX_PROCESSES) as pool:
         counts = list(pool.map(run_module, modules))
@@ -180,7 +182,7 @@
 
 
 def main() -> int:
-    """Return zero when every test passed."""
+    """Run the tests; return 0 if there were any and all passed, else 1."""
     names = sys.argv[1:]
     counts = run_in_process(names) if names else run_all()
     sys.stdout.write(f'{counts.passed} passed, {counts.failed} failed\n')
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Test the command line: exit codes, messages, replay and report."""
+"""Tests of the command line, settings, log catalogue and platform client."""
 
 from asyncio import run
 from collections.abc import Iterator
@@ -28,7 +28,7 @@
 
 @contextmanager
 def captured_output() -> Iterator[StringIO]:
-    """Capture what commands say and complain."""
+    """Capture the standard output and standard error of commands."""
     buffer = StringIO()
     with patch.object(output, 'stdout', buffer), patch.object(output, 'stderr', buffer):
         with redirect_stdout(buffer), redirect_stderr(buffer):
@@ -36,7 +36,7 @@
 
 
 def run_command(*arguments: str) -> tuple[int, str]:
-    """Run a command; return its exit code and words."""
+    """Run a command; return its exit code and output."""
     with captured_output() as buffer:
         try:
             code = main(arguments)
@@ -46,10 +46,10 @@
 
 
 class CommandTest(TestCase):
-    """Call commands."""
+    """Exit codes and output of commands."""
 
     def test_help_has_an_example_for_each(self) -> None:
-        """Every subcommand shows how it is called."""
+        """The help text of every subcommand has a usage example."""
         for name in (
             'balancer',
             'check',
@@ -66,8 +66,8 @@
             self.assertEqual(0, code)
             self.assertIn(f'bronzekeel {name}', output_text.split('example:')[1])
 
-    def test_check_tells_sound_from_faulty(self) -> None:
-        """A sound text is done, a faulty one refused, no text a usage error."""
+    def test_check_distinguishes_valid_from_invalid(self) -> None:
+        """A valid text gives DONE, an invalid or missing one REFUSED, no argument USAGE."""
         self.assertEqual(0, run_command('check', _EXAMPLE)[0])
         code, output_text = run_command('check', str(_ROOT / 'pyproject.toml'))
         self.assertEqual(1, code)
@@ -76,17 +76,17 @@
         self.assertEqual(2, run_command('check')[0])
 
     def test_submit_without_a_platform_is_refused(self) -> None:
-        """Nothing was submitted, and the command says so."""
+        """Nothing was submitted, and the output states it."""
         code, output_text = run_command('submit', _EXAMPLE, '--platform', 'http://127.0.0.1:1')
         self.assertEqual(1, code)
         self.assertIn('not submitted', output_text)
 
-    def test_status_of_nobody_is_unknown(self) -> None:
-        """A balancer that does not answer has an unknown status."""
+    def test_status_without_a_balancer_is_unknown(self) -> None:
+        """The status of a balancer that does not answer is unknown."""
         self.assertEqual(3, run_command('status', 'http://127.0.0.1:1')[0])
 
     def test_replay_gives_the_same_bytes_for_the_same_seed(self) -> None:
-        """Two runs agree to the letter and hold the stated outcomes."""
+        """Two runs give identical output and meet the stated outcomes."""
         trace = str(_ROOT / 'traces' / 'drain.jsonl')
         outcomes = str(_ROOT / 'traces' / 'drain.json')
         first = run_command('replay', trace, '--outcomes', outcomes)
@@ -94,7 +94,7 @@
         self.assertEqual(0, first[0])
 
     def test_replay_names_each_outcome_that_fails(self) -> None:
-        """A stated outcome that is not observed refuses, by name."""
+        """If a stated outcome is not met, the command names it and returns REFUSED."""
         with TemporaryDirectory() as folder:
             path = Path(folder) / 'outcomes.json'
             path.write_bytes(encode({'flows': {'least': 10_000}, 'broken': {'most': 0}}))
@@ -104,15 +104,15 @@
         self.assertIn('flows: stated', output_text)
         self.assertEqual(['flows'], decode(output_text.splitlines()[-1])['failed'])
 
-    def test_other_traces_hold_their_outcomes(self) -> None:
-        """Each trace in traces/ holds what stands beside it."""
+    def test_all_traces_meet_their_outcomes(self) -> None:
+        """Each trace in traces/ meets the outcomes in the JSON file of the same name."""
         for trace in sorted((_ROOT / 'traces').glob('*.jsonl')):
             outcomes = trace.with_suffix('.json')
             code, output_text = run_command('replay', str(trace), '--outcomes', str(outcomes))
             self.assertEqual(0, code, output_text)
 
     def test_report_shows_burn_and_draws_it(self) -> None:
-        """A service with one bad request in a hundred burns ten times too fast."""
+        """One bad request in a hundred is ten times what the objective of 0.999 allows."""
         lines = [
             OutcomeLine(1000 + number, 'replies', 'firm', _outcome(number), 'overloaded', 0.1)
             for number in range(1000)
@@ -136,10 +136,10 @@
 
 
 class SettingsTest(TestCase):
-    """Read faulty settings."""
+    """Errors in settings."""
 
-    def test_faults_name_path_and_remedy_on_one_line(self) -> None:
-        """Unknown key, wrong type, missing address, bad data centre."""
+    def test_errors_give_path_and_remedy_on_one_line(self) -> None:
+        """Unknown key, wrong type, null, invalid or missing address, invalid data centre."""
         sound = decode((_ROOT / 'examples' / 'settings.json').read_bytes())
         for changed, place in (
             ({'colour': 1}, 'colour'),
@@ -165,7 +165,7 @@
 
 
 class CatalogueTest(TestCase):
-    """Compare docs and code."""
+    """Consistency of the event catalogue with the code."""
 
     def test_every_logged_event_is_in_the_catalogue(self) -> None:
         """docs/EVENTS.md and the code have the same numbers and names."""
@@ -175,7 +175,7 @@
         self.assertEqual(known, listed)
 
     def test_every_number_is_used(self) -> None:
-        """A number that nothing logs would mislead the reader of the catalogue."""
+        """An event that is never logged would mislead readers of the catalogue."""
         sources = [
             path.read_text(encoding='utf-8')
             for path in (_ROOT / 'src').rglob('*.py')
@@ -187,27 +187,28 @@
 
 
 class PlatformClientTest(TestCase):
-    """Submit over HTTP to the stand-in."""
+    """Submissions and watches over HTTP against the platform stand-in."""
 
     def test_submit_settles_a_lost_confirmation_over_http(self) -> None:
-        """Symptom: an accepted text is reported as failed.
+        """A lost answer is not treated as a refusal.
 
-        Sequence: the platform accepts the update and drops the connection.
-        Cause: taking a lost answer for a refusal.
+        Otherwise an accepted text is reported as failed if the platform accepts the update and
+        then drops the connection.
         """
         run(self._submit())
 
-    def test_a_watch_goes_on_in_a_restored_store(self) -> None:
-        """A balancer made call after call, without a pause, and left out what was written.
+    def test_a_watch_continues_in_a_restored_store(self) -> None:
+        """After a restore from a backup, a watch continues from the store's new revisions.
 
-        The store had come back from a copy.  A watch from the revision that was known got 410 at
-        once, and what was read then counted as older, so the next watch began where the last had;
-        once the store's revisions had passed that, what lay between was missed.
+        A watch from the last known revision gets 410 immediately.  When the state read afterwards
+        was considered older, the next watch started from the same revision: the balancer called
+        the store continuously without pauses and, once the store's revisions exceeded the known
+        one, missed the changes in between.
         """
         run(self._watch_a_restored_store())
 
     def test_a_store_without_history_is_called_with_pauses(self) -> None:
-        """Each watch is refused at once; every second time the caller is told to wait."""
+        """Each watch is refused immediately; every second refusal makes the caller pause."""
         run(self._watch_without_history())
 
     async def _submit(self) -> None:
@@ -234,12 +235,12 @@
             seen = await client.watch(HEAD_KEY, 0)
             restore(platform, copy)
             platform.put(HEAD_KEY, b'5')
-            told = await client.watch(HEAD_KEY, seen.version if seen else 0)
-            self.assertEqual(b'5', told.body if told else b'')
+            latest = await client.watch(HEAD_KEY, seen.version if seen else 0)
+            self.assertEqual(b'5', latest.body if latest else b'')
             for body in (b'6', b'7', b'8'):
                 platform.put(HEAD_KEY, body)
-                told = await client.watch(HEAD_KEY, told.version if told else 0)
-                self.assertEqual(body, told.body if told else b'')
+                latest = await client.watch(HEAD_KEY, latest.version if latest else 0)
+                self.assertEqual(body, latest.body if latest else b'')
             self.assertLess(client.calls, 12)
         await platform.close()
 
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""Test how outcomes of tests are counted."""
+"""Tests of how the test runner counts outcomes."""
 
 from types import SimpleNamespace
 from unittest import TestCase
@@ -7,10 +7,10 @@
 
 
 class CountTest(TestCase):
-    """Count tests, their parts, and those that are known to be red."""
+    """Counting of tests, subtests and known failures."""
 
-    def test_tests(self) -> None:
-        """Whatever is not passed as expected is a failure."""
+    def test_outcomes(self) -> None:
+        """Any outcome except an expected pass counts as a failure."""
         for outcome, expected, verdict in (
             ('passed', True, Verdict.PASSED),
             ('passed', False, Verdict.FAILED),
@@ -21,11 +21,11 @@
             event = SimpleNamespace(outcome=outcome, expected=expected)
             self.assertEqual(verdict, classify_outcome(event, known_red=False))
 
-    def test_parts(self) -> None:
-        """Symptom: a run without a failure ends as failed.
+    def test_subtests(self) -> None:
+        """A passed subtest must not count as a failure.
 
-        Sequence: a test tells of its parts; each part that holds is told too.
-        Cause: counting whatever is not the word "passed" as a failure.
+        nose2 reports each subtest with the outcome "subtest".  Counting every outcome except
+        "passed" as a failure made a run without failures fail.
         """
         good = SimpleNamespace(outcome='subtest', exc_info=None)
         bad = SimpleNamespace(outcome='subtest', exc_info=(AssertionError, AssertionError(), None))
@@ -33,22 +33,21 @@
         self.assertEqual(Verdict.FAILED, classify_outcome(bad, known_red=False))
 
     def test_known_red(self) -> None:
-        """A known failure is passed over; one that passes has to leave the list."""
+        """A known failure is ignored; a listed test that passes counts as a failure."""
         failed = SimpleNamespace(outcome='failed', expected=False)
         passed = SimpleNamespace(outcome='passed', expected=True)
         self.assertEqual(Verdict.IGNORED, classify_outcome(failed, known_red=True))
         self.assertEqual(Verdict.FAILED, classify_outcome(passed, known_red=True))
 
-    def test_lines_name_their_test(self) -> None:
-        """The first word of a line, up to the comma, is the test's id."""
+    def test_known_red_lines_are_keyed_by_test_id(self) -> None:
+        """The part of a line before the first comma is the test id."""
         lines = parse_known_red('tests.a.B.test_c, slow link, issue 9\n\n')
         self.assertEqual({'tests.a.B.test_c': 'tests.a.B.test_c, slow link, issue 9'}, lines)
 
-    def test_a_module_that_ends_without_counts_has_failed(self) -> None:
-        """Symptom: a run is green though a module was not run.
+    def test_a_module_without_counts_has_failed(self) -> None:
+        """A module that cannot be imported or whose process is killed counts as a failure.
 
-        Sequence: a module can't be imported, or its process is killed.
-        Cause: adding up only what was counted.
+        Adding up only the printed counts made a run pass although a module had not run.
         """
         self.assertEqual(Counts(0, 1), parse_counts('Segmentation fault\n', -11))
         self.assertEqual(Counts(0, 1), parse_counts('', 0))
