--- a/src/bronzekeel/commands/output.py
+++ b/src/bronzekeel/commands/output.py
@@ -1,14 +1,14 @@
-"""Write what commands tell the operator."""
+"""Output of commands to the operator."""
 
 from sys import stderr, stdout
 
 
-def say(words: object = '') -> None:
-    """Write a line of result."""
-    stdout.write(f'{words}\n')
+def print_line(message: object = '') -> None:
+    """Write one line of the result to standard output."""
+    stdout.write(f'{message}\n')
     stdout.flush()
 
 
-def complain(words: object) -> None:
-    """Write a line about what went wrong."""
-    stderr.write(f'{words}\n')
+def print_error(message: object) -> None:
+    """Write one line about an error to standard error."""
+    stderr.write(f'{message}\n')
--- a/src/bronzekeel/demo/site.py
+++ b/src/bronzekeel/demo/site.py
@@ -1,4 +1,4 @@
-"""Set up the demo's site: platform, fabric, upstreams, nine balancers."""
+"""The demo's site: platform, fabric, callers, upstreams and balancers."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Site:
-    """Hold all parts of the demo and start or end them."""
+    """All parts of the demo, with methods to start and stop them."""
 
     random: Random
     platform: PlatformStandIn = field(default_factory=PlatformStandIn)
@@ -49,26 +49,26 @@
     draining: set[str] = field(default_factory=set)
     joined: set[str] = field(default_factory=set)
     fabric: FabricStandIn = field(init=False)
-    answer_to: tuple[str, int] = ('', 0)
+    reply_address: tuple[str, int] = ('', 0)
     submissions: int = 0
 
     def __post_init__(self) -> None:
-        """Give the fabric the site's randomness."""
+        """Create the fabric with the site's random generator."""
         self.fabric = FabricStandIn(self.random)
 
     async def open(self) -> None:
-        """Start everything but the balancers."""
+        """Start everything except the balancers."""
         await self.platform.open()
-        self.answer_to = await self.fabric.open()
+        self.reply_address = await self.fabric.open()
         for service, size in _SIZE_BY_SERVICE.items():
             for _ in range(size):
                 await self.add_upstream(service)
 
     async def add_upstream(self, service: str) -> str:
-        """Start one more upstream of a service; return its endpoint."""
+        """Start another upstream of a service; return its endpoint."""
         address = _ADDRESS_BY_FLOW_SERVICE.get(service)
         if address is not None:
-            flow = FlowUpstream(address, self.answer_to)
+            flow = FlowUpstream(address, self.reply_address)
             endpoint = await flow.open()
             while endpoint in self._endpoints():
                 flow.close()
@@ -90,7 +90,7 @@
         )
 
     async def add_balancer(self, settings: Settings) -> None:
-        """Start a balancer and list it at the platform, the fabric and the callers."""
+        """Start a balancer and register it with the platform, the fabric and the callers."""
         balancer = Balancer(settings)
         host = await balancer.start()
         self.balancers[host.name] = balancer
@@ -100,11 +100,11 @@
         self.caller.add(host.name, host.address, host.callers)
 
     def list_hosts(self) -> None:
-        """Write the platform's list of hosts."""
+        """Write the list of hosts to the platform."""
         self.platform.put(HOSTS_KEY, encode(tuple(self.hosts.values())))
 
-    def unlist(self, name: str) -> None:
-        """Take a balancer from the list, the fabric and the callers."""
+    def remove_balancer(self, name: str) -> None:
+        """Remove a balancer from the list of hosts, the fabric and the callers."""
         self.hosts.pop(name, None)
         self.list_hosts()
         self.fabric.balancers.pop(name, None)
@@ -120,7 +120,7 @@
                 kind='flow' if flow else 'request',
                 address=address[0],
                 port=address[1] or 8000 + len(services),
-                upstreams=self._placed(name),
+                upstreams=self._upstreams_by_centre(name),
                 idempotent=name == CHECKS,
                 idle_s=_IDLE_S,
                 buckets=256,
@@ -139,7 +139,7 @@
             )
 
     async def close(self) -> None:
-        """End everything that still runs."""
+        """Stop everything that is still running."""
         self.caller.close()
         for balancer in self.balancers.values():
             await balancer.close()
@@ -155,22 +155,22 @@
     def _endpoints(self) -> set[str]:
         """Return the endpoints of all upstreams.
 
-        Ports for datagrams and for streams are given out each for themselves, so an upstream of
-        requests may get the number of a flow's; a text with both is refused.
+        UDP and TCP ports are allocated independently, so a request upstream may get the port
+        number of a flow upstream; a text that contains both is refused.
         """
         endpoints: set[str] = set()
         for kind in (self.flow_upstreams, self.request_upstreams):
             endpoints.update(*kind.values())
         return endpoints
 
-    def _placed(self, service: str) -> dict[str, tuple[UpstreamText, ...]]:
+    def _upstreams_by_centre(self, service: str) -> dict[str, tuple[UpstreamText, ...]]:
         endpoints = self.flow_upstreams.get(service) or self.request_upstreams[service]
-        placed: dict[str, list[UpstreamText]] = {}
+        by_centre: dict[str, list[UpstreamText]] = {}
         for index, endpoint in enumerate(endpoints):
             centre = CENTRES[index % len(CENTRES)]
             state = 'draining' if endpoint in self.draining else 'active'
             member = _MEMBERS[index % len(_MEMBERS)]
-            placed.setdefault(centre, []).append(
+            by_centre.setdefault(centre, []).append(
                 UpstreamText(endpoint, state=state, member=member),  # type: ignore[arg-type]
             )
-        return {centre: tuple(listed) for centre, listed in placed.items()}
+        return {centre: tuple(listed) for centre, listed in by_centre.items()}
--- a/src/bronzekeel/report/burn.py
+++ b/src/bronzekeel/report/burn.py
@@ -1,8 +1,8 @@
-"""Compute service-level burn from recorded outcomes.
+"""Error-budget burn rates computed from recorded outcomes.
 
-A request is good when it was answered.  The burn rate of a window is its share
-of bad requests over the share that the objective allows: at 1 the budget
-lasts exactly the period, at 14 a thirty-day budget is gone in two days.
+A request is good if it was answered.  The burn rate of a window is its share of bad requests
+divided by the share that the objective allows: at 1 the budget lasts exactly the period, at 14 a
+thirty-day budget is spent in two days.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,10 @@
 
 
 class Objective(Struct, frozen=True):
-    """Hold the objective: a share of good requests over a period in seconds."""
+    """Service-level objective: the share of good requests over a period, in seconds.
+
+    `fast_s` and `slow_s` are the lengths of the two burn-rate windows in seconds.
+    """
 
     target: float = 0.999
     period_s: float = _PERIOD_DAYS * DAY_S
@@ -26,13 +29,13 @@
     slow_s: float = 6 * HOUR_S
 
     @property
-    def allowed(self) -> float:
+    def error_budget(self) -> float:
         """Share of requests that may be bad."""
         return 1 - self.target
 
 
 class Burn(Struct, frozen=True):
-    """Hold the burn of one service and caller group at the newest outcome."""
+    """Burn rates of one service and caller group at the time of the newest outcome."""
 
     service: str
     group: str
@@ -44,8 +47,8 @@
     bad_by_kind: dict[str, int]
 
 
-def burns(lines: Iterable[OutcomeLine], objective: Objective) -> list[Burn]:
-    """Return the burn per service and per caller group, '' for all groups."""
+def compute_burns(lines: Iterable[OutcomeLine], objective: Objective) -> list[Burn]:
+    """Return the burn per service and caller group; the group '' stands for all callers."""
     lines_by_key: dict[tuple[str, str], list[OutcomeLine]] = {}
     newest = float(0)
     for line in lines:
@@ -64,11 +67,11 @@
 ) -> Burn:
     recent = [line for line in lines if line.at > newest - objective.period_s]
     bad = [line for line in recent if line.outcome != 'answered']
-    kinds: dict[str, int] = {}
+    count_by_kind: dict[str, int] = {}
     for line in bad:
-        word = f'{line.outcome}.{line.kind}'
-        kinds[word] = kinds.get(word, 0) + 1
-    allowed = objective.allowed * max(1, len(recent))
+        key_of_kind = f'{line.outcome}.{line.kind}'
+        count_by_kind[key_of_kind] = count_by_kind.get(key_of_kind, 0) + 1
+    allowed = objective.error_budget * max(1, len(recent))
     return Burn(
         service=key[0],
         group=key[1],
@@ -77,7 +80,7 @@
         fast=burn_rate(recent, newest - objective.fast_s, newest, objective),
         slow=burn_rate(recent, newest - objective.slow_s, newest, objective),
         budget_left=round(1 - len(bad) / allowed, 4),
-        bad_by_kind=kinds,
+        bad_by_kind=count_by_kind,
     )
 
 
@@ -87,9 +90,9 @@
     until: float,
     objective: Objective,
 ) -> float:
-    """Return the burn rate of a window, zero when nothing was asked in it."""
+    """Return the burn rate of a window, or zero if no request ended in it."""
     inside = [line for line in lines if since < line.at <= until]
     if not inside:
         return 0
     bad = sum(line.outcome != 'answered' for line in inside)
-    return round(bad / len(inside) / objective.allowed, 2)
+    return round(bad / len(inside) / objective.error_budget, 2)
