--- a/src/bronzekeel/bench/baselines.py
+++ b/src/bronzekeel/bench/baselines.py
@@ -13,7 +13,7 @@
 from bronzekeel.core.events import Packet
 from bronzekeel.core.messages import HostEntry
 from bronzekeel.core.steering.assignment import assign
-from bronzekeel.replay.sinks import Sink, Sprayed
+from bronzekeel.replay.sinks import Sink, SprayedFleet
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
         return upstream
 
 
-class BaselineFleet(Sprayed):
+class BaselineFleet(SprayedFleet):
     """Run lone balancers in virtual time, with the operations of ``Fleet``."""
 
     def __init__(
--- a/src/bronzekeel/bench/demand_moments.py
+++ b/src/bronzekeel/bench/demand_moments.py
@@ -27,7 +27,7 @@
     'watch',
     FEED.key,
     work_s=0.034,
-    aim_s=_AIM_S,
+    target_s=_AIM_S,
     timeout_s=_TIMEOUT_S,
     late_worth=0.1,
     priority=2,
@@ -88,7 +88,7 @@
         """Plan the requests of one kind, `usual` a second."""
         rate_of = partial(self.rate_of, usual=usual)
         if kind.keeps_flow:
-            load.ask_from(clients, rate_of, self.lasting_s, kind)
+            load.send_from_clients(clients, rate_of, self.lasting_s, kind)
             return
         load.arrive(rate_of, self.lasting_s, kind)
 
@@ -119,8 +119,8 @@
     def disturb(self, load: FlowLoad) -> None:
         """Slow every third one down."""
         for server in list(load.server_by_name.values())[::3]:
-            load.fleet.at(4, partial(server.work_at, 1 / 3))
-            load.fleet.at(10, partial(server.work_at, 1))
+            load.fleet.at(4, partial(server.set_speed, 1 / 3))
+            load.fleet.at(10, partial(server.set_speed, 1))
 
 
 class LongTail(DemandMoment):
@@ -157,7 +157,7 @@
         crowd = clients[0]
         crowd.caller.crowd = True
         more = usual * (self._times - 1) / len(clients)
-        load.ask_from([crowd], lambda at_s: more, self._ends_s, kind, self._begins_s)
+        load.send_from_clients([crowd], lambda at_s: more, self._ends_s, kind, self._begins_s)
 
 
 class _ByCentre(DemandMoment):
@@ -177,7 +177,7 @@
             rate_of = self.rate_in(place, usual / len(CENTRES))
             if kind.keeps_flow:
                 own = [client for client in clients if client.caller.centre == centre]
-                load.ask_from(own, rate_of, self.lasting_s, kind)
+                load.send_from_clients(own, rate_of, self.lasting_s, kind)
                 continue
             load.arrive(rate_of, self.lasting_s, kind, centre)
 
--- a/src/bronzekeel/bench/load_ceiling.py
+++ b/src/bronzekeel/bench/load_ceiling.py
@@ -146,7 +146,7 @@
 
 def _worth_of(request: _Asked, answered_at: float) -> float:
     kind = request.kind
-    return kind.worth if answered_at <= request.at_s + kind.aim_s else kind.late_worth
+    return kind.worth if answered_at <= request.at_s + kind.target_s else kind.late_worth
 
 
 def _best(waiting: list[_Asked], now: float, speed: float, way_s: float) -> _Asked | None:
@@ -154,7 +154,7 @@
     in_time = [
         request
         for request in waiting
-        if now + request.work_s / speed + way_s <= request.at_s + request.kind.aim_s
+        if now + request.work_s / speed + way_s <= request.at_s + request.kind.target_s
     ]
     if in_time:
         return max(in_time, key=lambda request: request.gain)
--- a/src/bronzekeel/bench/load_moments.py
+++ b/src/bronzekeel/bench/load_moments.py
@@ -21,7 +21,7 @@
     'urgent',
     SINGLE.key,
     work_s=0.052,
-    aim_s=0.25,
+    target_s=0.25,
     worth=2,
     late_worth=0.6,
 )
@@ -42,7 +42,7 @@
     server_kind: ClassVar[ServerKind] = ServerKind()
     kinds: ClassVar[tuple[RequestKind, ...]] = (SINGLE, FEED)
     dark: ClassVar[tuple[float, float]] = (0, 0)
-    late_s: ClassVar[float] = SINGLE.aim_s
+    late_s: ClassVar[float] = SINGLE.target_s
     lasting_s: float = 12
 
     def ask(self, load: FlowLoad) -> None:
@@ -50,7 +50,7 @@
         servers = len(load.server_by_name)
         usual = _SINGLE_SHARE * servers * load.server_kind.slots / SINGLE.work_s
         load.arrive(lambda at_s: self.rate_of(at_s, usual), self.lasting_s)
-        load.hold_flows(_USERS_PER_UPSTREAM * servers, self.lasting_s)
+        load.run_users(_USERS_PER_UPSTREAM * servers, self.lasting_s)
 
     def rate_of(self, at_s: float, usual: float) -> float:
         """Return the requests a second at a time of the moment."""
@@ -120,7 +120,7 @@
     def disturb(self, load: FlowLoad) -> None:
         """Silence the first one."""
         first = next(iter(load.server_by_name))
-        load.fleet.at(3, partial(load.silence_server, first, _LAPSE_S))
+        load.fleet.at(3, partial(load.fail_server, first, _LAPSE_S))
 
 
 class Release(Moment):
@@ -233,7 +233,7 @@
     def disturb(self, load: FlowLoad) -> None:
         """Silence every third one."""
         for name in list(load.server_by_name)[::3]:
-            load.fleet.at(2, partial(load.silence_server, name, _LAPSE_S))
+            load.fleet.at(2, partial(load.fail_server, name, _LAPSE_S))
 
 
 class OverloadRestart(Overload):
--- a/src/bronzekeel/bench/placement.py
+++ b/src/bronzekeel/bench/placement.py
@@ -20,7 +20,7 @@
 from bronzekeel.bench.load_policies import EQUAL, POLICIES, PRODUCT
 from bronzekeel.bench.quantiles import quantile
 from bronzekeel.replay.flow_load import FlowLoad
-from bronzekeel.replay.load_callers import CALLER_S
+from bronzekeel.replay.load_callers import CALLER_DELAY_S
 from bronzekeel.replay.routing_fleet import FleetPolicies
 
 
@@ -160,8 +160,8 @@
 
 def _figures_of(load: FlowLoad, moment: Moment, played_s: float) -> PlacementFigures:
     """Return what was felt, beside perfect sight."""
-    sight = PerfectSight(load.slots, 2 * CALLER_S, moment.dark)
-    kept = PerfectSight(load.slots, 2 * CALLER_S, moment.dark, keeps_flows=True)
+    sight = PerfectSight(load.slots, 2 * CALLER_DELAY_S, moment.dark)
+    kept = PerfectSight(load.slots, 2 * CALLER_DELAY_S, moment.dark, keeps_flows=True)
     tallies = list(load.tally_by_kind.values())
     latencies = [latency for tally in tallies for latency in tally.latencies]
     total = sum(len(tally.arrivals) for tally in tallies)
@@ -175,7 +175,7 @@
         p50=quantile(latencies, _P50),
         p99=quantile(latencies, _P99),
         late_share=(late + unanswered) / total,
-        copy_share=load.callers.waited_for_copy / max(load.callers.opened, 1),
+        copy_share=load.callers.opened_by_retransmission / max(load.callers.opened, 1),
         opened_twice=load.callers.opened_twice,
         failed=unanswered,
         imbalance=max(ran) * len(ran) / sum(ran),
@@ -198,7 +198,7 @@
 
 def _turned_away(load: FlowLoad) -> int:
     """Return how many requests upstreams turned away."""
-    return sum(server.turned_away for server in load.server_by_name.values())
+    return sum(server.rejected for server in load.server_by_name.values())
 
 
 def _failures(kind: type[Moment], by_policy: dict[str, PlacementFigures]) -> list[str]:
--- a/src/bronzekeel/demo/connection_ids.py
+++ b/src/bronzekeel/demo/connection_ids.py
@@ -101,7 +101,7 @@
             draining=draining,
             slots=_SLOTS,
         )
-        await self.store.tell()
+        await self.store.notify_watches()
 
     async def start(self, name: str) -> bool:
         """Start a balancer; return whether it was ready in time."""
--- a/src/bronzekeel/demo/counts.py
+++ b/src/bronzekeel/demo/counts.py
@@ -46,8 +46,10 @@
     """Return what callers and upstreams have seen."""
     caller = site.caller
     ran = _runs(site)
-    twice = sum(1 for told in caller.told if ran[told.request] > 1)
-    lied = sum(1 for told in caller.told if told.outcome == 'not_run' and told.request in ran)
+    twice = sum(1 for told in caller.request_results if ran[told.request] > 1)
+    lied = sum(
+        1 for told in caller.request_results if told.outcome == 'not_run' and told.request in ran
+    )
     flows = list(site.fabric.flow_by_key.values())
     broken = sum(flow.reset for flow in flows)
     misdelivered = sum(
@@ -56,20 +58,20 @@
         for flow in upstreams.values()
     )
     broken_promises = (broken_planned, misdelivered, twice, lied, late)
-    kept = not any(broken_promises) and not caller.cut and not caller.crossed
+    kept = not any(broken_promises) and not caller.cut and not caller.mismatched
     return Outcome(
         flows=len(flows),
         broken_flows_planned=broken_planned,
         broken_flows_unplanned=broken - broken_planned,
         misdelivered=misdelivered,
-        requests=len(caller.told),
+        requests=len(caller.request_results),
         answered=caller.outcomes['answered'],
         not_run=caller.outcomes['not_run'],
         unknown=caller.outcomes['unknown'],
         ran_twice=twice,
         not_run_but_ran=lied,
         cut_answers=caller.cut,
-        crossed_answers=caller.crossed,
+        crossed_answers=caller.mismatched,
         late_flows_on_leaving=late,
         imbalance=_imbalance(site),
         text_in_force_s=[round(seconds, 3) for seconds in in_force_s],
--- a/src/bronzekeel/replay/fleet.py
+++ b/src/bronzekeel/replay/fleet.py
@@ -24,12 +24,12 @@
 from bronzekeel.core.messages import HostEntry, JournalPart, Message, TextBody
 from bronzekeel.core.reducer import packet_verdict, reduce
 from bronzekeel.core.state import BalancerState
-from bronzekeel.replay.sinks import Sink, Sprayed
+from bronzekeel.replay.sinks import Sink, SprayedFleet
 from bronzekeel.wire import encode, sent_bytes
 
 
 #: Time that a text takes to reach a watcher or a peer, at most.
-_TEXT_S = 0.05
+_MAX_TEXT_DELAY_S = 0.05
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
         return self.state.members.me.name
 
 
-class Fleet(Sprayed):
+class Fleet(SprayedFleet):
     """Run balancers' reducers against each other in virtual time."""
 
     def __init__(
@@ -144,7 +144,7 @@
             return
         for node in self.running:
             if node.state.rollout.watching or not node.state.rollout.generation:
-                self._tell_text(node, catalogue)
+                self._send_text(node, catalogue)
 
     def deliver(self, node: Node, event: Event) -> None:
         """Reduce an event on a node, now or when it wakes."""
@@ -154,7 +154,7 @@
             self.at(node.paused_until - self.now, lambda: self.deliver(node, event))
             return
         for effect in reduce(node.state, event, self.now + node.clock_skew):
-            self._carry_out(node, effect)
+            self._apply_effect(node, effect)
 
     def platform_back(self) -> None:
         """End a platform outage: watchers read what they missed."""
@@ -175,17 +175,17 @@
         now = self.now + node.clock_skew
         verdict = packet_verdict(node.state, packet, now)
         if verdict is not None:
-            self._follow(node, packet, verdict)
+            self._apply_verdict(node, packet, verdict)
             return
         for effect in reduce(node.state, PacketArrived(packet), now):
             if isinstance(effect, (Forward, Hand, Drop)):
-                self._follow(node, packet, effect)
+                self._apply_verdict(node, packet, effect)
             else:
-                self._carry_out(node, effect)
+                self._apply_effect(node, effect)
 
-    def _tell_text(self, node: Node, catalogue: Catalogue) -> None:
+    def _send_text(self, node: Node, catalogue: Catalogue) -> None:
         event = TextAccepted(catalogue, from_platform=True)
-        delay_s = self.random.random() * _TEXT_S + node.view_lag_s
+        delay_s = self.random.random() * _MAX_TEXT_DELAY_S + node.view_lag_s
         self.at(delay_s, lambda: self.deliver(node, event))
 
     def _tick(self, node: Node) -> None:
@@ -202,19 +202,19 @@
 
     def _read_platform(self, node: Node) -> None:
         if self.platform_up and self.newest is not None:
-            self._tell_text(node, self.newest)
+            self._send_text(node, self.newest)
 
-    def _carry_out(self, node: Node, effect: Effect) -> None:
+    def _apply_effect(self, node: Node, effect: Effect) -> None:
         if isinstance(effect, Say):
-            self._say(node, effect.host, effect.message)
+            self._send(node, effect.host, effect.message)
         elif isinstance(effect, InForce):
             node.in_force_at[effect.generation] = self.now
         elif isinstance(effect, Stopped):
             node.dead = True
         elif not isinstance(effect, Log):
-            self.sink.carried_out(effect, node.name)
+            self.sink.effect_emitted(effect, node.name)
 
-    def _say(self, node: Node, host: str, message: Message) -> None:
+    def _send(self, node: Node, host: str, message: Message) -> None:
         size = sent_bytes(message, encode(message))
         node.bytes_by_kind[type(message).__name__] += size
         peer = self.by_name.get(host)
@@ -227,7 +227,7 @@
             delay_s += peer.view_lag_s
         self.at(delay_s, lambda: self.deliver(peer, PeerSaid(message)))
 
-    def _follow(self, node: Node, packet: Packet, verdict: Forward | Hand | Drop) -> None:
+    def _apply_verdict(self, node: Node, packet: Packet, verdict: Forward | Hand | Drop) -> None:
         node.verdicts[type(verdict).__name__] += 1
         if isinstance(verdict, Forward):
             self.sink.forwarded(packet, verdict.upstream)
--- a/src/bronzekeel/replay/flow_load.py
+++ b/src/bronzekeel/replay/flow_load.py
@@ -44,7 +44,7 @@
     caller: Caller
     idle_by_kind: dict[str, list[Flow]] = field(default_factory=dict)
 
-    def idle_for(self, kind: RequestKind) -> list[Flow]:
+    def idle_flows(self, kind: RequestKind) -> list[Flow]:
         """Return the idle flows for one kind of request, none for one that opens a flow each."""
         if not kind.keeps_flow:
             return []
@@ -126,7 +126,7 @@
         """List one more upstream."""
         number = len(self.server_by_name) + 1
         server = Server(self.fleet, f'i-{number}', centre, self.server_kind)
-        server.work_at(self.server_kind.speed_of(number))
+        server.set_speed(self.server_kind.speed_of(number))
         cold_s = self.server_kind.cold_s if cold else 0
         server.cold_until = self.fleet.now + cold_s
         self.server_by_name[server.name] = server
@@ -139,7 +139,7 @@
         server.left_at = self.fleet.now
         self._put(server, int(name.removeprefix('i-')), draining=True)
 
-    def silence_server(self, name: str, unlisted_after_s: float) -> None:
+    def fail_server(self, name: str, unlisted_after_s: float) -> None:
         """Let an upstream fall silent for good; its entry lapses later."""
         server = self.server_by_name[name]
         server.silent = True
@@ -158,7 +158,7 @@
         They come from the callers of all data centres, or of one `centre`.
         """
         for at_s in self._arrivals(rate_of, lasting_s):
-            self.fleet.at(at_s, partial(self._arrive, kind, centre or self._any_centre()))
+            self.fleet.at(at_s, partial(self._arrive, kind, centre or self._random_centre()))
 
     def ask_from_clients(
         self,
@@ -168,14 +168,14 @@
         kind: RequestKind = FEED,
     ) -> None:
         """Let requests arrive at random at so many new clients."""
-        self.ask_from(self.add_clients(clients), rate_of, lasting_s, kind)
+        self.send_from_clients(self.add_clients(clients), rate_of, lasting_s, kind)
 
     def add_clients(self, clients: int, centre: str | None = None) -> list[Client]:
         """Add clients in all data centres by their weights, or in one of them."""
         centres = cycle([centre] if centre else self._centre_by_weight)
         return [Client(self.caller_list.add(next(centres))) for _ in range(clients)]
 
-    def ask_from(
+    def send_from_clients(
         self,
         clients: list[Client],
         rate_of: Callable[[float], float],
@@ -189,17 +189,17 @@
         """
         for at_s in self._arrivals(rate_of, lasting_s, begins_s):
             client = self.fleet.random.choice(clients)
-            self.fleet.at(at_s, partial(self._ask_from, kind, client))
+            self.fleet.at(at_s, partial(self._send_from_client, kind, client))
 
-    def hold_flows(self, users: int, lasting_s: float, kind: RequestKind = SINGLE) -> None:
+    def run_users(self, users: int, lasting_s: float, kind: RequestKind = SINGLE) -> None:
         """Let users send request after request on long flows, for some time."""
         until = self.fleet.now + lasting_s
         for number in range(users):
             centre = self._centre_by_weight[number % len(self._centre_by_weight)]
             delay_s = self.fleet.random.uniform(0, _PAUSE_S)
             caller = self.caller_list.add(centre)
-            ask = partial(self._ask_on, kind, caller, None, _FLOW_REQUESTS, until)
-            self.fleet.at(delay_s, ask)
+            send_first = partial(self._send_next, kind, caller, None, _FLOW_REQUESTS, until)
+            self.fleet.at(delay_s, send_first)
 
     def _arrivals(
         self,
@@ -214,7 +214,7 @@
             at_s += self.fleet.random.expovariate(rate_of(at_s))
         return arrivals
 
-    def _any_centre(self) -> str:
+    def _random_centre(self) -> str:
         return self.fleet.random.choice(self._centre_by_weight)
 
     def _put(
@@ -225,7 +225,7 @@
         draining: bool = False,
         cold_s: float = 0,
     ) -> None:
-        def made(revision: int) -> UpstreamEntry:  # noqa: WPS430 (the revision is known later)
+        def entry_at(revision: int) -> UpstreamEntry:  # noqa: WPS430 (the revision is known later)
             return UpstreamEntry(
                 name=server.name,
                 number=number,
@@ -238,23 +238,23 @@
                 revision=revision,
             )
 
-        self.fleet.store.put(Collection.UPSTREAMS, server.name, made)
-        self.fleet.tell_watches()
+        self.fleet.store.put(Collection.UPSTREAMS, server.name, entry_at)
+        self.fleet.notify_watches()
 
     def _remove(self, name: str) -> None:
         self.fleet.store.remove(Collection.UPSTREAMS, name)
-        self.fleet.tell_watches()
+        self.fleet.notify_watches()
 
     def _arrive(self, kind: RequestKind, centre: str) -> None:
         """Send a request of the next caller of a data centre on a flow of its own."""
-        self._begin(kind, self.caller_list.next_of(centre), None, _forget)
+        self._begin(kind, self.caller_list.next_of(centre), None, _discard)
 
-    def _ask_from(self, kind: RequestKind, client: Client) -> None:
+    def _send_from_client(self, kind: RequestKind, client: Client) -> None:
         """Send a request of a client on one of its idle flows or a new one."""
-        idle = client.idle_for(kind)
+        idle = client.idle_flows(kind)
         flow = idle.pop() if idle else None
 
-        def keep(used: Flow | None) -> None:  # noqa: WPS430 (holds the client's flows)
+        def retain(used: Flow | None) -> None:  # noqa: WPS430 (holds the client's flows)
             if used is None or used.ended:
                 return
             if used.carried == kind.flow_requests:
@@ -262,27 +262,29 @@
                 return
             idle.append(used)
 
-        self._begin(kind, client.caller, flow, keep)
+        self._begin(kind, client.caller, flow, retain)
 
-    def _ask_on(
+    def _send_next(
         self,
         kind: RequestKind,
         caller: Caller,
         flow: Flow | None,
-        left: int,
+        remaining_requests: int,
         until: float,
     ) -> None:
         """Send the next request of a user, on its open flow or a new one."""
         if self.fleet.now >= until:
             return
         pause_s = self.fleet.random.expovariate(1 / _PAUSE_S)
-        remaining = left - 1 or _FLOW_REQUESTS
+        next_remaining = remaining_requests - 1 or _FLOW_REQUESTS
 
-        def go_on(used: Flow | None) -> None:  # noqa: WPS430 (holds the user's place)
-            kept = used if left > 1 else None
-            self.fleet.at(pause_s, partial(self._ask_on, kind, caller, kept, remaining, until))
+        def schedule_next(used: Flow | None) -> None:  # noqa: WPS430 (holds the user's place)
+            kept = used if remaining_requests > 1 else None
+            self.fleet.at(
+                pause_s, partial(self._send_next, kind, caller, kept, next_remaining, until)
+            )
 
-        self._begin(kind, caller, flow, go_on)
+        self._begin(kind, caller, flow, schedule_next)
 
     def _begin(
         self,
@@ -299,5 +301,5 @@
         self.callers.send(Request(tally, caller, self.fleet.now, work_s, then), flow)
 
 
-def _forget(flow: Flow | None) -> None:
+def _discard(flow: Flow | None) -> None:
     """Go on with nothing after a single request."""
--- a/src/bronzekeel/replay/load_addresses.py
+++ b/src/bronzekeel/replay/load_addresses.py
@@ -8,7 +8,7 @@
 _FIRST_ADDRESS = 10 << 24
 _ADDRESS_BYTES = 4
 _PORT_BYTES = 2
-_MOST_PORT = 0xFFFF
+_MAX_PORT = 0xFFFF
 
 
 class Caller:
@@ -23,7 +23,7 @@
     def __init__(self, number: int, centre: str) -> None:
         """Give the caller the address with a running number."""
         self._address = (_FIRST_ADDRESS + number).to_bytes(_ADDRESS_BYTES, 'big')
-        self._ports = cycle(range(1, _MOST_PORT + 1))
+        self._ports = cycle(range(1, _MAX_PORT + 1))
         self.centre = centre
         self.crowd = False
         self.asked = 0
@@ -79,7 +79,7 @@
 
     def late_share(self, *, crowd: bool) -> float:
         """Return the share of requests without an answer in time, of crowds or of others."""
-        chosen = [caller for caller in self.callers if caller.crowd is crowd]
-        asked = sum(caller.asked for caller in chosen)
-        in_time = sum(caller.in_time for caller in chosen)
-        return 1 - in_time / asked if asked else 0
+        selected = [caller for caller in self.callers if caller.crowd is crowd]
+        sent = sum(caller.asked for caller in selected)
+        in_time = sum(caller.in_time for caller in selected)
+        return 1 - in_time / sent if sent else 0
--- a/src/bronzekeel/replay/load_callers.py
+++ b/src/bronzekeel/replay/load_callers.py
@@ -18,22 +18,22 @@
 
 
 #: One way between a caller and a host, and within and between data centres, seconds.
-CALLER_S = 0.003
-_NEAR_S = 0.0001
-_FAR_S = 0.0014
+CALLER_DELAY_S = 0.003
+_LOCAL_HOP_S = 0.0001
+_REMOTE_HOP_S = 0.0014
 
 #: When callers repeat an opening packet, and when they give the attempt up, seconds.
-_COPIES_S = (0.2, 0.6)
-_GIVE_UP_S = 1.4
+_OPENING_RETRANSMITS_S = (0.2, 0.6)
+_OPENING_TIMEOUT_S = 1.4
 
 #: When callers repeat a request that their flow's upstream did not get, seconds.
-_REPEATS_S = (0.2, 0.6, 1.4)
+_REQUEST_RETRANSMITS_S = (0.2, 0.6, 1.4)
 
 #: Attempts at a request, and the seconds before the next one: at once when a flow was
 #: refused, after a short and random wait when an upstream turned the request away.
-_MOST_ATTEMPTS = 3
-_AFTER_REFUSAL_S = 0.001
-_AFTER_TURNED_AWAY_S = (0.005, 0.05)
+_MAX_ATTEMPTS = 3
+_REFUSAL_BACKOFF_S = 0.001
+_REJECTION_BACKOFF_S = (0.005, 0.05)
 
 #: Bytes of a request and of an upstream's word that it turned one away.
 _REQUEST_BYTES = 200
@@ -43,7 +43,7 @@
 class RequestKind:
     """Say what callers ask for.
 
-    `key` is the route's address and port.  An answer within `aim_s` earns `worth`, a later one
+    `key` is the route's address and port.  An answer within `target_s` earns `worth`, a later one
     `late_worth`; callers give up after `timeout_s`.  `keeps_flow` tells that they ask on open
     flows where they have some, each of which they close after `flow_requests`, zero for never.
     `tail_share` of the requests take `tail_factor` times as long.  The route states
@@ -54,7 +54,7 @@
     key: bytes
     work_s: float = 0.045
     work_spread: float = 0.5
-    aim_s: float = 0.2
+    target_s: float = 0.2
     timeout_s: float = 2.0
     worth: float = 1
     late_worth: float = 0.3
@@ -99,7 +99,7 @@
     @property
     def in_time(self) -> int:
         """Number of requests that were answered in time."""
-        return sum(latency <= self.kind.aim_s for latency in self.latencies)
+        return sum(latency <= self.kind.target_s for latency in self.latencies)
 
     @property
     def earned(self) -> float:
@@ -116,7 +116,7 @@
 class Request:
     """Hold one request from its caller's first attempt to its end."""
 
-    __slots__ = ('attempts', 'begun_at', 'caller', 'ended', 'tally', 'then', 'work_s')
+    __slots__ = ('attempts', 'begun_at', 'caller', 'ended', 'on_done', 'tally', 'work_s')
 
     def __init__(
         self,
@@ -124,14 +124,14 @@
         caller: Caller,
         begun_at: float,
         work_s: float,
-        then: Callable[['Flow | None'], None],
+        on_done: Callable[['Flow | None'], None],
     ) -> None:
         """Begin; `then` goes on with the flow that answered, None when the request failed."""
         self.tally = tally
         self.caller = caller
         self.begun_at = begun_at
         self.work_s = work_s
-        self.then = then
+        self.on_done = on_done
         self.attempts = 0
         self.ended = False
 
@@ -182,10 +182,10 @@
         `crossed` has when flows were opened in another data centre, from where and to where.
         """
         self.fleet = fleet
-        self.waited_for_copy = 0
+        self.opened_by_retransmission = 0
         self.opened = 0
         self.opened_twice = 0
-        self.crossed: list[tuple[float, str, str]] = []
+        self.remote_opens: list[tuple[float, str, str]] = []
         self._names_by_centre = names_by_centre
         self._server_by_name = server_by_name
 
@@ -194,31 +194,33 @@
         if flow is None:
             self._open(request)
             return
-        self.fleet.at(request.tally.kind.timeout_s, partial(self._give_up_on, request, flow))
-        self._ask(flow, request)
+        self.fleet.at(
+            request.tally.kind.timeout_s, partial(self._on_request_timeout, request, flow)
+        )
+        self._send_on_flow(flow, request)
 
     def close(self, flow: Flow) -> None:
         """Close a flow."""
         flow.ended = True
         flow.sequence += 1
         packet = self._packet(flow, 0, closes=True)
-        self.fleet.at(CALLER_S, partial(self._steer, flow, packet, _ignore))
+        self.fleet.at(CALLER_DELAY_S, partial(self._steer, flow, packet, _ignore))
 
     def _open(self, request: Request) -> None:
         """Open a flow for a request, again and again for as long as callers do."""
         if request.ended:
             return
-        given_up = self.fleet.now >= request.begun_at + request.tally.kind.timeout_s
-        if request.attempts >= _MOST_ATTEMPTS or given_up:
+        is_expired = self.fleet.now >= request.begun_at + request.tally.kind.timeout_s
+        if request.attempts >= _MAX_ATTEMPTS or is_expired:
             self._fail(request)
             return
         request.attempts += 1
         caller = request.caller
         flow = Flow(caller, request.tally.kind.key, self._host_in(caller.centre))
         self._send_opening(flow, request, 0)
-        for copy, delay_s in enumerate(_COPIES_S, start=1):
+        for copy, delay_s in enumerate(_OPENING_RETRANSMITS_S, start=1):
             self.fleet.at(delay_s, partial(self._send_opening, flow, request, copy))
-        self.fleet.at(_GIVE_UP_S, partial(self._give_up_opening, flow, request))
+        self.fleet.at(_OPENING_TIMEOUT_S, partial(self._on_opening_timeout, flow, request))
 
     def _host_in(self, centre: str) -> str:
         """Return a host that takes packets, any of them when none does."""
@@ -231,14 +233,14 @@
             return
         request.ended = True
         request.tally.refused += 1
-        request.then(None)
+        request.on_done(None)
 
-    def _give_up_opening(self, flow: Flow, request: Request) -> None:
+    def _on_opening_timeout(self, flow: Flow, request: Request) -> None:
         if flow.server is None and not flow.ended:
             flow.ended = True
             self._open(request)
 
-    def _give_up_on(self, request: Request, flow: Flow) -> None:
+    def _on_request_timeout(self, request: Request, flow: Flow) -> None:
         """Close the flow of a request that was not answered in time to be of use."""
         if request.ended:
             return
@@ -249,12 +251,14 @@
         if flow.server is not None or flow.ended:
             return
         packet = FlowPacket(flow.key, flow.key[-6:], 0, 1, copy, 0, opens=True, copy=copy)
-        took = partial(self._take_opening, flow, request, copy)
-        self.fleet.at(CALLER_S, partial(self._steer, flow, packet, took))
+        on_verdict = partial(self._on_opening_verdict, flow, request, copy)
+        self.fleet.at(CALLER_DELAY_S, partial(self._steer, flow, packet, on_verdict))
 
-    def _take_opening(self, flow: Flow, request: Request, copy: int, verdict: Verdict) -> None:
+    def _on_opening_verdict(
+        self, flow: Flow, request: Request, copy: int, verdict: Verdict
+    ) -> None:
         if isinstance(verdict, Reset):
-            self.fleet.at(CALLER_S, partial(self._note_refused, flow, request))
+            self.fleet.at(CALLER_DELAY_S, partial(self._on_refused, flow, request))
             return
         if not isinstance(verdict, Deliver):
             return
@@ -262,18 +266,18 @@
         if server.silent:
             return
         flow.opened_by.add(server.name)
-        delay_s = CALLER_S + self._hop_s(flow, server)
+        delay_s = CALLER_DELAY_S + self._hop_s(flow, server)
         connection_id = verdict.connection_id
-        opened = partial(self._note_open, flow, request, server, connection_id, copy)
+        opened = partial(self._on_opened, flow, request, server, connection_id, copy)
         self.fleet.at(delay_s, opened)
 
-    def _note_refused(self, flow: Flow, request: Request) -> None:
+    def _on_refused(self, flow: Flow, request: Request) -> None:
         if flow.server is not None or flow.ended:
             return
         flow.ended = True
-        self.fleet.at(_AFTER_REFUSAL_S, partial(self._open, request))
+        self.fleet.at(_REFUSAL_BACKOFF_S, partial(self._open, request))
 
-    def _note_open(
+    def _on_opened(
         self,
         flow: Flow,
         request: Request,
@@ -285,21 +289,21 @@
             self.opened_twice += len(flow.opened_by) > 1
             return
         self.opened += 1
-        home = self.fleet.node_by_name[flow.host].me.data_centre
-        if server.data_centre != home:
-            self.crossed.append((self.fleet.now, home, server.data_centre))
-        self.waited_for_copy += bool(copy)
+        local_centre = self.fleet.node_by_name[flow.host].me.data_centre
+        if server.data_centre != local_centre:
+            self.remote_opens.append((self.fleet.now, local_centre, server.data_centre))
+        self.opened_by_retransmission += bool(copy)
         flow.server = server
         flow.connection_id = connection_id
-        left_s = request.begun_at + request.tally.kind.timeout_s - self.fleet.now
-        self.fleet.at(max(left_s, 0), partial(self._give_up_on, request, flow))
-        self._ask(flow, request)
+        remaining_s = request.begun_at + request.tally.kind.timeout_s - self.fleet.now
+        self.fleet.at(max(remaining_s, 0), partial(self._on_request_timeout, request, flow))
+        self._send_on_flow(flow, request)
 
-    def _ask(self, flow: Flow, request: Request) -> None:
+    def _send_on_flow(self, flow: Flow, request: Request) -> None:
         """Send a request on an open flow, and again until its upstream has it."""
         flow.sequence += 1
         flow.reached = False
-        for delay_s in (0, *_REPEATS_S):
+        for delay_s in (0, *_REQUEST_RETRANSMITS_S):
             self.fleet.at(delay_s, partial(self._send_request, flow, request, flow.sequence))
 
     def _send_request(self, flow: Flow, request: Request, sequence: int) -> None:
@@ -307,54 +311,56 @@
         if flow.reached or flow.ended or flow.sequence != sequence:
             return
         packet = self._packet(flow, _REQUEST_BYTES)
-        took = partial(self._take_request, flow, request)
-        self.fleet.at(CALLER_S, partial(self._steer, flow, packet, took))
+        on_verdict = partial(self._on_request_verdict, flow, request)
+        self.fleet.at(CALLER_DELAY_S, partial(self._steer, flow, packet, on_verdict))
 
-    def _take_request(self, flow: Flow, request: Request, verdict: Verdict) -> None:
+    def _on_request_verdict(self, flow: Flow, request: Request, verdict: Verdict) -> None:
         if isinstance(verdict, Reset):
-            self.fleet.at(CALLER_S, partial(self._note_reset, flow, request))
+            self.fleet.at(CALLER_DELAY_S, partial(self._on_reset, flow, request))
             return
         if isinstance(verdict, Deliver):
             server = self._server_by_name[verdict.upstream.entry.name]
-            self.fleet.at(self._hop_s(flow, server), partial(self._reach, flow, request))
+            self.fleet.at(
+                self._hop_s(flow, server), partial(self._on_request_arrived, flow, request)
+            )
 
-    def _note_reset(self, flow: Flow, request: Request) -> None:
+    def _on_reset(self, flow: Flow, request: Request) -> None:
         if flow.ended:
             return
         flow.ended = True
-        self.fleet.at(_AFTER_REFUSAL_S, partial(self._open, request))
+        self.fleet.at(_REFUSAL_BACKOFF_S, partial(self._open, request))
 
-    def _reach(self, flow: Flow, request: Request) -> None:
+    def _on_request_arrived(self, flow: Flow, request: Request) -> None:
         if flow.server is None or flow.server.silent or flow.reached:
             return
         flow.reached = True
         if not request.ended:
-            flow.server.take(request.work_s, partial(self._answer, flow, request))
+            flow.server.serve(request.work_s, partial(self._send_answer, flow, request))
 
-    def _answer(self, flow: Flow, request: Request, ran: bool) -> None:  # noqa: FBT001
-        take = self._take_answer if ran else self._take_turned_away
-        self.fleet.at(CALLER_S, partial(take, flow, request))
+    def _send_answer(self, flow: Flow, request: Request, ran: bool) -> None:  # noqa: FBT001
+        handle = self._on_answered if ran else self._on_rejected
+        self.fleet.at(CALLER_DELAY_S, partial(handle, flow, request))
 
-    def _take_answer(self, flow: Flow, request: Request) -> None:
+    def _on_answered(self, flow: Flow, request: Request) -> None:
         self._acknowledge(flow)
         if request.ended:
             return
         request.ended = True
         flow.carried += 1
         latency_s = self.fleet.now - request.begun_at
-        request.caller.in_time += latency_s <= request.tally.kind.aim_s
+        request.caller.in_time += latency_s <= request.tally.kind.target_s
         request.tally.latencies.append(latency_s)
         request.tally.answered_at.append(self.fleet.now)
-        request.then(flow)
+        request.on_done(flow)
 
-    def _take_turned_away(self, flow: Flow, request: Request) -> None:
+    def _on_rejected(self, flow: Flow, request: Request) -> None:
         self._acknowledge(flow)
-        delay_s = self.fleet.random.uniform(*_AFTER_TURNED_AWAY_S)
+        delay_s = self.fleet.random.uniform(*_REJECTION_BACKOFF_S)
         self.fleet.at(delay_s, partial(self._open, request))
 
     def _acknowledge(self, flow: Flow) -> None:
         flow.acknowledged += 1
-        self.fleet.at(CALLER_S, partial(self._steer, flow, self._packet(flow, 0), _ignore))
+        self.fleet.at(CALLER_DELAY_S, partial(self._steer, flow, self._packet(flow, 0), _ignore))
 
     def _packet(self, flow: Flow, payload_bytes: int, *, closes: bool = False) -> FlowPacket:
         return FlowPacket(
@@ -367,16 +373,16 @@
             closes=closes,
         )
 
-    def _steer(self, flow: Flow, packet: FlowPacket, then: Callable[[Verdict], None]) -> None:
+    def _steer(self, flow: Flow, packet: FlowPacket, on_verdict: Callable[[Verdict], None]) -> None:
         """Give a packet to its host, to another one if that is down or its caller has moved."""
         node = self.fleet.node_by_name[flow.host]
         if not node.up or node.me.data_centre != flow.caller.centre:
             flow.host = self._host_in(flow.caller.centre)
-        self.fleet.steer(flow.host, packet, then)
+        self.fleet.steer(flow.host, packet, on_verdict)
 
     def _hop_s(self, flow: Flow, server: Server) -> float:
-        near = self.fleet.node_by_name[flow.host].me.data_centre == server.data_centre
-        return _NEAR_S if near else _FAR_S
+        is_local = self.fleet.node_by_name[flow.host].me.data_centre == server.data_centre
+        return _LOCAL_HOP_S if is_local else _REMOTE_HOP_S
 
 
 def _ignore(verdict: Verdict) -> None:
--- a/src/bronzekeel/replay/load_servers.py
+++ b/src/bronzekeel/replay/load_servers.py
@@ -64,10 +64,10 @@
         'left_at',
         'name',
         'ran',
+        'rejected',
         'silent',
         'slow',
         'speeds',
-        'turned_away',
     )
 
     def __init__(self, time: VirtualTime, name: str, data_centre: str, kind: ServerKind) -> None:
@@ -77,7 +77,7 @@
         self.data_centre = data_centre
         self.kind = kind
         self.ran = 0
-        self.turned_away = 0
+        self.rejected = 0
         self.began_at = time.now
         self.left_at = float('inf')
         self.slow: float = 1
@@ -98,7 +98,7 @@
         """Work that a slot does in a second."""
         return self.speeds[-1][1]
 
-    def work_at(self, speed: float) -> None:
+    def set_speed(self, speed: float) -> None:
         """Work at another speed from now on."""
         self.speeds.append((self._time.now, speed))
 
@@ -108,26 +108,26 @@
         slot = Slot(self.began_at - began_at, self.left_at - began_at, speeds, self.name)
         return [slot for _ in range(self.kind.slots)]
 
-    def take(self, work_s: float, done: Callable[[bool], None]) -> None:
+    def serve(self, work_s: float, done: Callable[[bool], None]) -> None:
         """Work on a request when there is a slot; tell `done` whether it ran."""
         if self.grey or self.silent:
             return
         if self._busy < self.kind.slots:
-            self._begin(work_s, done)
+            self._start(work_s, done)
             return
         if len(self._waiting) >= self.kind.queue:
-            self.turned_away += 1
+            self.rejected += 1
             done(False)  # noqa: FBT003 (the one thing that is told)
             return
-        self._waiting.append(partial(self._begin, work_s, done))
+        self._waiting.append(partial(self._start, work_s, done))
 
-    def _begin(self, work_s: float, done: Callable[[bool], None]) -> None:
+    def _start(self, work_s: float, done: Callable[[bool], None]) -> None:
         self._busy += 1
         self.ran += 1
         cold = self.kind.cold_factor if self._time.now < self.cold_until else 1
-        self._time.at(work_s * self.slow * cold / self.speed, partial(self._end, done))
+        self._time.at(work_s * self.slow * cold / self.speed, partial(self._finish, done))
 
-    def _end(self, done: Callable[[bool], None]) -> None:
+    def _finish(self, done: Callable[[bool], None]) -> None:
         self._busy -= 1
         if self._waiting:
             self._waiting.popleft()()
--- a/src/bronzekeel/replay/player.py
+++ b/src/bronzekeel/replay/player.py
@@ -29,10 +29,10 @@
 from bronzekeel.replay.traffic import FlowTraffic
 from bronzekeel.text.checks import catalogue_of
 
-_AFTERWARDS_S = 30.0
+_SETTLE_S = 30.0
 
 
-class _ByService(Sink):
+class _ServiceDispatch(Sink):
     """Pass packets on to the traffic of their service."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         """Tell the traffic that a packet was dropped."""
         self.by_key[packet.service].dropped(packet, reason)
 
-    def carried_out(self, effect: Effect, host: str) -> None:
+    def effect_emitted(self, effect: Effect, host: str) -> None:
         """Pass over all other effects."""
 
 
@@ -55,7 +55,7 @@
 
     def __init__(self, seed: int) -> None:
         """Start without balancers."""
-        self._sink = _ByService()
+        self._sink = _ServiceDispatch()
         self._fleet = Fleet((), seed, self._sink)
         self._traffic_by_service: dict[str, FlowTraffic] = {}
         self._generation = 0
@@ -77,12 +77,12 @@
     def play(self, happenings: list[Happening]) -> dict[str, float]:
         """Play a trace to some time after its last line; return the outcomes."""
         for happening in happenings:
-            self._fleet.at(happening.at, partial(self._act, happening.act))
+            self._fleet.at(happening.at, partial(self._apply_act, happening.act))
         last_at = max((item.at for item in happenings), default=0)
-        self._fleet.run(last_at + _AFTERWARDS_S)
-        return self._observe()
+        self._fleet.run(last_at + _SETTLE_S)
+        return self._outcomes()
 
-    def _act(self, act: Act) -> None:
+    def _apply_act(self, act: Act) -> None:
         """Carry out one act."""
         self._handlers[type(act)](act)
 
@@ -127,7 +127,7 @@
         else:
             self._fleet.platform_up = False
 
-    def _observe(self) -> dict[str, float]:
+    def _outcomes(self) -> dict[str, float]:
         """Return what callers and operators would have seen, by name."""
         traffics = list(self._traffic_by_service.values())
         states = [node.state for node in self._fleet.running]
@@ -152,11 +152,11 @@
         }
 
 
-def failed_outcomes(observed: dict[str, float], stated: dict[str, Bounds]) -> list[str]:
+def failed_outcomes(observed: dict[str, float], expected: dict[str, Bounds]) -> list[str]:
     """Return the names of the stated outcomes that were not observed."""
     failed = []
-    for name, bounds in stated.items():
-        figure = observed.get(name)
-        if figure is None or not bounds.least <= figure <= bounds.most:
+    for name, bounds in expected.items():
+        value = observed.get(name)
+        if value is None or not bounds.least <= value <= bounds.most:
             failed.append(name)
     return failed
--- a/src/bronzekeel/replay/recorded.py
+++ b/src/bronzekeel/replay/recorded.py
@@ -24,8 +24,8 @@
     try:
         head = decode(lines[0], type=TraceHead)
         events = [decode(line, type=TraceLine) for line in lines[1:]]
-    except (DecodeError, ValidationError) as fault:
-        raise TraceError(f'{path}: {fault}; record the trace again') from fault
+    except (DecodeError, ValidationError) as error:
+        raise TraceError(f'{path}: {error}; record the trace again') from error
     state = BalancerState.fresh(head.host, head.incarnation, head.at)
     effects: Counter[str] = Counter()
     for line in events:
--- a/src/bronzekeel/replay/request_traffic.py
+++ b/src/bronzekeel/replay/request_traffic.py
@@ -20,7 +20,7 @@
 
 
 #: How long a caller waits past its deadline before it calls the outcome unknown.
-_PATIENCE_S = 0.5
+_GRACE_S = 0.5
 
 
 @dataclass(slots=True)
@@ -91,8 +91,8 @@
     def __post_init__(self) -> None:
         """Make the upstreams of the service."""
         for upstream in self.spec.upstreams:
-            made = VirtualUpstream(upstream.endpoint, self.spec.slots)
-            self.upstream_by_endpoint[upstream.endpoint] = made
+            virtual = VirtualUpstream(upstream.endpoint, self.spec.slots)
+            self.upstream_by_endpoint[upstream.endpoint] = virtual
 
     def plan(self, arrivals: list[tuple[float, float]], group: str = '') -> None:
         """Plan calls: pairs of the time from now and the work, in seconds."""
@@ -108,7 +108,7 @@
         for node in fleet.running:
             fleet.deliver(node, HealthHint(self.spec.name, endpoint, serving))
 
-    def carried_out(self, effect: Effect, host: str) -> None:
+    def effect_emitted(self, effect: Effect, host: str) -> None:
         """Carry out what the balancers decide."""
         match effect:
             case Reserved():
@@ -123,7 +123,7 @@
             case Relay():
                 self._relay(effect)
 
-    def leave(self, call: Call) -> None:
+    def cancel(self, call: Call) -> None:
         """Let a caller cancel."""
         if not call.outcome and call.request:
             self._deliver(call.host, CallerGone(call.request))
@@ -175,13 +175,13 @@
         call.request = self.reserved
         self.call_by_id[call.request] = call
         fleet.at(self.hop_s, partial(self._run, call, call.host))
-        fleet.at(self.deadline_s + _PATIENCE_S, partial(self._give_up, call))
+        fleet.at(self.deadline_s + _GRACE_S, partial(self._give_up, call))
         if fleet.random.random() < self.repeat_share:
             call.repeated = True
             delay_s = fleet.random.random() * self.deadline_s
-            fleet.at(delay_s, partial(self._repeat, call))
+            fleet.at(delay_s, partial(self._send_duplicate, call))
 
-    def _repeat(self, call: Call) -> None:
+    def _send_duplicate(self, call: Call) -> None:
         """Send the same id again through another balancer."""
         fleet = self._fleet()
         self._run(call, fleet.random.choice(fleet.sprayed_names))
@@ -208,10 +208,10 @@
         call = self.call_by_id.get(effect.request)
         if call is None:
             return
-        word = 'unknown' if isinstance(effect.outcome, Unknown) else 'not_run'
+        outcome = 'unknown' if isinstance(effect.outcome, Unknown) else 'not_run'
         if call.repeated and effect.outcome.kind == 'already_started':
             return
-        self._end(call, word, effect.outcome.kind)
+        self._end(call, outcome, effect.outcome.kind)
 
     def _end(self, call: Call, outcome: str, kind: str) -> None:
         if call.outcome:
@@ -252,9 +252,9 @@
 
     def _report(self, effect: Attempt, host: str, ended: AttemptEnd) -> None:
         event = AttemptEnded(effect.request, effect.upstream, ended)
-        self._fleet().at(self.hop_s, partial(self._told, event, host))
+        self._fleet().at(self.hop_s, partial(self._deliver_end, event, host))
 
-    def _told(self, event: AttemptEnded, host: str) -> None:
+    def _deliver_end(self, event: AttemptEnded, host: str) -> None:
         """Tell the balancer, and through it the caller, how an attempt ended."""
         if self._fleet().by_name[host].dead:
             return
--- a/src/bronzekeel/replay/routing_fleet.py
+++ b/src/bronzekeel/replay/routing_fleet.py
@@ -48,8 +48,8 @@
 from bronzekeel.replay.virtual_time import VirtualTime
 
 
-_STORE_S = 0.004
-_PEER_S = 0.001
+_STORE_DELAY_S = 0.004
+_PEER_DELAY_S = 0.001
 _STOP_S = 6.0
 _PORT = 9
 _SEEDS = 3
@@ -65,7 +65,7 @@
     demand_control: DemandControlMode = DemandControlMode.BY_OBJECTIVE
 
 
-_Then = Callable[[Verdict], None]
+_VerdictCallback = Callable[[Verdict], None]
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
     """Hold one balancer of a replay.
 
     `store` tells how the store treats it: 'serves', 'refuses' or 'silent'; of its `calls`
-    `newest_reads` are those that may not be stale.
+    `consistent_reads` are those that may not be stale.
     `boot` counts its starts: what was under way to an earlier one is lost.  A call
     gives up the one before it on the same collection.
     """
@@ -86,14 +86,14 @@
     store: str = 'serves'
     ended: bool = False
     calls: int = 0
-    newest_reads: int = 0
+    consistent_reads: int = 0
     heartbeats: int = 0
     fetches: int = 0
-    fetches_elsewhere: int = 0
+    remote_fetches: int = 0
     watch_by_collection: dict[str, '_Watch'] = field(default_factory=dict)
     lines: Counter[int] = field(default_factory=Counter)
     text_orders: list[int] = field(default_factory=list)
-    then_by_packet: dict[FlowPacket, _Then] = field(default_factory=dict)
+    callback_by_packet: dict[FlowPacket, _VerdictCallback] = field(default_factory=dict)
     resumes_at: float = 0
 
 
@@ -116,25 +116,25 @@
     ) -> None:
         """Set up balancers by data centre; ``start`` starts them.
 
-        Heartbeats are lost between `cut_centres` and others, and on `lost_ways`, each from one to
-        another.
+        Heartbeats and views do not pass between `isolated_centres` and others, nor from the first
+        to the second centre of each pair in `lost_directions`.
         """
         super().__init__(seed)
         self._policies = policies or FleetPolicies()
         self.store = StoreModel()
         self.node_by_name: dict[str, RoutingNode] = {}
-        self.cut_centres: set[str] = set()
-        self.lost_ways: set[tuple[str, str]] = set()
-        self.views_pass = True
-        self.heartbeats_elsewhere = 0
+        self.isolated_centres: set[str] = set()
+        self.lost_directions: set[tuple[str, str]] = set()
+        self.views_available = True
+        self.remote_heartbeats = 0
         self._handlers: dict[type[Effect], Callable[..., None]] = {
             WriteLine: _count_line,
             ReadPage: self._read_page,
             WatchChanges: self._watch,
-            SendHeartbeat: self._beat,
-            FetchView: self._fetch,
+            SendHeartbeat: self._send_heartbeat,
+            FetchView: self._fetch_view,
             DropWaiting: lambda node, effect: None,
-            End: _note_end,
+            End: _mark_ended,
         }
         self._node_by_address: dict[tuple[str, int], RoutingNode] = {}
         self._watches: list[_Watch] = []
@@ -145,8 +145,8 @@
         ]
         self._seeds = tuple(peer.address for peer in peers[:_SEEDS])
         for peer in peers:
-            state = self._fresh(peer)
-            node = RoutingNode(peer, state, _steering(state, self._policies))
+            state = self._new_state(peer)
+            node = RoutingNode(peer, state, _new_steering(state, self._policies))
             self.node_by_name[peer.name] = node
             self._node_by_address[peer.address] = node
 
@@ -170,33 +170,33 @@
         node.boot += 1
         node.up = True
         node.text_orders.clear()
-        node.then_by_packet.clear()
-        node.state = self._fresh(node.me)
-        node.steering = _steering(node.state, self._policies)
+        node.callback_by_packet.clear()
+        node.state = self._new_state(node.me)
+        node.steering = _new_steering(node.state, self._policies)
         self._start(node)
 
-    def tell_watches(self) -> None:
+    def notify_watches(self) -> None:
         """Let waiting watches see what has changed in the store, stale ones late."""
-        self.store.note_told(self.now)
+        self.store.mark_visible(self.now)
         waiting = [watch for watch in self._watches if watch.open]
         for watch in waiting:
-            self._look(watch)
-            self.at(self.store.stale_by_s, partial(self._look, watch))
+            self._poll(watch)
+            self.at(self.store.staleness_s, partial(self._poll, watch))
 
-    def lose_store(self, names: list[str], how: str) -> None:
+    def fail_store(self, names: list[str], mode: str) -> None:
         """Let the store refuse some balancers or fall silent towards them."""
         for name in names:
-            self.node_by_name[name].store = how
+            self.node_by_name[name].store = mode
         for watch in list(self._watches):
             if watch.open and watch.node.store == 'refuses':
-                self._end(watch, CallFailed(watch.effect.collection, 'reset'), _STORE_S)
+                self._end_watch(watch, CallFailed(watch.effect.collection, 'reset'), _STORE_DELAY_S)
 
     def decide(self, name: str, packet: FlowPacket) -> Verdict:
         """Return a balancer's verdict on a packet."""
         node = self.node_by_name[name]
         return node.steering.decide(packet, self.now)
 
-    def steer(self, name: str, packet: FlowPacket, then: _Then) -> None:
+    def steer(self, name: str, packet: FlowPacket, callback: _VerdictCallback) -> None:
         """Give `then` a balancer's verdict on a packet, once it need not wait.
 
         A balancer that is down loses it, as it does those that wait when it ends.
@@ -206,9 +206,9 @@
             return
         verdict = node.steering.decide(packet, self.now)
         if isinstance(verdict, Wait):
-            node.then_by_packet[packet] = then
+            node.callback_by_packet[packet] = callback
         else:
-            then(verdict)
+            callback(verdict)
         self._resume(node, node.boot)
 
     def _resume(self, node: RoutingNode, boot: int) -> None:
@@ -216,13 +216,13 @@
         if not node.up or node.boot != boot or not node.state.waiting:
             return
         for packet, verdict in node.steering.resume(self.now):
-            node.then_by_packet.pop(packet)(verdict)
-        end = node.state.waiting.next_end
-        if end is not None and end != node.resumes_at:
-            node.resumes_at = end
-            self.at(end - self.now, lambda: self._resume(node, boot))
+            node.callback_by_packet.pop(packet)(verdict)
+        next_end_at = node.state.waiting.next_end
+        if next_end_at is not None and next_end_at != node.resumes_at:
+            node.resumes_at = next_end_at
+            self.at(next_end_at - self.now, lambda: self._resume(node, boot))
 
-    def _fresh(self, peer: PeerAddress) -> RoutingState:
+    def _new_state(self, peer: PeerAddress) -> RoutingState:
         return RoutingState(
             PeerTable(peer, self._seeds),
             _STOP_S,
@@ -233,16 +233,16 @@
 
     def _start(self, node: RoutingNode) -> None:
         boot = node.boot
-        self.at(0, lambda: self._take(node, boot, Started()))
+        self.at(0, lambda: self._handle(node, boot, Started()))
         self.at(0, lambda: self._tick(node, boot))
 
     def _tick(self, node: RoutingNode, boot: int) -> None:
         if not node.up or node.boot != boot:
             return
-        self._take(node, boot, Ticked())
+        self._handle(node, boot, Ticked())
         self.at(TICK_S, lambda: self._tick(node, boot))
 
-    def _take(self, node: RoutingNode, boot: int, event: Event) -> None:
+    def _handle(self, node: RoutingNode, boot: int, event: Event) -> None:
         if not node.up or node.boot != boot:
             return
         for effect in reduce(node.state, event, self.now):
@@ -253,50 +253,52 @@
     def _read_page(self, node: RoutingNode, effect: ReadPage) -> None:
         node.calls += 1
         boot = node.boot
-        node.newest_reads += not effect.stale
+        node.consistent_reads += not effect.stale
         collection = Collection(effect.collection)
         if self._reaches_store(node):
-            page = self.store.page(collection, self.store.seen(self.now, stale=effect.stale))
-            self.at(_STORE_S, lambda: self._take(node, boot, page))
+            page = self.store.page(
+                collection, self.store.visible_revision(self.now, stale=effect.stale)
+            )
+            self.at(_STORE_DELAY_S, lambda: self._handle(node, boot, page))
             return
-        failed = CallFailed(collection, 'no answer')
-        self.at(_failing_s(node, 0), lambda: self._take(node, boot, failed))
+        failure = CallFailed(collection, 'no answer')
+        self.at(_failure_delay_s(node, 0), lambda: self._handle(node, boot, failure))
 
     def _watch(self, node: RoutingNode, effect: WatchChanges) -> None:
         node.calls += 1
-        node.newest_reads += not effect.stale
-        given_up = node.watch_by_collection.get(effect.collection)
-        if given_up in self._watches:
-            self._watches.remove(given_up)
+        node.consistent_reads += not effect.stale
+        superseded = node.watch_by_collection.get(effect.collection)
+        if superseded in self._watches:
+            self._watches.remove(superseded)
         watch = _Watch(node, node.boot, effect)
         node.watch_by_collection[effect.collection] = watch
         if not self._reaches_store(node):
-            failed = CallFailed(effect.collection, 'no answer')
-            self._end(watch, failed, _failing_s(node, effect.wait_s))
+            failure = CallFailed(effect.collection, 'no answer')
+            self._end_watch(watch, failure, _failure_delay_s(node, effect.wait_s))
             return
         self._watches.append(watch)
-        for wait_s in (_STORE_S, self.store.stale_by_s):
-            self.at(wait_s, partial(self._look, watch))
-        self.at(effect.wait_s, lambda: self._look(watch, last=True))
+        for wait_s in (_STORE_DELAY_S, self.store.staleness_s):
+            self.at(wait_s, partial(self._poll, watch))
+        self.at(effect.wait_s, lambda: self._poll(watch, last=True))
 
-    def _look(self, watch: _Watch, *, last: bool = False) -> None:
+    def _poll(self, watch: _Watch, *, last: bool = False) -> None:
         """Answer a watch if there is something new, or it has waited long enough."""
         if not watch.open or watch not in self._watches:
             return
         if not self._reaches_store(watch.node):
             if last:
-                self._end(watch, CallFailed(watch.effect.collection, 'silent'), ANSWER_S)
+                self._end_watch(watch, CallFailed(watch.effect.collection, 'silent'), ANSWER_S)
             return
         found = self.store.changes(
             Collection(watch.effect.collection),
             watch.effect.revision,
-            self.store.seen(self.now, stale=watch.effect.stale),
+            self.store.visible_revision(self.now, stale=watch.effect.stale),
         )
         if isinstance(found, ChangesRead) and not found.objects and not last:
             return
-        self._end(watch, found, _STORE_S)
+        self._end_watch(watch, found, _STORE_DELAY_S)
 
-    def _end(self, watch: _Watch, event: Event, after_s: float) -> None:
+    def _end_watch(self, watch: _Watch, event: Event, after_s: float) -> None:
         watch.open = False
         if watch in self._watches:
             self._watches.remove(watch)
@@ -304,53 +306,53 @@
 
     def _answer(self, watch: _Watch, event: Event) -> None:
         if watch.node.watch_by_collection.get(watch.effect.collection) is watch:
-            self._take(watch.node, watch.boot, event)
+            self._handle(watch.node, watch.boot, event)
 
-    def _beat(self, node: RoutingNode, effect: SendHeartbeat) -> None:
+    def _send_heartbeat(self, node: RoutingNode, effect: SendHeartbeat) -> None:
         for address in effect.addresses:
             node.heartbeats += 1
             peer = self._node_by_address.get(address)
             if peer is not None and peer.me.data_centre != node.me.data_centre:
-                self.heartbeats_elsewhere += 1
+                self.remote_heartbeats += 1
             if peer is not None and self._reaches(node, peer):
                 self._deliver(peer, effect.heartbeat)
 
     def _deliver(self, peer: RoutingNode, heartbeat: Heartbeat) -> None:
         boot = peer.boot
-        self.at(_PEER_S, lambda: self._take(peer, boot, HeartbeatHeard(heartbeat)))
+        self.at(_PEER_DELAY_S, lambda: self._handle(peer, boot, HeartbeatHeard(heartbeat)))
 
-    def _fetch(self, node: RoutingNode, effect: FetchView) -> None:
+    def _fetch_view(self, node: RoutingNode, effect: FetchView) -> None:
         node.fetches += 1
         boot = node.boot
         peer = self._node_by_address.get(effect.address)
         if peer is not None and peer.me.data_centre != node.me.data_centre:
-            node.fetches_elsewhere += 1
+            node.remote_fetches += 1
         reached = peer is not None and peer.up and self._reaches(node, peer)
-        if peer is None or not reached or not self.views_pass:
-            failed = ViewFailed(effect.address, 'no answer')
-            self.at(FETCH_S, lambda: self._take(node, boot, failed))
+        if peer is None or not reached or not self.views_available:
+            failure = ViewFailed(effect.address, 'no answer')
+            self.at(FETCH_S, lambda: self._handle(node, boot, failure))
             return
         view = view_since(peer.state, effect.known, self.now)
         fetched = ViewFetched(effect.address, view)
-        self.at(2 * _PEER_S, lambda: self._take(node, boot, fetched))
+        self.at(2 * _PEER_DELAY_S, lambda: self._handle(node, boot, fetched))
 
     def _reaches(self, node: RoutingNode, peer: RoutingNode) -> bool:
         if node.me.data_centre == peer.me.data_centre:
             return True
-        if (node.me.data_centre, peer.me.data_centre) in self.lost_ways:
+        if (node.me.data_centre, peer.me.data_centre) in self.lost_directions:
             return False
-        return not {node.me.data_centre, peer.me.data_centre} & self.cut_centres
+        return not {node.me.data_centre, peer.me.data_centre} & self.isolated_centres
 
     def _reaches_store(self, node: RoutingNode) -> bool:
-        return node.store == 'serves' and node.me.data_centre not in self.cut_centres
+        return node.store == 'serves' and node.me.data_centre not in self.isolated_centres
 
 
-def _steering(state: RoutingState, policies: FleetPolicies) -> ConnectionIdSteering:
+def _new_steering(state: RoutingState, policies: FleetPolicies) -> ConnectionIdSteering:
     placement = policies.placement_of(state.peers.me.data_centre, state.balance)
     return ConnectionIdSteering(state, placement, NoDecisionLog())
 
 
-def _note_end(node: RoutingNode, effect: End) -> None:
+def _mark_ended(node: RoutingNode, effect: End) -> None:
     node.ended = True
     node.up = False
 
@@ -359,8 +361,8 @@
     node.lines[effect.number] += 1
 
 
-def _failing_s(node: RoutingNode, wait_s: float) -> float:
+def _failure_delay_s(node: RoutingNode, wait_s: float) -> float:
     """Return the seconds after which a call that gets no answer has failed."""
     if node.store == 'refuses':
-        return _STORE_S
+        return _STORE_DELAY_S
     return wait_s + ANSWER_S
--- a/src/bronzekeel/replay/routing_store.py
+++ b/src/bronzekeel/replay/routing_store.py
@@ -14,14 +14,14 @@
 from bronzekeel.core.routing.revisions import incarnation_of, number_of, revision_of
 
 
-_Make = Callable[[int], Content]
+_ContentFactory = Callable[[int], Content]
 
 
 @dataclass(frozen=True, slots=True)
 class _Change:
     collection: Collection
     stored: StoredObject
-    make: _Make | None
+    make: _ContentFactory | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,14 +30,14 @@
 
     revision: int
     by_collection: dict[Collection, dict[str, StoredObject]]
-    make_by_place: dict[tuple[Collection, str], _Make]
+    make_by_key: dict[tuple[Collection, str], _ContentFactory]
     history: list[_Change]
     all_changes: list[_Change]
 
 
 @dataclass(slots=True)
 class StoreModel:
-    """Hold what the store has, and how it got there; stale reads are `stale_by_s` behind.
+    """Hold what the store has, and how it got there; stale reads are `staleness_s` behind.
 
     `writes` counts all that were ever made, also those that a restore lost.
     Watches are answered by the store's own numbers, as a real store does, also if they began in a
@@ -49,9 +49,9 @@
     by_collection: dict[Collection, dict[str, StoredObject]] = field(
         default_factory=lambda: {collection: {} for collection in Collection},
     )
-    stale_by_s: float = 0
-    _make_by_place: dict[tuple[Collection, str], _Make] = field(default_factory=dict)
-    _told: list[tuple[float, int]] = field(default_factory=list)
+    staleness_s: float = 0
+    _make_by_key: dict[tuple[Collection, str], _ContentFactory] = field(default_factory=dict)
+    _visible_revisions: list[tuple[float, int]] = field(default_factory=list)
     _history: list[_Change] = field(default_factory=list)
     _all_changes: list[_Change] = field(default_factory=list)
     _history_from: int = 0
@@ -61,14 +61,14 @@
         """Which incarnation this is; it rises when the store comes back from a copy."""
         return incarnation_of(self.revision)
 
-    def put(self, collection: Collection, name: str, make: _Make) -> int:
+    def put(self, collection: Collection, name: str, make: _ContentFactory) -> int:
         """Write an object; `make` gets the revision.  Return the revision."""
         self.revision += 1
         self.writes += 1
-        self._make_by_place[collection, name] = make
+        self._make_by_key[collection, name] = make
         stored = StoredObject(name, self.revision, make(self.revision))
         self.by_collection[collection][name] = stored
-        self._note(collection, stored, make)
+        self._record_change(collection, stored, make)
         return self.revision
 
     def remove(self, collection: Collection, name: str) -> None:
@@ -77,18 +77,22 @@
             return
         self.revision += 1
         self.writes += 1
-        self._note(collection, StoredObject(name, self.revision, None), None)
+        self._record_change(collection, StoredObject(name, self.revision, None), None)
 
-    def note_told(self, now: float) -> None:
+    def mark_visible(self, now: float) -> None:
         """Note that watches see all changes until here."""
-        self._told.append((now, self.revision))
+        self._visible_revisions.append((now, self.revision))
 
-    def seen(self, now: float, *, stale: bool) -> int | None:
+    def visible_revision(self, now: float, *, stale: bool) -> int | None:
         """Return the revision up to which a read sees; None for all there is."""
-        if not stale or not self.stale_by_s:
+        if not stale or not self.staleness_s:
             return None
-        told = [revision for told_at, revision in self._told if told_at + self.stale_by_s <= now]
-        return max(told, default=0)
+        visible = [
+            revision
+            for visible_at, revision in self._visible_revisions
+            if visible_at + self.staleness_s <= now
+        ]
+        return max(visible, default=0)
 
     def compact(self) -> None:
         """Forget the history."""
@@ -101,7 +105,7 @@
         return StoreCopy(
             self.revision,
             by_collection,
-            self._make_by_place.copy(),
+            self._make_by_key.copy(),
             self._history.copy(),
             self._all_changes.copy(),
         )
@@ -112,26 +116,26 @@
         Stale reads see the copy at once.
         """
         self.revision = revision_of(self.incarnation + 1, number_of(copy.revision))
-        self._make_by_place = copy.make_by_place.copy()
+        self._make_by_key = copy.make_by_key.copy()
         for collection, by_name in copy.by_collection.items():
             self.by_collection[collection] = {
-                name: self._made_anew(stored, copy.make_by_place[collection, name])
+                name: self._rebuilt_object(stored, copy.make_by_key[collection, name])
                 for name, stored in by_name.items()
             }
-        self._history = [self._told_anew(change) for change in copy.history]
-        self._all_changes = [self._told_anew(change) for change in copy.all_changes]
+        self._history = [self._rebuilt_change(change) for change in copy.history]
+        self._all_changes = [self._rebuilt_change(change) for change in copy.all_changes]
         self._history_from = min(self._history_from, number_of(copy.revision))
-        self._told = [(0, self.revision)]
+        self._visible_revisions = [(0, self.revision)]
 
-    def write_again(self, lost: StoreCopy) -> None:
+    def rewrite_lost(self, lost: StoreCopy) -> None:
         """Let owners write what was lost, and remove what they had removed."""
         for collection, by_name in lost.by_collection.items():
             for name in list(self.by_collection[collection]):
                 if name not in by_name:
                     self.remove(collection, name)
             for name in by_name:
-                make = lost.make_by_place[collection, name]
-                if self._make_by_place.get((collection, name)) is not make:
+                make = lost.make_by_key[collection, name]
+                if self._make_by_key.get((collection, name)) is not make:
                     self.put(collection, name, make)
 
     def page(self, collection: Collection, until: int | None = None) -> PageRead:
@@ -158,7 +162,7 @@
         """Return what changed after a revision, up to another if one is given."""
         if not self._history_from <= number_of(since) <= number_of(self.revision):
             return HistoryLost(collection, self.incarnation)
-        since = self._given_out_anew(since)
+        since = self._renumbered(since)
         revision = self.revision if until is None else until
         objects = [
             change.stored
@@ -171,21 +175,23 @@
             max(since, revision),
         )
 
-    def _note(self, collection: Collection, stored: StoredObject, make: _Make | None) -> None:
+    def _record_change(
+        self, collection: Collection, stored: StoredObject, make: _ContentFactory | None
+    ) -> None:
         change = _Change(collection, stored, make)
         self._history.append(change)
         self._all_changes.append(change)
 
-    def _given_out_anew(self, revision: int) -> int:
+    def _renumbered(self, revision: int) -> int:
         """Return a revision of any incarnation as this one gives out its number."""
         return revision_of(self.incarnation, number_of(revision))
 
-    def _made_anew(self, stored: StoredObject, make: _Make | None) -> StoredObject:
+    def _rebuilt_object(self, stored: StoredObject, make: _ContentFactory | None) -> StoredObject:
         """Return an object of a copy as this incarnation tells it."""
-        revision = self._given_out_anew(stored.revision)
+        revision = self._renumbered(stored.revision)
         return StoredObject(stored.name, revision, make(revision) if make else None)
 
-    def _told_anew(self, change: _Change) -> _Change:
+    def _rebuilt_change(self, change: _Change) -> _Change:
         """Return a change of a copy as this incarnation tells it."""
-        stored = self._made_anew(change.stored, change.make)
+        stored = self._rebuilt_object(change.stored, change.make)
         return _Change(change.collection, stored, change.make)
--- a/src/bronzekeel/replay/sinks.py
+++ b/src/bronzekeel/replay/sinks.py
@@ -7,7 +7,7 @@
 from bronzekeel.replay.virtual_time import VirtualTime
 
 
-class Sprayed(VirtualTime):
+class SprayedFleet(VirtualTime):
     """Take packets at balancers that a fabric chooses."""
 
     @property
@@ -29,5 +29,5 @@
     def dropped(self, packet: Packet, reason: str) -> None:
         """Take a packet that was dropped."""
 
-    def carried_out(self, effect: Effect, host: str) -> None:
+    def effect_emitted(self, effect: Effect, host: str) -> None:
         """Take any other effect of a host."""
--- a/src/bronzekeel/replay/trace.py
+++ b/src/bronzekeel/replay/trace.py
@@ -111,8 +111,8 @@
     """Return the lines of a trace that are not blank.  Raises TraceError."""
     try:
         content = path.read_bytes()
-    except OSError as fault:
-        raise TraceError(f'{path}: {fault.strerror}; name a readable file') from fault
+    except OSError as error:
+        raise TraceError(f'{path}: {error.strerror}; name a readable file') from error
     return [line for line in content.splitlines() if line.strip()]
 
 
@@ -122,8 +122,8 @@
     for number, line in enumerate(read_lines(path), start=1):
         try:
             happenings.append(decode(line, type=Happening))
-        except (DecodeError, ValidationError) as fault:
-            raise TraceError(f'{path}:{number}: {fault}; correct this line') from fault
+        except (DecodeError, ValidationError) as error:
+            raise TraceError(f'{path}:{number}: {error}; correct this line') from error
     return sorted(happenings, key=lambda happening: happening.at)
 
 
@@ -131,7 +131,7 @@
     """Return the stated outcomes by name.  Raises TraceError."""
     try:
         return decode(path.read_bytes(), type=dict[str, Bounds])
-    except OSError as fault:
-        raise TraceError(f'{path}: {fault.strerror}; name a readable file') from fault
-    except (DecodeError, ValidationError) as fault:
-        raise TraceError(f'{path}: {fault}; write {{"name": {{"most": 0}}}}') from fault
+    except OSError as error:
+        raise TraceError(f'{path}: {error.strerror}; name a readable file') from error
+    except (DecodeError, ValidationError) as error:
+        raise TraceError(f'{path}: {error}; write {{"name": {{"most": 0}}}}') from error
--- a/src/bronzekeel/replay/traffic.py
+++ b/src/bronzekeel/replay/traffic.py
@@ -8,10 +8,10 @@
 from bronzekeel.core.catalogue import ServiceSpec
 from bronzekeel.core.events import Packet
 from bronzekeel.core.hashing import service_key, text_hash
-from bronzekeel.replay.sinks import Sink, Sprayed
+from bronzekeel.replay.sinks import Sink, SprayedFleet
 
 
-_SYN_RETRY_S = 1.0
+_SYN_RETRANSMIT_S = 1.0
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
     packets: int = 0
     handed: int = 0
     opened_at_by_upstream: dict[str, float] = field(default_factory=dict)
-    fleet: Sprayed | None = None
+    fleet: SprayedFleet | None = None
     foreign: set[str] = field(default_factory=set)
     reachable: Callable[[], list[str]] | None = None
 
@@ -64,7 +64,7 @@
         flow = self.by_hash[packet.hashed]
         flow.stalls += 1
         if packet.opens and self.fleet is not None:
-            self.fleet.at(_SYN_RETRY_S, lambda: self.send(flow, opens=True))
+            self.fleet.at(_SYN_RETRANSMIT_S, lambda: self.send(flow, opens=True))
 
     def open(self, count: int, over_s: float, packets: int, every_s: float) -> None:
         """Open `count` flows over `over_s`, each with packets at intervals."""
@@ -117,20 +117,20 @@
 
     def _begin(self, flow: Flow, packets: int, every_s: float) -> None:
         self.send(flow, opens=True)
-        self._plan(flow, packets, every_s)
+        self._schedule(flow, packets, every_s)
 
-    def _plan(self, flow: Flow, left: int, every_s: float) -> None:
-        if left:
+    def _schedule(self, flow: Flow, remaining: int, every_s: float) -> None:
+        if remaining:
             fleet = self._fleet()
             delay_s = every_s * (0.5 + fleet.random.random())
-            fleet.at(delay_s, partial(self._go_on, flow, left, every_s))
+            fleet.at(delay_s, partial(self._send_next, flow, remaining, every_s))
 
-    def _go_on(self, flow: Flow, left: int, every_s: float) -> None:
+    def _send_next(self, flow: Flow, remaining: int, every_s: float) -> None:
         if flow.upstream:
             self.send(flow)
-        self._plan(flow, left - 1, every_s)
+        self._schedule(flow, remaining - 1, every_s)
 
-    def _fleet(self) -> Sprayed:
+    def _fleet(self) -> SprayedFleet:
         if self.fleet is None:
             raise RuntimeError('set `fleet` before flows are opened')
         return self.fleet
--- a/src/bronzekeel/soak/callers.py
+++ b/src/bronzekeel/soak/callers.py
@@ -334,7 +334,7 @@
             acknowledged=copy if flags & SYN else flow.acknowledged,
             payload=payload,
         )
-        segment.checksum = segment.reckoned_checksum
+        segment.checksum = segment.computed_checksum
         key = f'{flow.port}>{flow.target}'.encode()
         chosen = self._fabric.choose(key, flow.caller.data_centre)
         if not self._transports or (host is None and not self._fabric.passes(chosen)):
--- a/src/bronzekeel/soak/hosts.py
+++ b/src/bronzekeel/soak/hosts.py
@@ -16,7 +16,7 @@
 from bronzekeel.platform.start import SETTINGS_VARIABLE
 from bronzekeel.soak.contact import Contact
 from bronzekeel.soak.links import Address, DatagramProxy, StreamProxy, loopback
-from bronzekeel.standins.template import filled
+from bronzekeel.standins.template import fill_template
 
 
 _ROOT = Path(__file__).parents[3]
@@ -95,7 +95,9 @@
         place = HostPlace(self.name, self.data_centre, self.packets, self.readiness, self.peers)
         store = ('127.0.0.1', self.store.port)
         template = _TEMPLATE.read_text(encoding='utf-8')
-        fields = decode_json(filled(template, host_fields(place, store, seeds, stop_within_s)))
+        fields = decode_json(
+            fill_template(template, host_fields(place, store, seeds, stop_within_s))
+        )
         fields['peers_advertised'] = f'{self.advertised[0]}:{self.advertised[1]}'
         fresh = self._path.with_suffix('.new')
         fresh.write_text(encode_json(fields), encoding='utf-8')
--- a/src/bronzekeel/soak/site.py
+++ b/src/bronzekeel/soak/site.py
@@ -150,24 +150,24 @@
             draining=draining,
             slots=SLOTS,
         )
-        await self.store.tell()
+        await self.store.notify_watches()
 
     async def unlist_upstream(self, upstream: Upstream) -> None:
         """Let an upstream's entry lapse."""
         self.store.remove_object(UPSTREAMS_KIND, upstream_name(upstream.number))
-        await self.store.tell()
+        await self.store.notify_watches()
 
     async def evacuate(self, centre: str) -> None:
         """Ask balancers to send nothing new to a data centre."""
         self.store.put_object(EVACUATIONS_KIND, centre, {})
-        await self.store.tell()
+        await self.store.notify_watches()
         self.evacuated_at_by_centre[centre] = monotonic()
 
     async def take_back(self, centre: str) -> None:
         """End an evacuation."""
         self.evacuated_at_by_centre.pop(centre)
         self.store.remove_object(EVACUATIONS_KIND, centre)
-        await self.store.tell()
+        await self.store.notify_watches()
 
     def closed_to(self, host_ip: str) -> set[str]:
         """Return the data centres to which a host that is in touch must send nothing new."""
--- a/src/bronzekeel/soak/store_faults.py
+++ b/src/bronzekeel/soak/store_faults.py
@@ -134,4 +134,4 @@
                 self.site.store.put_object(EVACUATIONS_KIND, centre, {})
             else:
                 self.site.store.remove_object(EVACUATIONS_KIND, centre)
-        await self.site.store.tell()
+        await self.site.store.notify_watches()
--- a/src/bronzekeel/soak/texts.py
+++ b/src/bronzekeel/soak/texts.py
@@ -61,10 +61,10 @@
         dropped = self.changes[-1].added if self.changes else None
         change = Change(self._version, added, dropped)
         self.changes.append(change)
-        await self._store.tell()
+        await self._store.notify_watches()
         return change
 
     async def write_again(self) -> None:
         """Write the newest text as it was, for a store that has lost it."""
         self._store.put_text(self._version, self._service_by_address, _OBJECTIVE_MS_BY_SERVICE)
-        await self._store.tell()
+        await self._store.notify_watches()
--- a/src/bronzekeel/soak/upstreams.py
+++ b/src/bronzekeel/soak/upstreams.py
@@ -141,7 +141,7 @@
             return
         segment = read_echo(raw)
         told = f'upstream {self.number} of {self.service} got {segment.source}'
-        unchanged = segment.checksum == segment.reckoned_checksum
+        unchanged = segment.checksum == segment.computed_checksum
         self._checks.check(Promise.UNCHANGED, unchanged, told)
         if segment.flags & SYN:
             self._open(segment, told, str(addr[0]))
@@ -234,7 +234,7 @@
             acknowledged=segment.sequence + len(segment.payload),
             payload=payload,
         )
-        reply.checksum = reply.reckoned_checksum
+        reply.checksum = reply.computed_checksum
         self._resend(reply)
         return reply
 
--- a/src/bronzekeel/standins/caller.py
+++ b/src/bronzekeel/standins/caller.py
@@ -11,11 +11,11 @@
 
 
 _DEADLINE_MS = 4000
-_PATIENCE_S = 8.0
+_CALL_TIMEOUT_S = 8.0
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class RequestResult:
     """Hold what a caller was told of one request."""
 
     request: str
@@ -34,10 +34,10 @@
 
     channels: dict[str, Channel] = field(default_factory=dict)
     retired: list[Channel] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
+    request_results: list[RequestResult] = field(default_factory=list)
     outcomes: Counter[str] = field(default_factory=Counter)
     cut: int = 0
-    crossed: int = 0
+    mismatched: int = 0
 
     def add(self, name: str, address: str, port: int) -> None:
         """Make a balancer known."""
@@ -56,19 +56,19 @@
         body: bytes,
         *,
         idempotent: bool = False,
-    ) -> Told:
+    ) -> RequestResult:
         """Reserve an id at a balancer, run it there, and note the outcome."""
         channel = self.channels[name]
         stub = RequestsStub(channel)
         try:
             reserved = await stub.Reserve(
                 proto.ReserveRequest(service=service, deadline_ms=_DEADLINE_MS),
-                timeout=_PATIENCE_S,
+                timeout=_CALL_TIMEOUT_S,
             )
         except CALL_FAULTS:
-            return self._note(Told('', 'not_reserved'))
+            return self._record(RequestResult('', 'not_reserved'))
         if reserved.HasField('not_run'):
-            return self._note(Told('', 'not_run', reserved.not_run.kind))
+            return self._record(RequestResult('', 'not_run', reserved.not_run.kind))
         return await self.run(channel, reserved.id, service, body, idempotent=idempotent)
 
     async def run(
@@ -79,9 +79,9 @@
         body: bytes,
         *,
         idempotent: bool = False,
-    ) -> Told:
+    ) -> RequestResult:
         """Run a reserved id and note the outcome."""
-        asked = proto.RunRequest(
+        run_request = proto.RunRequest(
             id=request,
             service=service,
             group='demo',
@@ -90,47 +90,47 @@
             body=body,
         )
         try:
-            told = await self._read(channel, asked)
+            result = await self._read_answer(channel, run_request)
         except CALL_FAULTS:
-            told = Told(request, 'unknown', 'connection_lost')
-        if told.outcome == 'cut':
+            result = RequestResult(request, 'unknown', 'connection_lost')
+        if result.outcome == 'cut':
             self.cut += 1
-        return self._note(told)
+        return self._record(result)
 
     def close(self) -> None:
         """Close all connections."""
         for channel in (*self.channels.values(), *self.retired):
             channel.close()
 
-    async def _read(self, channel: Channel, asked: proto.RunRequest) -> Told:
+    async def _read_answer(self, channel: Channel, run_request: proto.RunRequest) -> RequestResult:
         """Read an answer to its end mark, or another outcome."""
         parts: list[bytes] = []
-        async with RequestsStub(channel).Run.open(timeout=_PATIENCE_S) as stream:
-            await stream.send_message(asked, end=True)
+        async with RequestsStub(channel).Run.open(timeout=_CALL_TIMEOUT_S) as stream:
+            await stream.send_message(run_request, end=True)
             async for reply in stream:
                 if not reply.HasField('chunk'):
-                    return self._told(asked.id, reply, b''.join(parts), asked.body)
+                    return self._result_of(run_request.id, reply, b''.join(parts), run_request.body)
                 parts.append(reply.chunk)
-        return Told(asked.id, 'cut')
+        return RequestResult(run_request.id, 'cut')
 
-    def _told(
+    def _result_of(
         self,
         request: str,
         reply: proto.RunReply,
         answer: bytes,
         body: bytes,
-    ) -> Told:
+    ) -> RequestResult:
         if reply.HasField('not_run'):
-            return Told(request, 'not_run', reply.not_run.kind)
+            return RequestResult(request, 'not_run', reply.not_run.kind)
         if reply.HasField('unknown'):
-            return Told(request, 'unknown', reply.unknown.kind)
+            return RequestResult(request, 'unknown', reply.unknown.kind)
         if reply.end.size != len(answer):
             self.cut += 1
         elif answer != b':'.join((request.encode(), body)):
-            self.crossed += 1
-        return Told(request, 'answered', '', answer)
+            self.mismatched += 1
+        return RequestResult(request, 'answered', '', answer)
 
-    def _note(self, told: Told) -> Told:
-        self.told.append(told)
-        self.outcomes[told.outcome] += 1
-        return told
+    def _record(self, result: RequestResult) -> RequestResult:
+        self.request_results.append(result)
+        self.outcomes[result.outcome] += 1
+        return result
--- a/src/bronzekeel/standins/echo_flows.py
+++ b/src/bronzekeel/standins/echo_flows.py
@@ -20,7 +20,7 @@
 _LOOPBACK = '127.0.0.1'
 
 
-async def _bound(protocol: DatagramProtocol) -> DatagramTransport:
+async def _bind(protocol: DatagramProtocol) -> DatagramTransport:
     transport, _ = await get_running_loop().create_datagram_endpoint(
         lambda: protocol,
         local_addr=(_LOOPBACK, 0),
@@ -56,7 +56,7 @@
 
     async def open(self) -> int:
         """Bind the port at which all callers take answers; return it."""
-        self.transport = await _bound(self)
+        self.transport = await _bind(self)
         port: int = self.transport.get_extra_info('sockname')[1]
         return port
 
@@ -129,7 +129,7 @@
 
     async def open(self) -> None:
         """Bind a socket."""
-        self.transport = await _bound(self)
+        self.transport = await _bind(self)
 
     def close(self) -> None:
         """Free the socket."""
--- a/src/bronzekeel/standins/echo_packets.py
+++ b/src/bronzekeel/standins/echo_packets.py
@@ -12,10 +12,10 @@
 
 #: Payload length, checksum, target, source port, target port, source, echo,
 #: flags, sequence, acknowledged.
-_HEAD = Struct('>HI4sHH4sIBII')
+_HEADER = Struct('>HI4sHH4sIBII')
 _PREFIX_BYTES = 8
 
-_End = tuple[str, int]
+_Address = tuple[str, int]
 
 
 class EchoSegment:
@@ -34,8 +34,8 @@
 
     def __init__(
         self,
-        source: _End,
-        target: _End,
+        source: _Address,
+        target: _Address,
         flags: int,
         echo: int = 0,
         *,
@@ -54,7 +54,7 @@
         self.checksum = 0
 
     @property
-    def reckoned_checksum(self) -> int:
+    def computed_checksum(self) -> int:
         """What the checksum of an unchanged packet is; the echo is not part of it."""
         fields = (self.source, self.target, self.flags, self.sequence, self.acknowledged)
         return crc32(repr(fields).encode() + self.payload) or 1
@@ -62,7 +62,7 @@
 
 def build_echo(segment: EchoSegment) -> bytes:
     """Return the bytes of a packet."""
-    head = _HEAD.pack(
+    header = _HEADER.pack(
         len(segment.payload),
         segment.checksum,
         inet_aton(segment.target[0]),
@@ -74,12 +74,12 @@
         segment.sequence,
         segment.acknowledged,
     )
-    return head + segment.payload
+    return header + segment.payload
 
 
 def read_echo(raw: bytes) -> EchoSegment:
     """Return the packet that `build_echo` made."""
-    fields = _HEAD.unpack_from(raw)
+    fields = _HEADER.unpack_from(raw)
     segment = EchoSegment(
         (inet_ntoa(fields[5]), fields[3]),
         (inet_ntoa(fields[2]), fields[4]),
@@ -87,7 +87,7 @@
         fields[6],
         sequence=fields[8],
         acknowledged=fields[9],
-        payload=raw[_HEAD.size :],
+        payload=raw[_HEADER.size :],
     )
     segment.checksum = fields[1]
     return segment
--- a/src/bronzekeel/standins/fabric.py
+++ b/src/bronzekeel/standins/fabric.py
@@ -9,7 +9,7 @@
 
 
 _Address = tuple[str, int]
-_SYN_AGAIN = 4
+_SYN_RETRY_STEPS = 4
 _OCTET = 256
 _FIRST_PORT = 1024
 
@@ -72,7 +72,7 @@
             flow.sent += 1
             self._spray(flow, ACK, b'packet')
             return
-        if flow.waited % _SYN_AGAIN == 0:
+        if flow.waited % _SYN_RETRY_STEPS == 0:
             self._spray(flow, SYN, b'')
         flow.waited += 1
 
--- a/src/bronzekeel/standins/packets.py
+++ b/src/bronzekeel/standins/packets.py
@@ -12,8 +12,8 @@
 _TCP = Struct('!HHIIBBHHH')
 _HEADERS = _IP.size + _TCP.size
 _TTL = 64
-_TCP_NUMBER = 6
-_FIVE_WORDS = 0x50
+_TCP_PROTOCOL = 6
+_DATA_OFFSET = 0x50
 _VERSION_AND_LENGTH = 0x45
 
 
@@ -38,7 +38,7 @@
         0,
         0,
         _TTL,
-        _TCP_NUMBER,
+        _TCP_PROTOCOL,
         0,
         inet_aton(segment.source),
         inet_aton(segment.target),
@@ -48,7 +48,7 @@
         segment.target_port,
         0,
         0,
-        _FIVE_WORDS,
+        _DATA_OFFSET,
         segment.flags,
         0,
         0,
--- a/src/bronzekeel/standins/platform.py
+++ b/src/bronzekeel/standins/platform.py
@@ -30,17 +30,17 @@
 from bronzekeel.platform.client import Key, spec_of
 
 
-_MOST_BYTES = 2 * 1024 * 1024
+_MAX_BODY_BYTES = 2 * 1024 * 1024
 _CONFLICT = 409
 _GONE = 410
-_TOO_MANY = 429
-_DOWN = 503
+_TOO_MANY_REQUESTS = 429
+_UNAVAILABLE = 503
 _NOT_FOUND = 404
 _MS = 1000
 
 
 @dataclass(slots=True)
-class HeldObject:
+class ObjectRecord:
     """Hold one object as the store has it."""
 
     kind: str
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldChange:
+class ChangeRecord:
     """Hold one change of the history."""
 
     revision: int
@@ -97,8 +97,8 @@
     incarnation: int = 1
     revision: int = 0
     port: int = 0
-    by_place: dict[tuple[str, str], HeldObject] = field(default_factory=dict)
-    history: list[HeldChange] = field(default_factory=list)
+    object_by_key: dict[tuple[str, str], ObjectRecord] = field(default_factory=dict)
+    history: list[ChangeRecord] = field(default_factory=list)
     history_from: int = 0
     _runner: web.AppRunner | None = None
     _changed: Condition = field(default_factory=Condition)
@@ -110,8 +110,8 @@
 
     async def open(self, port: int = 0) -> None:
         """Bind a port on loopback; 0 takes a free one."""
-        app = web.Application(client_max_size=_MOST_BYTES)
-        app.on_response_prepare.append(partial(_mark, self))
+        app = web.Application(client_max_size=_MAX_BODY_BYTES)
+        app.on_response_prepare.append(partial(_add_incarnation_header, self))
         app.router.add_get(LIST_PATH, self._list)
         app.router.add_post(LIST_PATH, self._create)
         app.router.add_get(OBJECT_PATH, self._get)
@@ -132,8 +132,8 @@
 
     def put(self, key: str, body: bytes) -> None:
         """Write an object of ours, as another process would."""
-        place = Key.of(key)
-        self.put_object(place.kind, place.name, spec_of(body))
+        object_key = Key.of(key)
+        self.put_object(object_key.kind, object_key.name, spec_of(body))
 
     def put_text(
         self,
@@ -161,27 +161,27 @@
 
     def put_object(self, kind: str, name: str, spec: Any) -> int:
         """Write an object as its owner would; return its revision."""
-        held = self.by_place.get((kind, name))
-        if held is None:
-            held = HeldObject(kind, name, self.revision + 1)
-            self.by_place[kind, name] = held
-        elif held.spec == spec:
-            return held.revision
-        held.spec = spec
-        return self._note(held)
+        record = self.object_by_key.get((kind, name))
+        if record is None:
+            record = ObjectRecord(kind, name, self.revision + 1)
+            self.object_by_key[kind, name] = record
+        elif record.spec == spec:
+            return record.revision
+        record.spec = spec
+        return self._record_change(record)
 
     def remove_object(self, kind: str, name: str) -> None:
         """Remove an object as its owner, or the end of its lease, would."""
-        held = self.by_place.pop((kind, name), None)
-        if held is not None:
-            self._note(held, removed=True)
+        record = self.object_by_key.pop((kind, name), None)
+        if record is not None:
+            self._record_change(record, removed=True)
 
     def compact(self) -> None:
         """Forget the history."""
         self.history.clear()
         self.history_from = self.revision
 
-    async def tell(self) -> None:
+    async def notify_watches(self) -> None:
         """Let waiting watches look again, after changes made by ``put_object``."""
         async with self._changed:
             self._changed.notify_all()
@@ -189,53 +189,53 @@
     async def switch(self, *, down: bool) -> None:
         """Begin or end an outage; waiting watches end with it."""
         self.down = down
-        await self.tell()
+        await self.notify_watches()
 
-    def _note(self, held: HeldObject, *, removed: bool = False) -> int:
+    def _record_change(self, record: ObjectRecord, *, removed: bool = False) -> int:
         self.revision += 1
-        held.revision = self.revision
-        change = HeldChange(self.revision, held.kind, held.answer(), removed)
+        record.revision = self.revision
+        change = ChangeRecord(self.revision, record.kind, record.answer(), removed)
         self.history.append(change)
         return self.revision
 
-    async def _refuse(self) -> web.Response | None:
+    async def _refusal(self) -> web.Response | None:
         self.calls += 1
         await sleep(self.latency_s)
         if self.silent:
             await Event().wait()
         if self.down:
-            return web.Response(status=_DOWN)
+            return web.Response(status=_UNAVAILABLE)
         if self.calls_left is not None:
             if self.calls_left <= 0:
-                return web.Response(status=_TOO_MANY)
+                return web.Response(status=_TOO_MANY_REQUESTS)
             self.calls_left -= 1
         return None
 
-    async def _find(self, request: web.Request) -> HeldObject | web.Response:
+    async def _find(self, request: web.Request) -> ObjectRecord | web.Response:
         """Return the object that a call is about, or the refusal of the call."""
-        refusal = await self._refuse()
+        refusal = await self._refusal()
         if refusal is not None:
             return refusal
-        place = (request.match_info['kind'], request.match_info['name'])
-        return self.by_place.get(place) or web.Response(status=_NOT_FOUND)
+        object_key = (request.match_info['kind'], request.match_info['name'])
+        return self.object_by_key.get(object_key) or web.Response(status=_NOT_FOUND)
 
     async def _get(self, request: web.Request) -> web.Response:
-        held = await self._find(request)
-        if isinstance(held, web.Response):
-            return held
-        return web.json_response(held.answer())
+        record = await self._find(request)
+        if isinstance(record, web.Response):
+            return record
+        return web.json_response(record.answer())
 
     async def _list(self, request: web.Request) -> web.Response:
-        refusal = await self._refuse()
+        refusal = await self._refusal()
         if refusal is not None:
             return refusal
         if WATCH in request.query:
             return await self._watch(request)
         kind = request.match_info['kind']
         after = request.query.get(AFTER, '')
-        names = sorted(name for owner, name in self.by_place if owner == kind and name > after)
+        names = sorted(name for owner, name in self.object_by_key if owner == kind and name > after)
         page = names[: self.page_size]
-        items = [self.by_place[kind, name].answer() for name in page]
+        items = [self.object_by_key[kind, name].answer() for name in page]
         more = len(names) > len(page)
         return web.json_response(page_content(items, self.revision, more=more))
 
@@ -245,15 +245,15 @@
         if not self.history_from <= since <= self.revision:
             return web.Response(status=_GONE)
         wait_s = int(request.query.get(WAIT_MS, '0')) / _MS
-        newer = partial(self._newer, kind, since)
+        newer = partial(self._has_newer, kind, since)
         try:
             async with self._changed:
                 await wait_for(self._changed.wait_for(newer), wait_s)
         except TimeoutError:
             return self._changes(kind, since)
-        return web.Response(status=_DOWN) if self.down else self._changes(kind, since)
+        return web.Response(status=_UNAVAILABLE) if self.down else self._changes(kind, since)
 
-    def _newer(self, kind: str, since: int) -> bool:
+    def _has_newer(self, kind: str, since: int) -> bool:
         if self.down:
             return True
         return any(change.revision > since and change.kind == kind for change in self.history)
@@ -267,61 +267,61 @@
         return web.json_response(changes_content(changes, self.revision))
 
     async def _create(self, request: web.Request) -> web.Response:
-        refusal = await self._refuse()
+        refusal = await self._refusal()
         if refusal is not None:
             return refusal
         content = await request.json()
-        place = (request.match_info['kind'], content['meta']['name'])
-        held = self.by_place.get(place)
-        if held is not None:
-            return web.json_response(held.answer(), status=_CONFLICT)
-        self.put_object(*place, content['spec'])
-        return await self._confirm(request, self.by_place[place])
+        object_key = (request.match_info['kind'], content['meta']['name'])
+        record = self.object_by_key.get(object_key)
+        if record is not None:
+            return web.json_response(record.answer(), status=_CONFLICT)
+        self.put_object(*object_key, content['spec'])
+        return await self._confirm(request, self.object_by_key[object_key])
 
     async def _replace(self, request: web.Request) -> web.Response:
-        held = await self._find(request)
-        if isinstance(held, web.Response):
-            return held
+        record = await self._find(request)
+        if isinstance(record, web.Response):
+            return record
         content = await request.json()
-        wanted = content['meta'].get('revision')
-        if wanted and wanted != held.revision:
-            return web.json_response(held.answer(), status=_CONFLICT)
+        expected_revision = content['meta'].get('revision')
+        if expected_revision and expected_revision != record.revision:
+            return web.json_response(record.answer(), status=_CONFLICT)
         finalizers = list(content['meta'].get('finalizers') or ())
-        if (content['spec'], finalizers) != (held.spec, held.finalizers):
-            held.spec = content['spec']
-            held.finalizers = finalizers
-            self._note(held)
-        return await self._confirm(request, held)
+        if (content['spec'], finalizers) != (record.spec, record.finalizers):
+            record.spec = content['spec']
+            record.finalizers = finalizers
+            self._record_change(record)
+        return await self._confirm(request, record)
 
     async def _replace_status(self, request: web.Request) -> web.Response:
-        held = await self._find(request)
-        if isinstance(held, web.Response):
-            return held
-        held.status = (await request.json())['status']
-        self._note(held)
-        return await self._confirm(request, held)
+        record = await self._find(request)
+        if isinstance(record, web.Response):
+            return record
+        record.status = (await request.json())['status']
+        self._record_change(record)
+        return await self._confirm(request, record)
 
     async def _delete(self, request: web.Request) -> web.Response:
-        held = await self._find(request)
-        if isinstance(held, web.Response):
-            return held
-        if held.finalizers:
-            held.deleting = True
-            self._note(held)
+        record = await self._find(request)
+        if isinstance(record, web.Response):
+            return record
+        if record.finalizers:
+            record.deleting = True
+            self._record_change(record)
         else:
-            self.remove_object(held.kind, held.name)
-        return await self._confirm(request, held)
+            self.remove_object(record.kind, record.name)
+        return await self._confirm(request, record)
 
-    async def _confirm(self, request: web.Request, held: HeldObject) -> web.Response:
-        await self.tell()
+    async def _confirm(self, request: web.Request, record: ObjectRecord) -> web.Response:
+        await self.notify_watches()
         if self.confirmations_to_lose:
             self.confirmations_to_lose -= 1
             if request.transport is not None:
                 request.transport.abort()
-        return web.json_response(held.answer())
+        return web.json_response(record.answer())
 
 
-async def _mark(
+async def _add_incarnation_header(
     store: PlatformStandIn,
     request: web.Request,
     response: web.StreamResponse,
--- a/src/bronzekeel/standins/store_copy.py
+++ b/src/bronzekeel/standins/store_copy.py
@@ -3,7 +3,7 @@
 from copy import copy as shallow_copy
 from dataclasses import dataclass
 
-from bronzekeel.standins.platform import HeldChange, HeldObject, PlatformStandIn
+from bronzekeel.standins.platform import ChangeRecord, ObjectRecord, PlatformStandIn
 
 
 @dataclass(frozen=True, slots=True)
@@ -11,14 +11,16 @@
     """Hold all that a store had at a revision."""
 
     revision: int
-    by_place: dict[tuple[str, str], HeldObject]
-    history: list[HeldChange]
+    object_by_key: dict[tuple[str, str], ObjectRecord]
+    history: list[ChangeRecord]
 
 
 def copy_of(store: PlatformStandIn) -> StoreCopy:
     """Return a copy of all that a store has, to be restored later."""
-    by_place = {place: shallow_copy(held) for place, held in store.by_place.items()}
-    return StoreCopy(store.revision, by_place, store.history.copy())
+    object_by_key = {
+        object_key: shallow_copy(record) for object_key, record in store.object_by_key.items()
+    }
+    return StoreCopy(store.revision, object_by_key, store.history.copy())
 
 
 def restore(store: PlatformStandIn, copy: StoreCopy) -> None:
@@ -28,6 +30,8 @@
     """
     store.incarnation += 1
     store.revision = copy.revision
-    store.by_place = {place: shallow_copy(held) for place, held in copy.by_place.items()}
+    store.object_by_key = {
+        object_key: shallow_copy(record) for object_key, record in copy.object_by_key.items()
+    }
     store.history = copy.history.copy()
     store.history_from = min(store.history_from, copy.revision)
--- a/src/bronzekeel/standins/template.py
+++ b/src/bronzekeel/standins/template.py
@@ -7,40 +7,40 @@
 
 
 _SECTION = re.compile(r'\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}', re.DOTALL)
-_PLACE = re.compile(r'\{\{([\w.]+)\|json\}\}')
-_COMMA = '{{,}}'
-_THIS = '.'
+_PLACEHOLDER = re.compile(r'\{\{([\w.]+)\|json\}\}')
+_SEPARATOR = '{{,}}'
+_CURRENT_ITEM = '.'
 
 
-def filled(template: str, fields: Mapping[str, Any]) -> str:
+def fill_template(template: str, fields: Mapping[str, Any]) -> str:
     """Return a template with its places filled from `fields`."""
-    whole = _SECTION.sub(lambda match: _section(match, fields), template)
-    return _with_places(whole, fields)
+    whole = _SECTION.sub(lambda match: _fill_section(match, fields), template)
+    return _fill_placeholders(whole, fields)
 
 
-def _with_places(template: str, fields: Mapping[str, Any]) -> str:
-    return _PLACE.sub(lambda match: encode_json(_found(fields, match[1])), template)
+def _fill_placeholders(template: str, fields: Mapping[str, Any]) -> str:
+    return _PLACEHOLDER.sub(lambda match: encode_json(_lookup(fields, match[1])), template)
 
 
-def _section(match: re.Match[str], fields: Mapping[str, Any]) -> str:
-    listed = _found(fields, match[1])
-    if not isinstance(listed, list):
-        return '' if listed is None else _with_places(match[2], fields)
+def _fill_section(match: re.Match[str], fields: Mapping[str, Any]) -> str:
+    value = _lookup(fields, match[1])
+    if not isinstance(value, list):
+        return '' if value is None else _fill_placeholders(match[2], fields)
     parts = []
-    for place, item in enumerate(listed):
-        comma = ',' if place < len(listed) - 1 else ''
-        body = match[2].replace(_COMMA, comma)
-        parts.append(_with_places(body, {**fields, _THIS: item}))
+    for index, item in enumerate(value):
+        comma = ',' if index < len(value) - 1 else ''
+        body = match[2].replace(_SEPARATOR, comma)
+        parts.append(_fill_placeholders(body, {**fields, _CURRENT_ITEM: item}))
     return ''.join(parts)
 
 
-def _found(fields: Mapping[str, Any], name: str) -> Any:
+def _lookup(fields: Mapping[str, Any], name: str) -> Any:
     """Return what stands under a dotted name, None if nothing does, or the current item."""
-    if name == _THIS:
-        return fields[_THIS]
-    found: Any = fields
+    if name == _CURRENT_ITEM:
+        return fields[_CURRENT_ITEM]
+    value: Any = fields
     for part in name.split('.'):
-        if found is None:
+        if value is None:
             break
-        found = found.get(part)
-    return found
+        value = value.get(part)
+    return value
--- a/tests/routing_cases.py
+++ b/tests/routing_cases.py
@@ -189,7 +189,7 @@
         return entry(number, revision=revision, draining=draining, data_centre=data_centre)
 
     fleet.store.put(Collection.UPSTREAMS, name, make_entry)
-    fleet.tell_watches()
+    fleet.notify_watches()
     return name
 
 
@@ -201,5 +201,5 @@
         'main',
         lambda assigned: text(assigned, *routes, generation=generation),
     )
-    fleet.tell_watches()
+    fleet.notify_watches()
     return revision
--- a/tests/test_caller_shares.py
+++ b/tests/test_caller_shares.py
@@ -50,7 +50,7 @@
 from bronzekeel.entry.settings import EntrySettings, SettingsError
 from bronzekeel.replay.flow_load import CENTRES
 from bronzekeel.replay.routing_fleet import FleetPolicies
-from tests.caller_crowds import OBJECTIVE_S, TIMEOUT_S, Crowd, played, restart_a_host
+from tests.caller_surges import OBJECTIVE_S, TIMEOUT_S, CallerSurge, played_surge, restart_host
 from tests.routing_cases import (
     LOCAL_CENTRE,
     PORTAL,
@@ -433,8 +433,8 @@
 
     def test_every_answer_is_the_same(self) -> None:
         """Guards against another order, other waits or refusals where nothing is controlled."""
-        plain = Crowd(FleetPolicies(order_of=NewestFirst), objective_s=0, lasting_s=4)
-        shared = Crowd(FleetPolicies(), objective_s=0, lasting_s=4)
+        plain = CallerSurge(FleetPolicies(order_of=NewestFirst), objective_s=0, lasting_s=4)
+        shared = CallerSurge(FleetPolicies(), objective_s=0, lasting_s=4)
         self.assertEqual(plain.latencies, shared.latencies)
 
 
@@ -488,38 +488,38 @@
 
     def test_the_others_notice_nothing(self) -> None:
         """Guards against a crowd of one that makes the answers of all others late."""
-        self.assertGreater(played(10, 0).late_share, _MOST_LATE)
-        crowd = played(10, OBJECTIVE_S)
+        self.assertGreater(played_surge(10, 0).late_share, _MOST_LATE)
+        crowd = played_surge(10, OBJECTIVE_S)
         self.assertLess(crowd.late_share, _MOST_LATE)
-        self.assertGreater(crowd.late_share_of_crowd, crowd.late_share)
+        self.assertGreater(crowd.surge_late_share, crowd.late_share)
 
     def test_twenty_times_its_share(self) -> None:
         """Guards against a crowd that is large enough to get its way."""
-        without = played(20, 0)
-        self.assertLess(played(20, OBJECTIVE_S).late_share, without.late_share / 2)
+        without = played_surge(20, 0)
+        self.assertLess(played_surge(20, OBJECTIVE_S).late_share, without.late_share / 2)
 
     def test_no_request_waits_while_there_is_room(self) -> None:
         """Guards against shares that leave slots idle."""
-        crowd = played(20, OBJECTIVE_S)
-        self.assertGreater(crowd.looks, 100)
-        self.assertEqual(0, crowd.waited_beside_room)
+        crowd = played_surge(20, OBJECTIVE_S)
+        self.assertGreater(crowd.polls, 100)
+        self.assertEqual(0, crowd.waited_with_free_capacity)
 
     def test_open_flows_do_not_starve(self) -> None:
         """Guards against requests on open flows that wait until their callers give them up."""
-        self.assertGreater(played(20, 0).p99_of_open, 2 * OBJECTIVE_S)
-        self.assertLess(played(20, OBJECTIVE_S).p99_of_open, OBJECTIVE_S)
+        self.assertGreater(played_surge(20, 0).open_flow_p99_s, 2 * OBJECTIVE_S)
+        self.assertLess(played_surge(20, OBJECTIVE_S).open_flow_p99_s, OBJECTIVE_S)
 
     def test_a_host_dies_halfway(self) -> None:
         """Guards against shares that stay wrong after a host with a part of the counts is gone."""
-        crowd = Crowd(FleetPolicies(), disturb=restart_a_host)
-        without = Crowd(FleetPolicies(), objective_s=0, disturb=restart_a_host)
+        crowd = CallerSurge(FleetPolicies(), disturb=restart_host)
+        without = CallerSurge(FleetPolicies(), objective_s=0, disturb=restart_host)
         self.assertLess(crowd.late_share, without.late_share)
 
     def test_a_data_centre_is_cut_off(self) -> None:
         """Guards against shares that need other data centres or the store."""
-        crowd = Crowd(
+        crowd = CallerSurge(
             FleetPolicies(),
-            disturb=lambda load: load.fleet.cut_centres.add(CENTRES[0]),
+            disturb=lambda load: load.fleet.isolated_centres.add(CENTRES[0]),
         )
         self.assertLess(crowd.late_share, _MOST_LATE)
 
--- a/tests/test_connection_id_demo.py
+++ b/tests/test_connection_id_demo.py
@@ -16,8 +16,8 @@
         killed and another started while the store is away.
         Cause: state of a flow that one process has, or one that knows nothing.
         """
-        told: list[str] = []
-        outcome = run(play_connection_ids(told.append, 3))
+        reports: list[str] = []
+        outcome = run(play_connection_ids(reports.append, 3))
         self.assertEqual((0, 0, 0), (outcome.broken, outcome.misdelivered, outcome.flows - 300))
         self.assertTrue(outcome.ok, outcome)
-        self.assertEqual(4, len(told))
+        self.assertEqual(4, len(reports))
--- a/tests/test_entry_daemon.py
+++ b/tests/test_entry_daemon.py
@@ -379,13 +379,13 @@
         balancer = fixture.start_balancer(link_mbps=100)
         await wait_until(lambda: balancer.state.is_current(monotonic()))
         fixture.store.put_object(EVACUATIONS_KIND, 'dc-a', {})
-        await fixture.store.tell()
+        await fixture.store.notify_watches()
         await fixture.wait_for_events({LogNumber.EVACUATED})
         await fixture.send(opening_from(fixture.caller), balancer)
         refused = await fixture.receive(fixture.caller)
         self.assertEqual(_RESET, refused[22])
         fixture.store.remove_object(EVACUATIONS_KIND, 'dc-a')
-        await fixture.store.tell()
+        await fixture.store.notify_watches()
         await fixture.wait_for_events({LogNumber.TAKEN_BACK})
         await fixture.send(opening_from(fixture.caller), balancer)
         delivered = await fixture.receive(fixture.upstream)
@@ -399,7 +399,7 @@
         self.assertIn('bronzekeel_state{kind="store_incarnation"} 1', await metrics_of(balancer))
         fixture.store.incarnation = 2
         fixture.put_text(2)
-        await fixture.store.tell()
+        await fixture.store.notify_watches()
         await fixture.wait_for_events({LogNumber.STORE_RESTORED, LogNumber.TEXT_IN_FORCE})
         self.assertIn('bronzekeel_state{kind="store_incarnation"} 2', await metrics_of(balancer))
 
@@ -411,14 +411,14 @@
         copy = copy_of(fixture.store)
         for version in (2, 3, 4):
             fixture.put_text(version)
-        await fixture.store.tell()
+        await fixture.store.notify_watches()
         await wait_until(lambda: _generation_of(balancer) == 4)
         await fixture.store.switch(down=True)
         restore(fixture.store, copy)
         await fixture.store.switch(down=False)
         for version in (4, 5):
             fixture.put_text(version)
-        await fixture.store.tell()
+        await fixture.store.notify_watches()
         await wait_until(lambda: _generation_of(balancer) == 5)
         await wait_until(lambda: balancer.state.is_direct(monotonic()))
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -183,14 +183,14 @@
         fleet.run(5)
         _evacuate(fleet, LOCAL_CENTRE)
         fleet.run(3)
-        fleet.cut_centres.add('dc-c')
+        fleet.isolated_centres.add('dc-c')
         fleet.run(3)
         _take_back(fleet, LOCAL_CENTRE)
         for name, node in fleet.node_by_name.items():
             if node.me.data_centre != 'dc-c':
                 fleet.restart(name)
         fleet.run(5)
-        fleet.cut_centres.clear()
+        fleet.isolated_centres.clear()
         fleet.run(12)
         self.assertEqual({frozenset()}, _known(fleet))
 
@@ -370,7 +370,7 @@
                 fleet = fleet_of(4, _CENTRES)
                 fleet.run(12)
                 names = [name for name in fleet.node_by_name if name.startswith(deaf)]
-                fleet.lose_store(names, 'silent')
+                fleet.fail_store(names, 'silent')
                 _evacuate(fleet, LOCAL_CENTRE)
                 fleet.run(_TOLD_S)
                 self.assertEqual({frozenset((LOCAL_CENTRE,))}, _known(fleet))
@@ -378,7 +378,7 @@
     def test_stale_watches_are_told_by_others(self) -> None:
         """Stale reads are six seconds behind; all hosts know within two."""
         fleet = fleet_of(4, _CENTRES)
-        fleet.store.stale_by_s = 6
+        fleet.store.staleness_s = 6
         fleet.run(20)
         _evacuate(fleet, LOCAL_CENTRE)
         fleet.run(_TOLD_S)
@@ -394,7 +394,7 @@
         fleet.run(5)
         _evacuate(fleet, _AWAY)
         fleet.run(2)
-        fleet.cut_centres.add(LOCAL_CENTRE)
+        fleet.isolated_centres.add(LOCAL_CENTRE)
         fleet.restart('dc-a-1')
         state = fleet.node_by_name['dc-a-1'].state
         for _ in range(40):
@@ -410,7 +410,7 @@
         fleet.run(5)
         _evacuate(fleet, LOCAL_CENTRE)
         fleet.run(2)
-        fleet.lose_store(list(fleet.node_by_name), 'refuses')
+        fleet.fail_store(list(fleet.node_by_name), 'refuses')
         for name in list(fleet.node_by_name):
             fleet.restart(name)
             fleet.run(1)
@@ -498,12 +498,12 @@
 
 def _evacuate(fleet: RoutingFleet, centre: str) -> None:
     fleet.store.put(Collection.EVACUATIONS, centre, lambda revision: Evacuation())
-    fleet.tell_watches()
+    fleet.notify_watches()
 
 
 def _take_back(fleet: RoutingFleet, centre: str) -> None:
     fleet.store.remove(Collection.EVACUATIONS, centre)
-    fleet.tell_watches()
+    fleet.notify_watches()
 
 
 def _known(fleet: RoutingFleet) -> set[frozenset[str]]:
--- a/tests/test_fault_pairs.py
+++ b/tests/test_fault_pairs.py
@@ -46,24 +46,24 @@
 
 
 def _cut_centre(fleet: RoutingFleet) -> None:
-    fleet.cut_centres.add('dc-a')
-    fleet.at(4, fleet.cut_centres.clear)
+    fleet.isolated_centres.add('dc-a')
+    fleet.at(4, fleet.isolated_centres.clear)
 
 
 def _refuse_all(fleet: RoutingFleet) -> None:
     names = list(fleet.node_by_name)
-    fleet.lose_store(names, 'refuses')
-    fleet.at(4, lambda: fleet.lose_store(names, 'serves'))
+    fleet.fail_store(names, 'refuses')
+    fleet.at(4, lambda: fleet.fail_store(names, 'serves'))
 
 
 def _refuse_some(fleet: RoutingFleet) -> None:
-    fleet.lose_store(['dc-a-1', 'dc-b-2'], 'refuses')
-    fleet.at(5, lambda: fleet.lose_store(['dc-a-1', 'dc-b-2'], 'serves'))
+    fleet.fail_store(['dc-a-1', 'dc-b-2'], 'refuses')
+    fleet.at(5, lambda: fleet.fail_store(['dc-a-1', 'dc-b-2'], 'serves'))
 
 
 def _silence_some(fleet: RoutingFleet) -> None:
-    fleet.lose_store(['dc-a-2', 'dc-b-1'], 'silent')
-    fleet.at(5, lambda: fleet.lose_store(['dc-a-2', 'dc-b-1'], 'serves'))
+    fleet.fail_store(['dc-a-2', 'dc-b-1'], 'silent')
+    fleet.at(5, lambda: fleet.fail_store(['dc-a-2', 'dc-b-1'], 'serves'))
 
 
 def _compact(fleet: RoutingFleet) -> None:
@@ -77,20 +77,20 @@
     copy = fleet.store.copy()
     put_text(fleet)
     put_upstream(fleet, 1)
-    fleet.at(1, lambda: fleet.lose_store(names, 'refuses'))
+    fleet.at(1, lambda: fleet.fail_store(names, 'refuses'))
     fleet.at(2, lambda: _restore_copy(fleet, copy))
 
 
 def _restore_copy(fleet: RoutingFleet, copy: StoreCopy) -> None:
     lost = fleet.store.copy()
     fleet.store.restore(copy)
-    fleet.lose_store(list(fleet.node_by_name), 'serves')
+    fleet.fail_store(list(fleet.node_by_name), 'serves')
     fleet.at(0.8, lambda: _write_again(fleet, lost))
 
 
 def _write_again(fleet: RoutingFleet, lost: StoreCopy) -> None:
-    fleet.store.write_again(lost)
-    fleet.tell_watches()
+    fleet.store.rewrite_lost(lost)
+    fleet.notify_watches()
 
 
 def _change_texts(fleet: RoutingFleet) -> None:
@@ -105,7 +105,7 @@
 
 def _lapse_and_return(fleet: RoutingFleet) -> None:
     fleet.store.remove(Collection.UPSTREAMS, entry(1).name)
-    fleet.tell_watches()
+    fleet.notify_watches()
     fleet.at(2, lambda: put_upstream(fleet, 1))
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -201,9 +201,9 @@
         """One line a collection for a lost dependency, one for a regained one."""
         fleet = fleet_of(1, ('dc-a',))
         node = fleet.node_by_name['dc-a-1']
-        fleet.lose_store(['dc-a-1'], 'refuses')
+        fleet.fail_store(['dc-a-1'], 'refuses')
         fleet.run(6)
-        fleet.lose_store(['dc-a-1'], 'serves')
+        fleet.fail_store(['dc-a-1'], 'serves')
         fleet.run(4)
         self.assertEqual(len(Collection), node.lines[LogNumber.PLATFORM_LOST])
         self.assertEqual(len(Collection), node.lines[LogNumber.PLATFORM_BACK])
@@ -220,10 +220,10 @@
         Cause: taking a lapsed entry for a dead upstream.
         """
         fleet = fleet_of(1, ('dc-a',))
-        fleet.lose_store(['dc-a-1'], 'refuses')
+        fleet.fail_store(['dc-a-1'], 'refuses')
         fleet.run(5)
         fleet.store.remove(Collection.UPSTREAMS, entry(1).name)
-        fleet.lose_store(['dc-a-1'], 'serves')
+        fleet.fail_store(['dc-a-1'], 'serves')
         fleet.run(1.6)
         verdict = fleet.decide('dc-a-1', opening(1))
         self.assertEqual(entry(1).name, delivered_to(verdict))
@@ -234,10 +234,10 @@
     def test_entries_that_return_are_used_on(self) -> None:
         """An entry that lapsed and came back is as before."""
         fleet = fleet_of(1, ('dc-a',))
-        fleet.lose_store(['dc-a-1'], 'refuses')
+        fleet.fail_store(['dc-a-1'], 'refuses')
         fleet.store.remove(Collection.UPSTREAMS, entry(1).name)
         fleet.run(5)
-        fleet.lose_store(['dc-a-1'], 'serves')
+        fleet.fail_store(['dc-a-1'], 'serves')
         fleet.run(1)
         put_upstream(fleet, 1)
         fleet.run(RETURN_GRACE_S + 1)
--- a/tests/test_lapsed_entries.py
+++ b/tests/test_lapsed_entries.py
@@ -44,7 +44,7 @@
     def test_a_host_that_could_not_ask_yet_resets_nothing(self) -> None:
         """Neighbours live, but their views do not pass: silence breaks nothing."""
         fleet, given = _with_lapsed_entry()
-        fleet.views_pass = False
+        fleet.views_available = False
         fleet.restart('dc-a-1')
         fleet.run(4)
         verdicts = {_verdict(fleet, 'dc-a-1', given) for _ in range(4)}
@@ -70,7 +70,7 @@
         if delivered_to(placed) == entry(1).name:
             given = id_given(placed)
     fleet.store.remove(Collection.UPSTREAMS, entry(1).name)
-    fleet.tell_watches()
+    fleet.notify_watches()
     fleet.run(1)
     return fleet, given
 
--- a/tests/test_load_ceiling.py
+++ b/tests/test_load_ceiling.py
@@ -26,7 +26,7 @@
 
 _ALWAYS = float('inf')
 _NEVER_DARK: tuple[float, float] = (0, 0)
-_KIND = RequestKind('asked', b'', aim_s=0.2, timeout_s=1, late_worth=0.25)
+_KIND = RequestKind('asked', b'', target_s=0.2, timeout_s=1, late_worth=0.25)
 _SECONDS = 6
 
 
@@ -166,7 +166,7 @@
             ended_at.append(load.elapsed_s)
 
         for server in load.server_by_name.values():
-            server.take(0.11, note)
+            server.serve(0.11, note)
         load.fleet.run(0.15)
         self.assertEqual(6, len(ended_at))
         load.fleet.run(0.06)
--- a/tests/test_moving_load.py
+++ b/tests/test_moving_load.py
@@ -21,7 +21,7 @@
 
 
 _MOVING = FleetPolicies(demand_control=DemandControlMode.ALWAYS)
-_PATIENT = RequestKind('patient', SINGLE.key, aim_s=0.5, timeout_s=4)
+_PATIENT = RequestKind('patient', SINGLE.key, target_s=0.5, timeout_s=4)
 _HOSTS = 3
 _SERVERS = 3
 
@@ -65,7 +65,7 @@
 def _crossings(load: FlowLoad, home: str | None = None) -> list[float]:
     """Return when flows were opened elsewhere, seconds from the start of the load."""
     began_at = load.fleet.now - load.elapsed_s
-    return [at - began_at for at, left, _ in load.callers.crossed if home in {None, left}]
+    return [at - began_at for at, left, _ in load.callers.remote_opens if home in {None, left}]
 
 
 def _room(load: FlowLoad, home: str, centre: str) -> list[float]:
@@ -171,7 +171,7 @@
     """Return whether a data centre sent more flows than it got, for seconds in which it did any."""
     began_at = load.fleet.now - load.elapsed_s
     net = [0 for _ in range(lasting_s + 2)]
-    for at, home, there in load.callers.crossed:
+    for at, home, there in load.callers.remote_opens:
         net[int(at - began_at)] += (home == centre) - (there == centre)
     return [flows > 0 for flows in net if flows]
 
@@ -225,7 +225,7 @@
         load = _load((_usual, _usual, _usual), 12)
         load.fleet.run(5)
         self.assertGreater(min(_room(load, 'dc-a', 'dc-b')), 0)
-        load.fleet.cut_centres.add('dc-b')
+        load.fleet.isolated_centres.add('dc-b')
         load.fleet.run(_WORD_ENDS_S)
         self.assertEqual(0, max(_room(load, 'dc-a', 'dc-b')))
         self.assertGreater(min(_room(load, 'dc-a', 'dc-c')), 0)
@@ -234,7 +234,7 @@
         """Guards against flows on a way on which nothing arrives, though word comes back."""
         load = _load((_usual, _usual, _usual), 14)
         load.fleet.run(5)
-        load.fleet.lost_ways.add(('dc-a', 'dc-b'))
+        load.fleet.lost_directions.add(('dc-a', 'dc-b'))
         load.fleet.run(_WORD_ENDS_S + RELAY_S)
         self.assertEqual(0, max(_room(load, 'dc-a', 'dc-b')))
         self.assertGreater(min(_room(load, 'dc-b', 'dc-c')), 0)
@@ -244,11 +244,11 @@
         load = _load((partial(_always, 0.9), _usual, _usual), 14)
         load.fleet.run(5)
         load.fleet.store.put(Collection.EVACUATIONS, 'dc-b', lambda revision: Evacuation())
-        load.fleet.tell_watches()
+        load.fleet.notify_watches()
         evacuated_at = load.elapsed_s + _FOLLOWS_S
         load.fleet.run(12)
         began_at = load.fleet.now - load.elapsed_s
-        there = [at - began_at for at, _, centre in load.callers.crossed if centre == 'dc-b']
+        there = [at - began_at for at, _, centre in load.callers.remote_opens if centre == 'dc-b']
         self.assertLess(max(there, default=0), evacuated_at)
         tally = load.tally_by_kind[_PATIENT.name]
         self.assertGreater(tally.earned / tally.owed, 0.95)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -122,7 +122,7 @@
         trial.load(0.8, 5)
         trial.run(1)
         for call in trial.traffic.calls:
-            trial.traffic.leave(call)
+            trial.traffic.cancel(call)
         trial.run(15)
         slots = trial.fleet.by_name[trial.keeper()].state.requests.slots_by_service[SERVICE]
         self.assertEqual({}, slots.expiry_by_holder)
--- a/tests/test_restarted_upstreams.py
+++ b/tests/test_restarted_upstreams.py
@@ -250,7 +250,7 @@
 def _restart(fleet: RoutingFleet, started_ms: int) -> None:
     """Let the first upstream write its entry as a process of another start."""
     fleet.store.put(Collection.UPSTREAMS, _NAME, partial(_started, started_ms))
-    fleet.tell_watches()
+    fleet.notify_watches()
 
 
 def _tell(
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -97,20 +97,20 @@
         'main',
         lambda revision: text(revision, generation=generation),
     )
-    fleet.tell_watches()
+    fleet.notify_watches()
 
 
 def restore(fleet: RoutingFleet, copy: StoreCopy) -> None:
     """Let the store be away, come back from a copy, and get again what its owners wrote."""
     names = list(fleet.node_by_name)
     lost = fleet.store.copy()
-    fleet.lose_store(names, 'refuses')
+    fleet.fail_store(names, 'refuses')
     fleet.run(_AWAY_S)
     fleet.store.restore(copy)
-    fleet.lose_store(names, 'serves')
+    fleet.fail_store(names, 'serves')
     fleet.run(_WRITTEN_AGAIN_S)
-    fleet.store.write_again(lost)
-    fleet.tell_watches()
+    fleet.store.rewrite_lost(lost)
+    fleet.notify_watches()
 
 
 def generations(fleet: RoutingFleet) -> set[int]:
@@ -155,10 +155,10 @@
         put_generation(fleet, 8)
         fleet.run(1)
         names = list(fleet.node_by_name)
-        fleet.lose_store(names, 'refuses')
+        fleet.fail_store(names, 'refuses')
         fleet.run(1)
         fleet.store.restore(copy)
-        fleet.lose_store(names, 'serves')
+        fleet.fail_store(names, 'serves')
         for _ in range(50):
             fleet.run(0.1)
             self.assertEqual({8}, generations(fleet))
@@ -197,14 +197,14 @@
             put_upstream(fleet, 2)
         fleet.run(1)
         names = list(fleet.node_by_name)
-        fleet.lose_store(names, 'refuses')
+        fleet.fail_store(names, 'refuses')
         fleet.run(1)
         fleet.store.restore(copy)
         put_upstream(fleet, 2)
         put_upstream(fleet, 3)
         for _ in range(6):
             put_upstream(fleet, 2)
-        fleet.lose_store(names, 'serves')
+        fleet.fail_store(names, 'serves')
         fleet.run(_BOUND_S)
         for node in fleet.running:
             self.assertIn(entry(3).name, node.state.directory.by_name)
@@ -217,7 +217,7 @@
             put_generation(fleet, generation)
         fleet.run(1)
         near = [name for name in fleet.node_by_name if name.startswith('dc-a')]
-        fleet.lose_store(near, 'silent')
+        fleet.fail_store(near, 'silent')
         fleet.store.restore(copy)
         put_generation(fleet, 24)
         put_upstream(fleet, 3)
@@ -244,7 +244,7 @@
             put_upstream(fleet, 1)
         fleet.run(1)
         fleet.store.restore(copy)
-        fleet.tell_watches()
+        fleet.notify_watches()
         calls = node.calls
         fleet.run(_BOUND_S)
         self.assertLessEqual(node.calls - calls, _BOUND_S * len(Collection) / FIRST_WAIT_S)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -39,7 +39,7 @@
 
 def _restart_in_the_dark(fleet: RoutingFleet, names: list[str]) -> None:
     """Let hosts lose power for a second, and start while the store turns them away."""
-    fleet.lose_store(names, 'refuses')
+    fleet.fail_store(names, 'refuses')
     for name in names:
         fleet.kill(name)
     fleet.run(1)
@@ -81,7 +81,7 @@
         """
         fleet = fleet_of(9, ('dc-a',))
         fleet.run(_SETTLED_S)
-        fleet.views_pass = False
+        fleet.views_available = False
         before = sum(node.calls for node in fleet.running)
         newest = put_text(fleet)
         fleet.run(BEHIND_S + 1)
@@ -132,7 +132,7 @@
         fleet = fleet_of(6, ('dc-a',))
         fleet.run(_SETTLED_S)
         watching = [node.me.name for node in fleet.running if node.state.is_direct(fleet.now)]
-        fleet.lose_store(watching, 'refuses')
+        fleet.fail_store(watching, 'refuses')
         newest = put_text(fleet)
         fleet.run(2.5)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
@@ -147,7 +147,7 @@
         fleet = fleet_of(9, ('dc-a',))
         fleet.run(_SETTLED_S)
         watching = [node.me.name for node in fleet.running if node.state.is_direct(fleet.now)]
-        fleet.lose_store(watching[:3], 'silent')
+        fleet.fail_store(watching[:3], 'silent')
         newest = put_text(fleet)
         fleet.run(0.5)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
@@ -165,10 +165,10 @@
         fleet.run(_SETTLED_S)
         deaf = [name for name in _watching(fleet) if name.startswith('dc-c')]
         self.assertEqual(WATCHERS, len(deaf))
-        fleet.lose_store(deaf, 'silent')
+        fleet.fail_store(deaf, 'silent')
         newest = put_text(fleet)
         fleet.store.remove(Collection.UPSTREAMS, entry(2).name)
-        fleet.tell_watches()
+        fleet.notify_watches()
         fleet.run(_TOLD_S)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
         for node in fleet.running:
@@ -184,7 +184,7 @@
         fleet = fleet_of(8, ('dc-a', 'dc-b'))
         fleet.run(_SETTLED_S)
         deaf = [name for name in _watching(fleet) if name.startswith('dc-a')][:2]
-        fleet.lose_store(deaf, 'silent')
+        fleet.fail_store(deaf, 'silent')
         put_text(fleet)
         fleet.run(NEWS_S + PROVING_WATCH_S + ANSWER_S + 1)
         working = [name for name in _watching(fleet) if name.startswith('dc-a')]
@@ -199,9 +199,9 @@
         """
         fleet = fleet_of(12, ('dc-a', 'dc-b', 'dc-c'))
         fleet.run(_SETTLED_S)
-        before = fleet.heartbeats_elsewhere
+        before = fleet.remote_heartbeats
         fleet.run(2 * SEED_S)
-        told = (fleet.heartbeats_elsewhere - before) / (2 * SEED_S)
+        told = (fleet.remote_heartbeats - before) / (2 * SEED_S)
         seeds = 2 * len(fleet.running) / SEED_S
         self.assertLessEqual(told, 6 * RELAYS * RELAYS / RELAY_S + seeds)
 
@@ -229,11 +229,11 @@
         """
         fleet = fleet_of(1, ('dc-a',))
         fleet.run(1)
-        fleet.lose_store(['dc-a-1'], 'silent')
+        fleet.fail_store(['dc-a-1'], 'silent')
         fleet.run(2 * WATCH_S)
         self.assertFalse(fleet.running[0].state.is_current(fleet.now))
         newest = put_text(fleet)
-        fleet.lose_store(['dc-a-1'], 'serves')
+        fleet.fail_store(['dc-a-1'], 'serves')
         fleet.run(WATCH_S)
         self.assertEqual(newest, fleet.running[0].state.text_revision)
 
@@ -252,7 +252,7 @@
         fleet.run(5)
         for name in ('dc-a-1', 'dc-a-2'):
             fleet.kill(name)
-        fleet.cut_centres.add('dc-a')
+        fleet.isolated_centres.add('dc-a')
         fleet.run(2)
         for name in ('dc-a-1', 'dc-a-2'):
             fleet.restart(name)
@@ -266,13 +266,13 @@
         """All agree soon after a cut has healed, and nobody went back."""
         fleet = fleet_of(3)
         fleet.run(5)
-        fleet.cut_centres.add('dc-a')
+        fleet.isolated_centres.add('dc-a')
         fleet.run(1)
         newest = put_text(fleet)
         fleet.run(6)
         cut_off = fleet.node_by_name['dc-a-1']
         self.assertLess(cut_off.state.text_revision, newest)
-        fleet.cut_centres.clear()
+        fleet.isolated_centres.clear()
         fleet.run(2 * WATCH_S)
         for node in fleet.running:
             self.assertEqual(newest, node.state.text_revision)
@@ -285,7 +285,7 @@
         _restart_in_the_dark(fleet, names)
         fleet.run(3)
         self.assertFalse(any(node.state.ready for node in fleet.running))
-        fleet.lose_store(names, 'serves')
+        fleet.fail_store(names, 'serves')
         fleet.run(1)
         self.assertEqual(3, sum(node.state.ready for node in fleet.running))
 
@@ -323,7 +323,7 @@
         put_upstream(fleet, 2)
         fleet.run(_SETTLED_S)
         fleet.store.remove(Collection.UPSTREAMS, entry(2).name)
-        fleet.tell_watches()
+        fleet.notify_watches()
         fleet.run(0.5)
         for node in fleet.running:
             known = node.state.directory.by_name[entry(2).name]
@@ -361,9 +361,9 @@
         put_upstream(fleet, 2)
         fleet.run(1)
         fleet.store.remove(Collection.UPSTREAMS, entry(2).name)
-        fleet.tell_watches()
+        fleet.notify_watches()
         fleet.run(REMEMBERED_S + 10)
-        fleet.lose_store(['dc-a-3'], 'refuses')
+        fleet.fail_store(['dc-a-3'], 'refuses')
         fleet.kill('dc-a-3')
         fleet.run(1)
         fleet.restart('dc-a-3')
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 from bronzekeel.soak.checks import Checks, Promise
 from bronzekeel.soak.faults import FAULTS
 from bronzekeel.soak.schedule import FIRST_S, QUIET_S, drawn
-from bronzekeel.standins.template import filled
+from bronzekeel.standins.template import fill_template
 
 
 _SETTINGS = Path(__file__).parents[1] / 'deploy' / 'settings.json'
@@ -62,7 +62,7 @@
         """Addresses and the list of seeds come out as JSON that the balancer reads."""
         place = HostPlace('dc-a-1', 'dc-a', ('1.2.3.4', 5), ('1.2.3.4', 6), ('1.2.3.4', 7))
         fields = host_fields(place, ('9.9.9.9', 80), [('1.1.1.1', 1), ('2.2.2.2', 2)], 6)
-        settings = decode_json(filled(_SETTINGS.read_text(encoding='utf-8'), fields))
+        settings = decode_json(fill_template(_SETTINGS.read_text(encoding='utf-8'), fields))
         self.assertEqual('dc-a-1', settings['name'])
         self.assertEqual('1.2.3.4:5', settings['packets'])
         self.assertEqual(['1.1.1.1:1', '2.2.2.2:2'], settings['seeds'])
@@ -77,6 +77,6 @@
         fields = host_fields(place, ('9.9.9.9', 80), [], 6)
         fields.pop('limits')
         fields['bounds'].update({'warmupOverage': 1.5, 'warmupSlack': 5})
-        settings = decode_json(filled(_SETTINGS.read_text(encoding='utf-8'), fields))
+        settings = decode_json(fill_template(_SETTINGS.read_text(encoding='utf-8'), fields))
         self.assertNotIn('link_mbps', settings)
         self.assertEqual((1.5, 5), (settings['cold_overage'], settings['cold_slack']))
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -105,7 +105,7 @@
         """
         fleet = fleet_of(24, ('dc-a', 'dc-b'))
         fleet.run(_SETTLED_S)
-        fleet.lose_store(list(fleet.node_by_name), 'refuses')
+        fleet.fail_store(list(fleet.node_by_name), 'refuses')
         fleet.run(10)
         for centre in ('dc-a', 'dc-b'):
             lost = [
@@ -134,7 +134,7 @@
         for name in _of(fleet, 'dc-d'):
             fleet.restart(name)
         fleet.run(1)
-        views = [node.fetches_elsewhere for node in fleet.running]
+        views = [node.remote_fetches for node in fleet.running]
         self.assertEqual(0, sum(views))
         self.assertTrue(all(node.state.ready for node in fleet.running))
 
@@ -142,7 +142,7 @@
         """Hosts that start in a data centre that knows nothing serve all the same."""
         fleet = _settled(4)
         started = _of(fleet, 'dc-d')
-        fleet.lose_store(started, 'silent')
+        fleet.fail_store(started, 'silent')
         for name in started:
             fleet.restart(name)
         fleet.run(STORE_FIRST_S + 0.5)
@@ -214,7 +214,7 @@
         Cause: nobody who reads the newest, or nobody who hears of it.
         """
         fleet = _settled(6)
-        fleet.store.stale_by_s = 6
+        fleet.store.staleness_s = 6
         put_upstream(fleet, 1, draining=True)
         fleet.run(_TOLD_S)
         for node in fleet.running:
@@ -227,7 +227,7 @@
         from another.
         """
         fleet = _settled(4)
-        fleet.store.stale_by_s = 6
+        fleet.store.staleness_s = 6
         newest = put_text(fleet)
         put_upstream(fleet, 1, draining=True)
         fleet.restart('dc-c-2')
@@ -244,7 +244,7 @@
         Cause: a first listing that is stale, and no watch that is not.
         """
         fleet = _settled(4)
-        fleet.store.stale_by_s = 6
+        fleet.store.staleness_s = 6
         newest = put_text(fleet)
         put_upstream(fleet, 1, draining=True)
         for name in fleet.node_by_name:
@@ -264,11 +264,11 @@
             and not node.state.reads_stale(Collection.UPSTREAMS, fleet.now)
         ]
         self.assertEqual(NEWEST_READERS, len(newest_readers))
-        fleet.lose_store(newest_readers, 'silent')
-        fleet.store.stale_by_s = 1
+        fleet.fail_store(newest_readers, 'silent')
+        fleet.store.staleness_s = 1
         newest = put_text(fleet)
         put_upstream(fleet, 1, draining=True)
-        fleet.run(fleet.store.stale_by_s + _TOLD_S)
+        fleet.run(fleet.store.staleness_s + _TOLD_S)
         for node in fleet.running:
             self.assertEqual(newest, node.state.text_revision)
             self.assertTrue(node.state.directory.by_name[entry(1).name].entry.draining)
@@ -283,7 +283,7 @@
                 )
                 others = sorted(set(fleet.node_by_name).difference(watching))
                 deaf = watching[offset * 2 : offset * 2 + 4]
-                fleet.lose_store([*deaf, *others[offset : offset + 6]], 'silent')
+                fleet.fail_store([*deaf, *others[offset : offset + 6]], 'silent')
                 newest = put_text(fleet)
                 put_upstream(fleet, 1, draining=True)
                 fleet.run(_TOLD_S)
@@ -306,7 +306,7 @@
 
 
 def _newest_reads(fleet: RoutingFleet) -> int:
-    return sum(node.newest_reads for node in fleet.node_by_name.values())
+    return sum(node.consistent_reads for node in fleet.node_by_name.values())
 
 
 def _calls(fleet: RoutingFleet) -> int:
