--- a/src/bronzekeel/bench/load_moments.py
+++ b/src/bronzekeel/bench/load_moments.py
@@ -178,7 +178,7 @@
         feeds = work_s * self.feed_share / FEED.work_s
         urgent = work_s * (1 - self.feed_share) / URGENT.work_s
         load.arrive(lambda at_s: self.rate_of(at_s, urgent), self.lasting_s, URGENT)
-        load.ask_from_clients(
+        load.send_from_new_clients(
             lambda at_s: self.rate_of(at_s, feeds),
             self.lasting_s,
             _CLIENTS_PER_UPSTREAM * servers,
--- a/src/bronzekeel/replay/__init__.py
+++ b/src/bronzekeel/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay events on several balancers' decisions in virtual time."""
+"""Replay events through the decision logic of several balancers in virtual time."""
--- a/src/bronzekeel/replay/fleet.py
+++ b/src/bronzekeel/replay/fleet.py
@@ -1,7 +1,7 @@
-"""Join several balancers' reducers by one heap of timed deliveries.
+"""Run the reducers of several balancers against each other in virtual time.
 
-A replayer and not a simulator: no sockets, no threads, no model of hosts.
-All randomness comes from one seed.
+Messages, texts and packets are delivered by one event queue ordered by time.  There are no
+sockets, no threads and no model of hosts.  All randomness comes from one seed.
 """
 
 from collections import Counter
@@ -28,17 +28,17 @@
 from bronzekeel.wire import encode, sent_bytes
 
 
-#: Time that a text takes to reach a watcher or a peer, at most.
+#: Longest delay before a text from the platform reaches a watcher, in seconds.
 _MAX_TEXT_DELAY_S = 0.05
 
 
 @dataclass(slots=True)
 class Node:
-    """Hold one balancer of a replay.
+    """Hold the state of one balancer of a replay.
 
-    `clock_skew` shifts its clock; a node that is paused gets its deliveries
-    when it wakes, as a stopped process finds them in its socket buffers.
-    `view_lag_s` delays the texts and journals that reach it.
+    `clock_skew` shifts its clock, in seconds.  Deliveries to a paused node are deferred until it
+    resumes, as a stopped process finds them in its socket buffers.  `view_lag_s` delays texts
+    and journals on their way to it.
     """
 
     state: BalancerState
@@ -57,7 +57,7 @@
 
 
 class Fleet(SprayedFleet):
-    """Run balancers' reducers against each other in virtual time."""
+    """Connect the reducers of balancers through a simulated network and platform."""
 
     def __init__(
         self,
@@ -67,7 +67,10 @@
         one_way_s: float = 0.0005,
         lost_share: float = 0,
     ) -> None:
-        """Start a node for each of `hosts`; they know of each other by list."""
+        """Start a node for each of `hosts`, which learn of each other from the list of hosts.
+
+        Messages take `one_way_s` to twice that; a share `lost_share` of them is lost.
+        """
         super().__init__(seed)
         self.sink = sink or Sink()
         self.one_way_s = one_way_s
@@ -84,16 +87,16 @@
 
     @property
     def running(self) -> list[Node]:
-        """Nodes that are not dead."""
+        """Nodes that are alive, including paused ones."""
         return [node for node in self.by_name.values() if not node.dead]
 
     @property
     def sprayed_names(self) -> list[str]:
-        """Names of the running balancers that are not being stopped."""
+        """Names of the running balancers that are not stopping."""
         return [node.name for node in self.running if not node.state.stopping]
 
     def start(self, host: HostEntry) -> Node:
-        """Start a fresh balancer, in place of one of the same name."""
+        """Start a balancer with empty state; it replaces one of the same name."""
         self.hosts[host.name] = host
         self.incarnations += 1
         node = Node(BalancerState.fresh(host, self.incarnations, self.now))
@@ -103,31 +106,31 @@
         return node
 
     def list_hosts(self) -> None:
-        """Give the platform's list of hosts to every node."""
+        """Deliver the platform's list of hosts to every running node."""
         listed = tuple(self.hosts.values())
         self.hosts_version += 1
         for node in self.running:
             self.deliver(node, HostsListed(listed, self.hosts_version))
 
     def unlist(self, name: str) -> None:
-        """Take a host off the platform's list."""
+        """Remove a host from the platform's list."""
         self.hosts.pop(name, None)
         self.list_hosts()
 
     def kill(self, name: str) -> None:
-        """End a balancer without warning."""
+        """Crash a balancer: it stops without notice."""
         self.by_name[name].dead = True
 
     def pause(self, name: str, duration_s: float) -> None:
-        """Stop a balancer's process for a while."""
+        """Suspend a balancer's process for `duration_s`."""
         self.by_name[name].paused_until = self.now + duration_s
 
     def stop(self, name: str) -> None:
-        """Stop a balancer in the planned way."""
+        """Ask a balancer to stop gracefully."""
         self.deliver(self.by_name[name], StopAsked())
 
     def cut(self, left: Iterable[str], right: Iterable[str]) -> None:
-        """Cut all links between two groups."""
+        """Cut all links between two groups of hosts, in both directions."""
         others = list(right)
         for one in left:
             self.cuts.update((one, other) for other in others)
@@ -138,7 +141,10 @@
         self.cuts.clear()
 
     def submit(self, catalogue: Catalogue) -> None:
-        """Accept a text at the platform and tell its watchers."""
+        """Accept a text at the platform and send it to the watchers.
+
+        Without the platform, it is sent once the outage ends.
+        """
         self.newest = catalogue
         if not self.platform_up:
             return
@@ -147,7 +153,7 @@
                 self._send_text(node, catalogue)
 
     def deliver(self, node: Node, event: Event) -> None:
-        """Reduce an event on a node, now or when it wakes."""
+        """Reduce an event on a node, now or when its pause ends."""
         if node.dead:
             return
         if self.now < node.paused_until:
@@ -157,14 +163,14 @@
             self._apply_effect(node, effect)
 
     def platform_back(self) -> None:
-        """End a platform outage: watchers read what they missed."""
+        """End a platform outage; watchers then read the newest text."""
         self.platform_up = True
         for node in self.running:
             if node.state.rollout.watching:
                 self._read_platform(node)
 
     def arrive(self, name: str, packet: Packet) -> None:
-        """Let a packet arrive at a balancer, from the fabric or a peer."""
+        """Process a packet that a balancer receives from the fabric or a peer."""
         node = self.by_name[name]
         if node.dead:
             self.sink.dropped(packet, 'dead_balancer')
--- a/src/bronzekeel/replay/flow_load.py
+++ b/src/bronzekeel/replay/flow_load.py
@@ -1,7 +1,7 @@
-"""Play callers' flows through replayed balancers to upstreams with slots.
+"""Generate load: flows of callers through replayed balancers to upstreams with slots.
 
-Callers, upstreams and the way between them are just what placement and admission have to
-bear: copies of opening packets, queues, refusals, cold starts.
+Callers, upstreams and the network are modelled only as far as they affect placement and
+admission: retransmitted opening packets, queues, refusals and cold starts.
 """
 
 from collections.abc import Callable
@@ -20,39 +20,39 @@
 
 _SERVICE = 'portal'
 
-#: Seconds after which a silent flow may be forgotten.
+#: Idle timeout of a flow, in seconds.
 _IDLE_S = 15
 
-#: Requests that all flows carry before their callers open others, and the mean pause between
-#: two, seconds.
+#: Number of requests that a user sends on a flow before it opens another, and the mean pause
+#: between two requests, in seconds.
 _FLOW_REQUESTS = 20
 _PAUSE_S = 0.3
 
 CENTRES = ('dc-a', 'dc-b', 'dc-c')
 
-#: Single requests, a flow each.
+#: Single requests that open a flow each.
 SINGLE = RequestKind('single', bytes((198, 18, 0, 1, 1, 187)))
 
-#: Requests of long feeds, less urgent than single ones.
+#: Requests on long-lived flows, less urgent than single ones.
 FEED = RequestKind('feed', bytes((198, 18, 0, 1, 32, 251)), priority=1, keeps_flow=True)
 
 
 @dataclass(frozen=True, slots=True)
 class Client:
-    """Hold a caller and those of its open flows that wait for a request, by kind."""
+    """Hold a caller and its idle flows by the name of the request kind."""
 
     caller: Caller
     idle_by_kind: dict[str, list[Flow]] = field(default_factory=dict)
 
     def idle_flows(self, kind: RequestKind) -> list[Flow]:
-        """Return the idle flows for one kind of request, none for one that opens a flow each."""
+        """Return the idle flows for a kind of request; an empty list if it does not reuse flows."""
         if not kind.keeps_flow:
             return []
         return self.idle_by_kind.setdefault(kind.name, [])
 
 
 class FlowLoad:
-    """Run callers against a fleet, and count what they feel."""
+    """Run callers against a fleet, and record the outcomes of their requests."""
 
     def __init__(
         self,
@@ -66,7 +66,8 @@
     ) -> None:
         """Set up three data centres of `hosts` balancers and `servers` upstreams each.
 
-        Callers are in them by their `weights`, and ask for requests of some `kinds`.
+        `weights` distribute the callers over the data centres; `kinds` are the kinds of requests
+        that they send.
         """
         self._centre_by_weight = [
             centre for centre, weight in zip(CENTRES, weights, strict=True) for _ in range(weight)
@@ -105,7 +106,7 @@
 
     @property
     def slots(self) -> list[Slot]:
-        """All slots of all upstreams, with times from the start."""
+        """All slots of all upstreams, with times relative to the start of the load."""
         return [
             slot
             for server in self.server_by_name.values()
@@ -114,16 +115,16 @@
 
     @property
     def capacity(self) -> float:
-        """Work that all upstreams do in a second."""
+        """Seconds of work that all upstreams together complete per second."""
         return sum(server.kind.slots * server.speed for server in self.server_by_name.values())
 
     @property
     def elapsed_s(self) -> float:
-        """Seconds since the load began."""
+        """Seconds since the start of the load."""
         return self.fleet.now - self._began_at
 
     def add_server(self, centre: str, *, cold: bool = False) -> Server:
-        """List one more upstream."""
+        """Add an upstream and list it in the store."""
         number = len(self.server_by_name) + 1
         server = Server(self.fleet, f'i-{number}', centre, self.server_kind)
         server.set_speed(self.server_kind.speed_of(number))
@@ -134,13 +135,13 @@
         return server
 
     def drain_server(self, name: str) -> None:
-        """Let an upstream announce that it leaves."""
+        """Mark an upstream as draining in the store."""
         server = self.server_by_name[name]
         server.left_at = self.fleet.now
         self._put(server, int(name.removeprefix('i-')), draining=True)
 
     def fail_server(self, name: str, unlisted_after_s: float) -> None:
-        """Let an upstream fall silent for good; its entry lapses later."""
+        """Make an upstream unresponsive for good; its entry is removed `unlisted_after_s` later."""
         server = self.server_by_name[name]
         server.silent = True
         server.left_at = self.fleet.now
@@ -153,25 +154,26 @@
         kind: RequestKind = SINGLE,
         centre: str | None = None,
     ) -> None:
-        """Let requests arrive at random, ``rate_of`` a second, for some time, a flow each.
+        """Schedule Poisson arrivals of requests on flows of their own for `lasting_s`.
 
-        They come from the callers of all data centres, or of one `centre`.
+        ``rate_of`` returns the rate per second at a time from now.  The requests come from the
+        callers of all data centres, or of one `centre`.
         """
         for at_s in self._arrivals(rate_of, lasting_s):
             self.fleet.at(at_s, partial(self._arrive, kind, centre or self._random_centre()))
 
-    def ask_from_clients(
+    def send_from_new_clients(
         self,
         rate_of: Callable[[float], float],
         lasting_s: float,
         clients: int,
         kind: RequestKind = FEED,
     ) -> None:
-        """Let requests arrive at random at so many new clients."""
+        """Schedule Poisson arrivals of requests at a number of new clients."""
         self.send_from_clients(self.add_clients(clients), rate_of, lasting_s, kind)
 
     def add_clients(self, clients: int, centre: str | None = None) -> list[Client]:
-        """Add clients in all data centres by their weights, or in one of them."""
+        """Add clients to all data centres according to their weights, or to one of them."""
         centres = cycle([centre] if centre else self._centre_by_weight)
         return [Client(self.caller_list.add(next(centres))) for _ in range(clients)]
 
@@ -183,16 +185,16 @@
         kind: RequestKind,
         begins_s: float = 0,
     ) -> None:
-        """Let requests arrive at random at clients, which use their open flows.
+        """Schedule Poisson arrivals of requests at clients, which reuse their idle flows.
 
-        A client whose flows are all busy opens one more, so that a burst opens many.
+        A client without an idle flow opens another one, so a burst opens many.
         """
         for at_s in self._arrivals(rate_of, lasting_s, begins_s):
             client = self.fleet.random.choice(clients)
             self.fleet.at(at_s, partial(self._send_from_client, kind, client))
 
     def run_users(self, users: int, lasting_s: float, kind: RequestKind = SINGLE) -> None:
-        """Let users send request after request on long flows, for some time."""
+        """Run users that send one request after another on long-lived flows, for `lasting_s`."""
         until = self.fleet.now + lasting_s
         for number in range(users):
             centre = self._centre_by_weight[number % len(self._centre_by_weight)]
@@ -225,7 +227,7 @@
         draining: bool = False,
         cold_s: float = 0,
     ) -> None:
-        def entry_at(revision: int) -> UpstreamEntry:  # noqa: WPS430 (the revision is known later)
+        def entry_at(revision: int) -> UpstreamEntry:  # noqa: WPS430 (needs the revision)
             return UpstreamEntry(
                 name=server.name,
                 number=number,
@@ -246,7 +248,7 @@
         self.fleet.notify_watches()
 
     def _arrive(self, kind: RequestKind, centre: str) -> None:
-        """Send a request of the next caller of a data centre on a flow of its own."""
+        """Send a request of the next caller of a data centre on a new flow."""
         self._begin(kind, self.caller_list.next_of(centre), None, _discard)
 
     def _send_from_client(self, kind: RequestKind, client: Client) -> None:
@@ -254,7 +256,7 @@
         idle = client.idle_flows(kind)
         flow = idle.pop() if idle else None
 
-        def retain(used: Flow | None) -> None:  # noqa: WPS430 (holds the client's flows)
+        def retain(used: Flow | None) -> None:  # noqa: WPS430 (closes over the client's flows)
             if used is None or used.ended:
                 return
             if used.carried == kind.flow_requests:
@@ -272,13 +274,13 @@
         remaining_requests: int,
         until: float,
     ) -> None:
-        """Send the next request of a user, on its open flow or a new one."""
+        """Send the next request of a user on its open flow, or on a new one."""
         if self.fleet.now >= until:
             return
         pause_s = self.fleet.random.expovariate(1 / _PAUSE_S)
         next_remaining = remaining_requests - 1 or _FLOW_REQUESTS
 
-        def schedule_next(used: Flow | None) -> None:  # noqa: WPS430 (holds the user's place)
+        def schedule_next(used: Flow | None) -> None:  # noqa: WPS430 (closes over the user)
             kept = used if remaining_requests > 1 else None
             self.fleet.at(
                 pause_s, partial(self._send_next, kind, caller, kept, next_remaining, until)
@@ -302,4 +304,4 @@
 
 
 def _discard(flow: Flow | None) -> None:
-    """Go on with nothing after a single request."""
+    """Leave the flow of a single request unused."""
--- a/src/bronzekeel/replay/load_callers.py
+++ b/src/bronzekeel/replay/load_callers.py
@@ -1,7 +1,7 @@
-"""Model the callers of a replayed load: flows, requests, and how often they try.
+"""Model the callers of a replayed load: their flows, requests, retransmissions and retries.
 
-Callers either keep flows open for many requests or open one for each.  Packets are lost only
-where a host or an upstream is down.
+Callers either keep a flow open for many requests or open one for each.  Packets are lost only
+at hosts and upstreams that are down.
 """
 
 from collections.abc import Callable
@@ -17,37 +17,40 @@
 from bronzekeel.replay.routing_fleet import RoutingFleet
 
 
-#: One way between a caller and a host, and within and between data centres, seconds.
+#: One-way delay between a caller and a host, and from a host to an upstream of the same and of
+#: another data centre, in seconds.
 CALLER_DELAY_S = 0.003
 _LOCAL_HOP_S = 0.0001
 _REMOTE_HOP_S = 0.0014
 
-#: When callers repeat an opening packet, and when they give the attempt up, seconds.
+#: Times at which a caller retransmits an opening packet, and after which it abandons the
+#: attempt, in seconds from the first packet.
 _OPENING_RETRANSMITS_S = (0.2, 0.6)
 _OPENING_TIMEOUT_S = 1.4
 
-#: When callers repeat a request that their flow's upstream did not get, seconds.
+#: Times at which a caller retransmits a request that has not reached the upstream of its flow,
+#: in seconds.
 _REQUEST_RETRANSMITS_S = (0.2, 0.6, 1.4)
 
-#: Attempts at a request, and the seconds before the next one: at once when a flow was
-#: refused, after a short and random wait when an upstream turned the request away.
+#: Attempts per request, and the delay before a retry in seconds: nearly none if the flow was
+#: refused or reset, short and random if an upstream rejected the request.
 _MAX_ATTEMPTS = 3
 _REFUSAL_BACKOFF_S = 0.001
 _REJECTION_BACKOFF_S = (0.005, 0.05)
 
-#: Bytes of a request and of an upstream's word that it turned one away.
+#: Payload size of a request.
 _REQUEST_BYTES = 200
 
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """Say what callers ask for.
+    """Describe one kind of request.
 
-    `key` is the route's address and port.  An answer within `target_s` earns `worth`, a later one
-    `late_worth`; callers give up after `timeout_s`.  `keeps_flow` tells that they ask on open
-    flows where they have some, each of which they close after `flow_requests`, zero for never.
-    `tail_share` of the requests take `tail_factor` times as long.  The route states
-    `objective_s`.
+    `key` is the route's address and port.  An answer within `target_s` is worth `worth`, a later
+    one `late_worth`; callers give up after `timeout_s`.  With `keeps_flow`, callers reuse open
+    flows and close each after `flow_requests` requests (zero: never).  Work takes `work_s`,
+    varied at random by up to the share `work_spread`; a share `tail_share` of the requests takes
+    `tail_factor` times as long.  `objective_s` is the latency objective of the route.
     """
 
     name: str
@@ -67,11 +70,11 @@
 
     @property
     def mean_work_s(self) -> float:
-        """Seconds that a request takes in the mean."""
+        """Mean work of a request, in seconds."""
         return self.work_s * (1 + self.tail_share * (self.tail_factor - 1))
 
     def draw_work_s(self, random: Random) -> float:
-        """Draw how long a request takes."""
+        """Draw the work of a request at random, in seconds."""
         work_s = self.work_s * random.uniform(1 - self.work_spread, 1 + self.work_spread)
         if self.tail_share and random.random() < self.tail_share:
             return work_s * self.tail_factor
@@ -79,7 +82,10 @@
 
 
 class Arrival(NamedTuple):
-    """Hold when a request was asked from the start, its work, and the server of its open flow."""
+    """Record the arrival of a request: its time from the start of the load and its work.
+
+    `server` is the upstream of the open flow that it was sent on, empty for a new flow.
+    """
 
     at_s: float
     work_s: float
@@ -88,7 +94,11 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Count what callers of one kind felt; `latencies` are seconds of answered requests."""
+    """Record the requests of one kind and their outcomes.
+
+    `latencies` are those of the answered requests, in seconds; `refused` counts the requests
+    that failed.
+    """
 
     kind: RequestKind
     arrivals: list[Arrival] = field(default_factory=list)
@@ -98,23 +108,23 @@
 
     @property
     def in_time(self) -> int:
-        """Number of requests that were answered in time."""
+        """Number of requests that were answered within the target."""
         return sum(latency <= self.kind.target_s for latency in self.latencies)
 
     @property
     def earned(self) -> float:
-        """Worth of all answers."""
+        """Total worth of all answers."""
         late = len(self.latencies) - self.in_time
         return self.in_time * self.kind.worth + late * self.kind.late_worth
 
     @property
-    def owed(self) -> float:
-        """Worth of all requests if every answer were in time."""
+    def full_worth(self) -> float:
+        """Total worth if every request were answered in time."""
         return len(self.arrivals) * self.kind.worth
 
 
 class Request:
-    """Hold one request from its caller's first attempt to its end."""
+    """Hold one request from its first attempt to its end."""
 
     __slots__ = ('attempts', 'begun_at', 'caller', 'ended', 'on_done', 'tally', 'work_s')
 
@@ -126,7 +136,7 @@
         work_s: float,
         on_done: Callable[['Flow | None'], None],
     ) -> None:
-        """Begin; `then` goes on with the flow that answered, None when the request failed."""
+        """Create a request; `on_done` gets the flow that answered, or None if it failed."""
         self.tally = tally
         self.caller = caller
         self.begun_at = begun_at
@@ -137,7 +147,11 @@
 
 
 class Flow:
-    """Hold one flow of a caller through one host."""
+    """Hold one flow of a caller, whose packets go through `host`.
+
+    `opened_by` has the upstreams that received an opening packet; `reached` tells whether the
+    current request has reached the upstream; `carried` counts answered requests.
+    """
 
     __slots__ = (
         'acknowledged',
@@ -154,7 +168,7 @@
     )
 
     def __init__(self, caller: Caller, route_key: bytes, host: str) -> None:
-        """Start with a flow that is not open."""
+        """Create a flow that is not open yet."""
         self.caller = caller
         self.key = caller.next_key(route_key)
         self.carried = 0
@@ -169,7 +183,7 @@
 
 
 class Callers:
-    """Send requests through a fleet's hosts, and count what comes of them."""
+    """Send requests through the hosts of a fleet, and record the outcomes."""
 
     def __init__(
         self,
@@ -177,9 +191,12 @@
         names_by_centre: dict[str, tuple[str, ...]],
         server_by_name: dict[str, Server],
     ) -> None:
-        """Send through the hosts of a data centre at random.
+        """Create callers that send through random hosts of their data centre.
 
-        `crossed` has when flows were opened in another data centre, from where and to where.
+        `remote_opens` has the time, the host's and the upstream's data centre of each flow that
+        was opened in another data centre.  `opened_by_retransmission` counts flows that were not
+        opened by their first packet, `opened_twice` late answers to opening packets that more
+        than one upstream received.
         """
         self.fleet = fleet
         self.opened_by_retransmission = 0
@@ -190,7 +207,7 @@
         self._server_by_name = server_by_name
 
     def send(self, request: Request, flow: Flow | None) -> None:
-        """Send a request on an open flow, or on a new one."""
+        """Send a request on an open flow, or on a new one if `flow` is None."""
         if flow is None:
             self._open(request)
             return
@@ -207,7 +224,7 @@
         self.fleet.at(CALLER_DELAY_S, partial(self._steer, flow, packet, _ignore))
 
     def _open(self, request: Request) -> None:
-        """Open a flow for a request, again and again for as long as callers do."""
+        """Open a flow for a request, or fail it if its attempts or its time are used up."""
         if request.ended:
             return
         is_expired = self.fleet.now >= request.begun_at + request.tally.kind.timeout_s
@@ -223,7 +240,7 @@
         self.fleet.at(_OPENING_TIMEOUT_S, partial(self._on_opening_timeout, flow, request))
 
     def _host_in(self, centre: str) -> str:
-        """Return a host that takes packets, any of them when none does."""
+        """Return a random host of a data centre that is up; any host if all are down."""
         names = self._names_by_centre[centre]
         up = [name for name in names if self.fleet.node_by_name[name].up]
         return self.fleet.random.choice(up or names)
@@ -241,7 +258,7 @@
             self._open(request)
 
     def _on_request_timeout(self, request: Request, flow: Flow) -> None:
-        """Close the flow of a request that was not answered in time to be of use."""
+        """Fail a request that was not answered within its timeout, and close its flow."""
         if request.ended:
             return
         self.close(flow)
@@ -300,14 +317,14 @@
         self._send_on_flow(flow, request)
 
     def _send_on_flow(self, flow: Flow, request: Request) -> None:
-        """Send a request on an open flow, and again until its upstream has it."""
+        """Send a request on an open flow, with retransmissions until it reaches the upstream."""
         flow.sequence += 1
         flow.reached = False
         for delay_s in (0, *_REQUEST_RETRANSMITS_S):
             self.fleet.at(delay_s, partial(self._send_request, flow, request, flow.sequence))
 
     def _send_request(self, flow: Flow, request: Request, sequence: int) -> None:
-        """Send a request unless its upstream has it or its flow has gone on."""
+        """Send a request unless it reached the upstream or the flow has advanced or ended."""
         if flow.reached or flow.ended or flow.sequence != sequence:
             return
         packet = self._packet(flow, _REQUEST_BYTES)
@@ -374,7 +391,10 @@
         )
 
     def _steer(self, flow: Flow, packet: FlowPacket, on_verdict: Callable[[Verdict], None]) -> None:
-        """Give a packet to its host, to another one if that is down or its caller has moved."""
+        """Send a packet to the flow's host.
+
+        If that is down, or the caller has moved to another data centre, choose a new host.
+        """
         node = self.fleet.node_by_name[flow.host]
         if not node.up or node.me.data_centre != flow.caller.centre:
             flow.host = self._host_in(flow.caller.centre)
@@ -386,4 +406,4 @@
 
 
 def _ignore(verdict: Verdict) -> None:
-    """Take a verdict that changes nothing for the caller."""
+    """Ignore a verdict that does not affect the caller."""
--- a/src/bronzekeel/replay/load_servers.py
+++ b/src/bronzekeel/replay/load_servers.py
@@ -1,4 +1,4 @@
-"""Model the upstreams of a replayed load: slots, a queue, cold starts, and what goes wrong."""
+"""Model the upstreams of a replayed load: slots, queue, cold starts and failures."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerKind:
-    """Say what upstreams of one kind can do.
+    """Describe the upstreams of one kind.
 
-    Beyond `queue` waiting requests further ones are turned away at once.  A fresh one works
-    `cold_factor` times longer for `cold_s` seconds.  The list of `speeds` repeats.
+    While `queue` requests wait, further ones are rejected at once.  After a cold start, work
+    takes `cold_factor` times as long for `cold_s` seconds.  Upstreams get the `speeds` in turn.
     """
 
     slots: int = 3
@@ -23,13 +23,16 @@
     speeds: tuple[float, ...] = (1,)
 
     def speed_of(self, number: int) -> float:
-        """Return the speed of the upstream with a running number from 1."""
+        """Return the speed of an upstream; numbers start at 1."""
         return self.speeds[(number - 1) % len(self.speeds)]
 
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """Say when a slot of a server is there; `speeds` are pairs of a time and a speed."""
+    """Describe when a slot of a server exists and how fast it is.
+
+    `speeds` are pairs of a time and the speed from then on.
+    """
 
     begins_s: float
     ends_s: float
@@ -37,7 +40,7 @@
     server: str = ''
 
     def speed_at(self, at_s: float) -> float:
-        """Return the work that it does in a second at a time."""
+        """Return the seconds of work that it does per second at a given time."""
         speed = self.speeds[0][1]
         for from_s, changed in self.speeds:
             speed = changed if from_s <= at_s else speed
@@ -45,11 +48,12 @@
 
 
 class Server:
-    """Work on requests in some slots, in the order in which they came.
+    """Serve requests in a number of slots, first come, first served.
 
-    A `grey` one takes everything and answers nothing; a `silent` one does not even open
-    flows.  It is there from `began_at` to `left_at`.  A request takes its work divided by the
-    speed at its begin; `speeds` are pairs of a time and the speed from then on.
+    A `grey` server accepts flows but answers no requests; a `silent` one leaves opening packets
+    unanswered as well.  The server exists from `began_at` to `left_at`.  A request takes its work
+    divided by the speed when it starts, times `slow`; `speeds` are pairs of a time and the speed
+    from then on.
     """
 
     __slots__ = (
@@ -71,7 +75,7 @@
     )
 
     def __init__(self, time: VirtualTime, name: str, data_centre: str, kind: ServerKind) -> None:
-        """Start warm and idle."""
+        """Create an idle server that is not in its cold start."""
         self._time = time
         self.name = name
         self.data_centre = data_centre
@@ -90,26 +94,26 @@
 
     @property
     def idle_slots(self) -> int:
-        """Slots that nothing is worked on in."""
+        """Number of slots that are free."""
         return self.kind.slots - self._busy
 
     @property
     def speed(self) -> float:
-        """Work that a slot does in a second."""
+        """Seconds of work that a slot does per second."""
         return self.speeds[-1][1]
 
     def set_speed(self, speed: float) -> None:
-        """Work at another speed from now on."""
+        """Change the speed from now on; requests in progress are not affected."""
         self.speeds.append((self._time.now, speed))
 
     def slots_since(self, began_at: float) -> list[Slot]:
-        """Return all slots, with times counted from `began_at`."""
+        """Return all slots, with times relative to `began_at`."""
         speeds = tuple((at - began_at, speed) for at, speed in self.speeds)
         slot = Slot(self.began_at - began_at, self.left_at - began_at, speeds, self.name)
         return [slot for _ in range(self.kind.slots)]
 
     def serve(self, work_s: float, done: Callable[[bool], None]) -> None:
-        """Work on a request when there is a slot; tell `done` whether it ran."""
+        """Run a request, queue it or reject it; `done` is called with whether it ran."""
         if self.grey or self.silent:
             return
         if self._busy < self.kind.slots:
@@ -117,7 +121,7 @@
             return
         if len(self._waiting) >= self.kind.queue:
             self.rejected += 1
-            done(False)  # noqa: FBT003 (the one thing that is told)
+            done(False)  # noqa: FBT003 (the only argument of the callback)
             return
         self._waiting.append(partial(self._start, work_s, done))
 
--- a/src/bronzekeel/replay/player.py
+++ b/src/bronzekeel/replay/player.py
@@ -1,4 +1,4 @@
-"""Play a written trace on a fleet and observe its outcomes."""
+"""Play a written trace on a fleet and return the outcomes."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -33,28 +33,28 @@
 
 
 class _ServiceDispatch(Sink):
-    """Pass packets on to the traffic of their service."""
+    """Dispatch the fates of packets to the traffic of their service."""
 
     def __init__(self) -> None:
         self.by_key: dict[bytes, FlowTraffic] = {}
 
     def forwarded(self, packet: Packet, upstream: str) -> None:
-        """Tell the traffic that a packet was delivered."""
+        """Notify the traffic that a packet was forwarded."""
         self.by_key[packet.service].forwarded(packet, upstream)
 
     def dropped(self, packet: Packet, reason: str) -> None:
-        """Tell the traffic that a packet was dropped."""
+        """Notify the traffic that a packet was dropped."""
         self.by_key[packet.service].dropped(packet, reason)
 
     def effect_emitted(self, effect: Effect, host: str) -> None:
-        """Pass over all other effects."""
+        """Ignore all other effects."""
 
 
 class Player:
-    """Hold a fleet while a trace is played on it."""
+    """Play the acts of a trace on a fleet."""
 
     def __init__(self, seed: int) -> None:
-        """Start without balancers."""
+        """Create a fleet without balancers."""
         self._sink = _ServiceDispatch()
         self._fleet = Fleet((), seed, self._sink)
         self._traffic_by_service: dict[str, FlowTraffic] = {}
@@ -75,7 +75,10 @@
         }
 
     def play(self, happenings: list[Happening]) -> dict[str, float]:
-        """Play a trace to some time after its last line; return the outcomes."""
+        """Play a trace and return the outcomes.
+
+        The fleet runs on for ``_SETTLE_S`` after the last act, so that it can converge.
+        """
         for happening in happenings:
             self._fleet.at(happening.at, partial(self._apply_act, happening.act))
         last_at = max((item.at for item in happenings), default=0)
@@ -83,7 +86,7 @@
         return self._outcomes()
 
     def _apply_act(self, act: Act) -> None:
-        """Carry out one act."""
+        """Apply one act to the fleet."""
         self._handlers[type(act)](act)
 
     def _start(self, act: Start) -> None:
@@ -128,7 +131,7 @@
             self._fleet.platform_up = False
 
     def _outcomes(self) -> dict[str, float]:
-        """Return what callers and operators would have seen, by name."""
+        """Return the outcomes that callers and operators would observe, by name."""
         traffics = list(self._traffic_by_service.values())
         states = [node.state for node in self._fleet.running]
         verdicts = sum(
@@ -153,7 +156,7 @@
 
 
 def failed_outcomes(observed: dict[str, float], expected: dict[str, Bounds]) -> list[str]:
-    """Return the names of the stated outcomes that were not observed."""
+    """Return the names of the expected outcomes that are missing or out of bounds."""
     failed = []
     for name, bounds in expected.items():
         value = observed.get(name)
--- a/src/bronzekeel/replay/recorded.py
+++ b/src/bronzekeel/replay/recorded.py
@@ -1,4 +1,4 @@
-"""Replay the recorded events of one balancer on a fresh reducer."""
+"""Replay the recorded events of one balancer through a new reducer state."""
 
 from collections import Counter
 from pathlib import Path
@@ -13,13 +13,19 @@
 
 
 def is_recorded(path: Path) -> bool:
-    """Return whether a trace was recorded by a daemon.  Raises TraceError."""
+    """Return whether a trace was recorded by a daemon.
+
+    Raises TraceError if it cannot be read.
+    """
     lines = read_lines(path)
     return bool(lines) and b'"incarnation"' in lines[0]
 
 
 def replay_recorded(path: Path) -> dict[str, float]:
-    """Return the effects by kind and the end state.  Raises TraceError."""
+    """Return the number of effects by kind, and figures of the final state.
+
+    Raises TraceError if the trace cannot be read or does not match the current format.
+    """
     lines = read_lines(path)
     try:
         head = decode(lines[0], type=TraceHead)
--- a/src/bronzekeel/replay/request_traffic.py
+++ b/src/bronzekeel/replay/request_traffic.py
@@ -1,4 +1,4 @@
-"""Send requests through a fleet and count what callers and upstreams saw."""
+"""Send requests through a fleet and record what callers and upstreams observe."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -19,16 +19,16 @@
 from bronzekeel.replay.sinks import Sink
 
 
-#: How long a caller waits past its deadline before it calls the outcome unknown.
+#: Time that a caller waits past its deadline before it counts the outcome as unknown, in seconds.
 _GRACE_S = 0.5
 
 
 @dataclass(slots=True)
 class VirtualUpstream:
-    """Run requests in slots, in virtual time.
+    """Model an upstream that runs requests in slots, in virtual time.
 
-    `lost_share` of the answers are lost after the work is done; work takes
-    `cold_factor` times as long before `cold_until`.
+    A share `lost_share` of the answers is lost after the work is done.  Before `cold_until`,
+    work takes `cold_factor` times as long.
     """
 
     endpoint: str
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """Hold one request as its caller sees it; `work_s` is what it costs."""
+    """Hold one request as its caller sees it; `work_s` is its work in seconds."""
 
     number: int
     work_s: float
@@ -61,16 +61,16 @@
 
     @property
     def waited_s(self) -> float:
-        """Time that was not work."""
+        """Latency beyond the work itself, in seconds."""
         return self.ended_at - self.begun_at - self.work_s
 
 
 @dataclass(slots=True)
 class RequestTraffic(Sink):
-    """Drive callers and upstreams of one service.
+    """Model the callers and upstreams of one service.
 
-    `repeat_share` of the callers send the same id again through another
-    balancer; `deadline_s` is how long each waits.
+    A share `repeat_share` of the callers sends the same id a second time through a random
+    balancer.  `deadline_s` is the deadline of each request, relative to its start.
     """
 
     spec: ServiceSpec
@@ -89,13 +89,13 @@
     fleet: Fleet | None = None
 
     def __post_init__(self) -> None:
-        """Make the upstreams of the service."""
+        """Create the upstreams of the service."""
         for upstream in self.spec.upstreams:
             virtual = VirtualUpstream(upstream.endpoint, self.spec.slots)
             self.upstream_by_endpoint[upstream.endpoint] = virtual
 
     def plan(self, arrivals: list[tuple[float, float]], group: str = '') -> None:
-        """Plan calls: pairs of the time from now and the work, in seconds."""
+        """Schedule calls, given as pairs of the delay from now and the work, in seconds."""
         fleet = self._fleet()
         for delay_s, work_s in arrivals:
             call = Call(len(self.calls), work_s, fleet.now + delay_s, group)
@@ -103,13 +103,13 @@
             fleet.at(delay_s, partial(self._begin, call))
 
     def hint(self, endpoint: str, *, serving: bool) -> None:
-        """Let every balancer hear what a health endpoint says."""
+        """Deliver the status of an upstream's health endpoint to every balancer."""
         fleet = self._fleet()
         for node in fleet.running:
             fleet.deliver(node, HealthHint(self.spec.name, endpoint, serving))
 
     def effect_emitted(self, effect: Effect, host: str) -> None:
-        """Carry out what the balancers decide."""
+        """Apply an effect that a balancer emitted."""
         match effect:
             case Reserved():
                 self.reserved = effect.request
@@ -124,14 +124,14 @@
                 self._relay(effect)
 
     def cancel(self, call: Call) -> None:
-        """Let a caller cancel."""
+        """Cancel a call on behalf of its caller, unless it has ended."""
         if not call.outcome and call.request:
             self._deliver(call.host, CallerGone(call.request))
             self._end(call, 'cancelled', '')
 
     @property
     def ran_twice(self) -> int:
-        """Number of ids that ran more than once, over all upstreams."""
+        """Number of ids that ran more than once, on any upstreams."""
         runs: Counter[str] = Counter()
         for upstream in self.upstream_by_endpoint.values():
             runs.update(upstream.ran)
@@ -139,11 +139,11 @@
 
     @property
     def not_run_but_ran(self) -> int:
-        """Number of ids whose caller was told that they were not run, and that ran."""
+        """Number of calls that were reported as not run but did run."""
         return sum(call.outcome == 'not_run' and self._ran(call.request) for call in self.calls)
 
     def imbalance(self) -> float:
-        """Return the most requests over the mean, over the upstreams that ran any."""
+        """Return the ratio of the highest to the mean request count of upstreams that ran any."""
         counts = [
             sum(upstream.ran.values())
             for upstream in self.upstream_by_endpoint.values()
@@ -152,7 +152,7 @@
         return max(counts) * len(counts) / sum(counts) if counts else 0
 
     def outcomes(self) -> Counter[str]:
-        """Count the calls by outcome; none may be left without."""
+        """Count the calls by outcome; those without one are counted as `none`."""
         return Counter(call.outcome or 'none' for call in self.calls)
 
     def _relay(self, effect: Relay) -> None:
@@ -161,7 +161,7 @@
             self._fleet().at(self.hop_s, partial(self._run, call, effect.host))
 
     def _begin(self, call: Call) -> None:
-        """Reserve an id at a random balancer, then run it there."""
+        """Reserve an id at a random balancer, then run the request there."""
         fleet = self._fleet()
         call.host = fleet.random.choice(fleet.sprayed_names)
         self.reserved = ''
@@ -182,7 +182,7 @@
             fleet.at(delay_s, partial(self._send_duplicate, call))
 
     def _send_duplicate(self, call: Call) -> None:
-        """Send the same id again through another balancer."""
+        """Send the same id again through a random balancer."""
         fleet = self._fleet()
         self._run(call, fleet.random.choice(fleet.sprayed_names))
 
@@ -196,7 +196,7 @@
         fleet.deliver(fleet.by_name[host], event)
 
     def _give_up(self, call: Call) -> None:
-        """End a call that was told nothing: its balancer is gone."""
+        """End a call that got no outcome, since its balancer is gone."""
         if not call.outcome:
             self._end(call, 'unknown', 'connection_lost')
 
@@ -223,7 +223,7 @@
         call.ended_at = self._fleet().now
 
     def _arrive(self, effect: Attempt, host: str) -> None:
-        """Let an attempt reach its upstream."""
+        """Process an attempt that arrives at its upstream."""
         upstream = self.upstream_by_endpoint[effect.upstream]
         if upstream.dead:
             self._report(effect, host, AttemptEnd.UNREACHED)
@@ -255,7 +255,7 @@
         self._fleet().at(self.hop_s, partial(self._deliver_end, event, host))
 
     def _deliver_end(self, event: AttemptEnded, host: str) -> None:
-        """Tell the balancer, and through it the caller, how an attempt ended."""
+        """Report the end of an attempt to the balancer, and an answer to the caller."""
         if self._fleet().by_name[host].dead:
             return
         if event.ended == AttemptEnd.ANSWERED:
@@ -264,7 +264,7 @@
 
     def _fleet(self) -> Fleet:
         if self.fleet is None:
-            raise RuntimeError('set `fleet` before calls are planned')
+            raise RuntimeError('set `fleet` before calls are scheduled')
         return self.fleet
 
     def _ran(self, request: str) -> bool:
--- a/src/bronzekeel/replay/routing_fleet.py
+++ b/src/bronzekeel/replay/routing_fleet.py
@@ -1,6 +1,7 @@
-"""Join balancers that steer by connection ids by one heap of timed deliveries.
+"""Run balancers that steer by connection ids against each other in virtual time.
 
-A replayer and not a simulator: no sockets, no threads, no model of hosts.
+Messages and store calls are delivered by one event queue ordered by time.  There are no
+sockets, no threads and no model of hosts.
 """
 
 from collections import Counter
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPolicies:
-    """Say how all balancers of a replay decide about load."""
+    """Hold the load balancing policies of all balancers of a replay."""
 
     placement_of: type[Placement] = LeastBusy
     admission_of: type[Admission] = RequestsPerSlot
@@ -72,10 +73,10 @@
 class RoutingNode:
     """Hold one balancer of a replay.
 
-    `store` tells how the store treats it: 'serves', 'refuses' or 'silent'; of its `calls`
-    `consistent_reads` are those that may not be stale.
-    `boot` counts its starts: what was under way to an earlier one is lost.  A call
-    gives up the one before it on the same collection.
+    `store` is how the store responds to it: 'serves', 'refuses' or 'silent' (no answer).
+    `calls` counts its calls to the store, `consistent_reads` those that may not return stale
+    data.  `boot` counts restarts; whatever is in flight to an earlier boot is lost.  A watch
+    replaces the previous one on the same collection.
     """
 
     me: PeerAddress
@@ -106,7 +107,7 @@
 
 
 class RoutingFleet(VirtualTime):
-    """Run balancers' reducers against one store and each other."""
+    """Run the reducers of balancers against a store and each other."""
 
     def __init__(
         self,
@@ -114,7 +115,7 @@
         seed: int = 1,
         policies: FleetPolicies | None = None,
     ) -> None:
-        """Set up balancers by data centre; ``start`` starts them.
+        """Create balancers by data centre; ``start`` starts them.
 
         Heartbeats and views do not pass between `isolated_centres` and others, nor from the first
         to the second centre of each pair in `lost_directions`.
@@ -161,11 +162,11 @@
             self._start(node)
 
     def kill(self, name: str) -> None:
-        """End a balancer at once; it forgets everything."""
+        """Crash a balancer; its state is lost."""
         self.node_by_name[name].up = False
 
     def restart(self, name: str) -> None:
-        """Start a balancer that knows nothing."""
+        """Start a balancer with empty state."""
         node = self.node_by_name[name]
         node.boot += 1
         node.up = True
@@ -176,7 +177,7 @@
         self._start(node)
 
     def notify_watches(self) -> None:
-        """Let waiting watches see what has changed in the store, stale ones late."""
+        """Notify open watches of changes in the store; stale ones see them `staleness_s` later."""
         self.store.mark_visible(self.now)
         waiting = [watch for watch in self._watches if watch.open]
         for watch in waiting:
@@ -184,7 +185,10 @@
             self.at(self.store.staleness_s, partial(self._poll, watch))
 
     def fail_store(self, names: list[str], mode: str) -> None:
-        """Let the store refuse some balancers or fall silent towards them."""
+        """Set how the store responds to some balancers: 'serves', 'refuses' or 'silent'.
+
+        With 'refuses', their open watches fail at once.
+        """
         for name in names:
             self.node_by_name[name].store = mode
         for watch in list(self._watches):
@@ -197,9 +201,9 @@
         return node.steering.decide(packet, self.now)
 
     def steer(self, name: str, packet: FlowPacket, callback: _VerdictCallback) -> None:
-        """Give `then` a balancer's verdict on a packet, once it need not wait.
+        """Call `callback` with a balancer's verdict on a packet, after its wait if it is queued.
 
-        A balancer that is down loses it, as it does those that wait when it ends.
+        A balancer that is down loses the packet.  Packets that wait when it ends are lost too.
         """
         node = self.node_by_name[name]
         if not node.up:
@@ -212,7 +216,7 @@
         self._resume(node, node.boot)
 
     def _resume(self, node: RoutingNode, boot: int) -> None:
-        """Pass on what need not wait any more, and come again when the next has waited enough."""
+        """Deliver the verdicts on packets whose wait has ended, and schedule the next check."""
         if not node.up or node.boot != boot or not node.state.waiting:
             return
         for packet, verdict in node.steering.resume(self.now):
@@ -282,7 +286,7 @@
         self.at(effect.wait_s, lambda: self._poll(watch, last=True))
 
     def _poll(self, watch: _Watch, *, last: bool = False) -> None:
-        """Answer a watch if there is something new, or it has waited long enough."""
+        """Answer a watch if there are changes, or if its wait is over (`last`)."""
         if not watch.open or watch not in self._watches:
             return
         if not self._reaches_store(watch.node):
@@ -362,7 +366,7 @@
 
 
 def _failure_delay_s(node: RoutingNode, wait_s: float) -> float:
-    """Return the seconds after which a call that gets no answer has failed."""
+    """Return the seconds after which a call to an unreachable store fails."""
     if node.store == 'refuses':
         return _STORE_DELAY_S
     return wait_s + ANSWER_S
--- a/src/bronzekeel/replay/routing_store.py
+++ b/src/bronzekeel/replay/routing_store.py
@@ -1,4 +1,4 @@
-"""Model the platform's store for replays: objects, revisions, history."""
+"""Model the platform's store for replays: objects, revisions and change history."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """Hold all that a store had at a revision, and how its owners made it."""
+    """Hold a snapshot of a store at a revision, and the functions that create its contents."""
 
     revision: int
     by_collection: dict[Collection, dict[str, StoredObject]]
@@ -37,11 +37,11 @@
 
 @dataclass(slots=True)
 class StoreModel:
-    """Hold what the store has, and how it got there; stale reads are `staleness_s` behind.
+    """Hold the objects of the store and their change history.
 
-    `writes` counts all that were ever made, also those that a restore lost.
-    Watches are answered by the store's own numbers, as a real store does, also if they began in a
-    former incarnation.
+    Stale reads lag by `staleness_s`.  `writes` counts all writes ever made, including those that
+    a restore lost.  As in a real store, watches are answered by revision number only, even if
+    they began in an earlier incarnation.
     """
 
     revision: int = revision_of(1, 0)
@@ -58,11 +58,11 @@
 
     @property
     def incarnation(self) -> int:
-        """Which incarnation this is; it rises when the store comes back from a copy."""
+        """Incarnation of the store, incremented by each restore from a copy."""
         return incarnation_of(self.revision)
 
     def put(self, collection: Collection, name: str, make: _ContentFactory) -> int:
-        """Write an object; `make` gets the revision.  Return the revision."""
+        """Write an object and return its revision; `make` creates its content from that."""
         self.revision += 1
         self.writes += 1
         self._make_by_key[collection, name] = make
@@ -72,7 +72,7 @@
         return self.revision
 
     def remove(self, collection: Collection, name: str) -> None:
-        """Remove an object."""
+        """Remove an object if it exists."""
         if self.by_collection[collection].pop(name, None) is None:
             return
         self.revision += 1
@@ -80,11 +80,11 @@
         self._record_change(collection, StoredObject(name, self.revision, None), None)
 
     def mark_visible(self, now: float) -> None:
-        """Note that watches see all changes until here."""
+        """Record that all changes up to the current revision are visible to watches."""
         self._visible_revisions.append((now, self.revision))
 
     def visible_revision(self, now: float, *, stale: bool) -> int | None:
-        """Return the revision up to which a read sees; None for all there is."""
+        """Return the newest revision that a read returns; None for no limit."""
         if not stale or not self.staleness_s:
             return None
         visible = [
@@ -95,12 +95,12 @@
         return max(visible, default=0)
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the change history."""
         self._history.clear()
         self._history_from = number_of(self.revision)
 
     def copy(self) -> StoreCopy:
-        """Return a copy of all there is, to be restored later."""
+        """Return a snapshot of the store for a later restore."""
         by_collection = {kind: by_name.copy() for kind, by_name in self.by_collection.items()}
         return StoreCopy(
             self.revision,
@@ -111,7 +111,7 @@
         )
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what was written since is lost, and revisions count on from there.
+        """Restore a copy; later writes are lost, and revisions continue from those of the copy.
 
         Stale reads see the copy at once.
         """
@@ -128,7 +128,7 @@
         self._visible_revisions = [(0, self.revision)]
 
     def rewrite_lost(self, lost: StoreCopy) -> None:
-        """Let owners write what was lost, and remove what they had removed."""
+        """Write what the restore lost, and remove what had been removed, as the owners would."""
         for collection, by_name in lost.by_collection.items():
             for name in list(self.by_collection[collection]):
                 if name not in by_name:
@@ -139,7 +139,7 @@
                     self.put(collection, name, make)
 
     def page(self, collection: Collection, until: int | None = None) -> PageRead:
-        """Return all objects of a collection, as they were at a revision if one is given."""
+        """Return all objects of a collection, as of the revision `until` if it is given."""
         revision = self.revision if until is None else until
         by_name: dict[str, StoredObject] = {}
         for change in self._all_changes:
@@ -159,7 +159,10 @@
         since: int,
         until: int | None = None,
     ) -> ChangesRead | HistoryLost:
-        """Return what changed after a revision, up to another if one is given."""
+        """Return the changes after the revision `since`, up to `until` if it is given.
+
+        If the history does not reach back to `since`, return HistoryLost.
+        """
         if not self._history_from <= number_of(since) <= number_of(self.revision):
             return HistoryLost(collection, self.incarnation)
         since = self._renumbered(since)
@@ -183,15 +186,15 @@
         self._all_changes.append(change)
 
     def _renumbered(self, revision: int) -> int:
-        """Return a revision of any incarnation as this one gives out its number."""
+        """Return the revision of this incarnation that has the number of `revision`."""
         return revision_of(self.incarnation, number_of(revision))
 
     def _rebuilt_object(self, stored: StoredObject, make: _ContentFactory | None) -> StoredObject:
-        """Return an object of a copy as this incarnation tells it."""
+        """Return an object of a copy with a revision of this incarnation."""
         revision = self._renumbered(stored.revision)
         return StoredObject(stored.name, revision, make(revision) if make else None)
 
     def _rebuilt_change(self, change: _Change) -> _Change:
-        """Return a change of a copy as this incarnation tells it."""
+        """Return a change of a copy with a revision of this incarnation."""
         stored = self._rebuilt_object(change.stored, change.make)
         return _Change(change.collection, stored, change.make)
--- a/src/bronzekeel/replay/sinks.py
+++ b/src/bronzekeel/replay/sinks.py
@@ -1,4 +1,4 @@
-"""Define what traffic needs of a fleet, and what a fleet tells traffic."""
+"""Define the interfaces between replayed fleets and the traffic sent through them."""
 
 from abc import abstractmethod
 
@@ -8,26 +8,26 @@
 
 
 class SprayedFleet(VirtualTime):
-    """Take packets at balancers that a fabric chooses."""
+    """Receive packets that a fabric sprays over the balancers."""
 
     @property
     @abstractmethod
     def sprayed_names(self) -> list[str]:
-        """Names of the balancers that the fabric hands packets to."""
+        """Names of the balancers that the fabric sprays packets to."""
 
     @abstractmethod
     def arrive(self, name: str, packet: Packet) -> None:
-        """Let a packet arrive at a balancer."""
+        """Process a packet that arrives at a balancer."""
 
 
 class Sink:
-    """Receive what leaves a fleet; override what a replay is interested in."""
+    """Observe the decisions of a fleet; subclasses override the methods that they need."""
 
     def forwarded(self, packet: Packet, upstream: str) -> None:
-        """Take a packet that was forwarded to an upstream."""
+        """Handle a packet that was forwarded to an upstream."""
 
     def dropped(self, packet: Packet, reason: str) -> None:
-        """Take a packet that was dropped."""
+        """Handle a packet that was dropped."""
 
     def effect_emitted(self, effect: Effect, host: str) -> None:
-        """Take any other effect of a host."""
+        """Handle any other effect that a host emitted."""
--- a/src/bronzekeel/replay/trace.py
+++ b/src/bronzekeel/replay/trace.py
@@ -1,7 +1,7 @@
-"""Read traces: JSON lines of things that happen to a fleet, or to one balancer.
+"""Read traces: JSON lines of actions on a fleet, or of events of one balancer.
 
-A written trace acts on a fleet (`Happening`); a recorded one holds the events
-of one balancer (``bronzekeel.balancer.recorder``).
+A written trace has timed actions on a fleet (`Happening`); a recorded one has the events of one
+balancer (``bronzekeel.balancer.recorder``).
 """
 
 from pathlib import Path
@@ -13,15 +13,15 @@
 
 
 class TraceError(ValueError):
-    """Tell which line of a trace cannot be read, and what to correct."""
+    """Raised when a trace cannot be read; names the file, the line and a remedy."""
 
 
 class _Act(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Carry the options that all acts share."""
+    """Base of all acts; sets the options of their encoding."""
 
 
 class Start(_Act, frozen=True):
-    """Start a fresh balancer."""
+    """Start a balancer with empty state."""
 
     host: str
     data_centre: str
@@ -34,7 +34,7 @@
 
 
 class OpenFlows(_Act, frozen=True):
-    """Open flows of a service over a time, each with packets at intervals."""
+    """Open `count` flows of a service over `over_s`, each with packets at intervals."""
 
     service: str
     count: int
@@ -50,32 +50,32 @@
 
 
 class Stop(_Act, frozen=True):
-    """Stop a balancer in the planned way."""
+    """Stop a balancer gracefully."""
 
     host: str
 
 
 class Kill(_Act, frozen=True):
-    """End a balancer without warning."""
+    """Crash a balancer: it stops without notice."""
 
     host: str
 
 
 class Unlist(_Act, frozen=True):
-    """Take a balancer off the platform's list."""
+    """Remove a balancer from the platform's list of hosts."""
 
     host: str
 
 
 class Pause(_Act, frozen=True):
-    """Stop a balancer's process for a while."""
+    """Suspend a balancer's process for `for_s`."""
 
     host: str
     for_s: float
 
 
 class Cut(_Act, frozen=True):
-    """Cut a data centre off from the others."""
+    """Cut all links between a data centre and the others."""
 
     data_centre: str
 
@@ -94,21 +94,21 @@
 
 
 class Happening(Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold one line of a written trace; `at` is seconds from its start."""
+    """Hold one line of a written trace; `at` is in seconds from the start of the trace."""
 
     at: float
     act: Act
 
 
 class Bounds(Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold the least and most that an outcome may be."""
+    """Hold the inclusive bounds of an outcome."""
 
     least: float = float('-inf')
     most: float = float('inf')
 
 
 def read_lines(path: Path) -> list[bytes]:
-    """Return the lines of a trace that are not blank.  Raises TraceError."""
+    """Return the non-blank lines of a trace.  Raises TraceError."""
     try:
         content = path.read_bytes()
     except OSError as error:
@@ -117,7 +117,7 @@
 
 
 def read_trace(path: Path) -> list[Happening]:
-    """Return a written trace in order of time.  Raises TraceError."""
+    """Return the acts of a written trace, ordered by time.  Raises TraceError."""
     happenings = []
     for number, line in enumerate(read_lines(path), start=1):
         try:
@@ -128,7 +128,7 @@
 
 
 def read_outcomes(path: Path) -> dict[str, Bounds]:
-    """Return the stated outcomes by name.  Raises TraceError."""
+    """Return the bounds of the expected outcomes by name.  Raises TraceError."""
     try:
         return decode(path.read_bytes(), type=dict[str, Bounds])
     except OSError as error:
--- a/src/bronzekeel/replay/traffic.py
+++ b/src/bronzekeel/replay/traffic.py
@@ -1,4 +1,4 @@
-"""Spray flows over a fleet and count what became of them."""
+"""Spray the packets of flows over a fleet and count the outcomes."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -30,9 +30,10 @@
 class FlowTraffic(Sink):
     """Open flows of one service and send their packets to random balancers.
 
-    A flow is broken when a packet of it reaches an upstream other than the one
-    that took its SYN.  A dropped packet is a stall: TCP repeats it.  `foreign`
-    holds endpoints of other services, which none of its packets may reach.
+    A flow is broken when one of its packets reaches an upstream other than the one that received
+    its SYN.  A dropped packet only counts as a stall, since TCP retransmits it.  `foreign` holds
+    the endpoints of other services, which no packet may reach.  `reachable` returns the names of
+    the balancers to send to; by default those of `fleet`.
     """
 
     service: ServiceSpec
@@ -47,7 +48,7 @@
     reachable: Callable[[], list[str]] | None = None
 
     def forwarded(self, packet: Packet, upstream: str) -> None:
-        """Count a delivered packet against the flow's upstream."""
+        """Check that a packet was forwarded to the flow's upstream."""
         flow = self.by_hash[packet.hashed]
         if upstream in self.foreign:
             flow.misdelivered = True
@@ -59,7 +60,7 @@
             flow.broken = True
 
     def dropped(self, packet: Packet, reason: str) -> None:
-        """Count a stall, and repeat an opening packet later."""
+        """Count a stall; retransmit an opening packet after ``_SYN_RETRANSMIT_S``."""
         self.drops[reason] += 1
         flow = self.by_hash[packet.hashed]
         flow.stalls += 1
@@ -67,7 +68,10 @@
             self.fleet.at(_SYN_RETRANSMIT_S, lambda: self.send(flow, opens=True))
 
     def open(self, count: int, over_s: float, packets: int, every_s: float) -> None:
-        """Open `count` flows over `over_s`, each with packets at intervals."""
+        """Open `count` flows over `over_s` seconds, at random times.
+
+        Each sends `packets` more packets at random intervals, `every_s` on average.
+        """
         fleet = self._fleet()
         for _ in range(count):
             number = len(self.flows)
@@ -95,7 +99,7 @@
 
     @property
     def broken(self) -> int:
-        """Number of flows that a packet to a wrong upstream ended."""
+        """Number of flows of which a packet reached a wrong upstream."""
         return sum(flow.broken for flow in self.flows)
 
     @property
@@ -105,11 +109,11 @@
 
     @property
     def opened(self) -> int:
-        """Number of flows that an upstream took."""
+        """Number of flows that were opened at an upstream."""
         return sum(bool(flow.upstream) for flow in self.flows)
 
     def imbalance(self) -> float:
-        """Return the most flows over the mean, over upstreams with flows."""
+        """Return the ratio of the highest to the mean flow count of upstreams with flows."""
         counts = Counter(flow.upstream for flow in self.flows if flow.upstream)
         if not counts:
             return 0
--- a/src/bronzekeel/standins/__init__.py
+++ b/src/bronzekeel/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform, the fabric and upstreams in demo and tests."""
+"""Stand-ins for the platform, the fabric, callers and upstreams, for demos and tests."""
--- a/src/bronzekeel/standins/caller.py
+++ b/src/bronzekeel/standins/caller.py
@@ -1,4 +1,4 @@
-"""Stand in for callers of request services."""
+"""Stand-in for callers of request services."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestResult:
-    """Hold what a caller was told of one request."""
+    """Hold the result of one request as its caller got it."""
 
     request: str
     outcome: str
@@ -26,10 +26,11 @@
 
 @dataclass(slots=True)
 class CallerStandIn:
-    """Send requests to balancers and keep what it was told.
+    """Send requests to balancers and record the results.
 
-    `cut` counts answers that ended without their end mark and without another
-    outcome; `crossed` counts whole answers to another request.
+    `cut` counts truncated answers: those that ended without an end marker and without another
+    outcome, or whose size differs from the one in the marker.  `mismatched` counts complete
+    answers that belong to another request.
     """
 
     channels: dict[str, Channel] = field(default_factory=dict)
@@ -40,11 +41,11 @@
     mismatched: int = 0
 
     def add(self, name: str, address: str, port: int) -> None:
-        """Make a balancer known."""
+        """Add a balancer, and create the channel to it."""
         self.channels[name] = Channel(address, port)
 
     def remove(self, name: str) -> None:
-        """Forget a balancer; calls in progress go on."""
+        """Remove a balancer; calls in progress continue."""
         channel = self.channels.pop(name, None)
         if channel is not None:
             self.retired.append(channel)
@@ -57,7 +58,7 @@
         *,
         idempotent: bool = False,
     ) -> RequestResult:
-        """Reserve an id at a balancer, run it there, and note the outcome."""
+        """Reserve an id at a balancer, run the request there, and record the result."""
         channel = self.channels[name]
         stub = RequestsStub(channel)
         try:
@@ -80,7 +81,7 @@
         *,
         idempotent: bool = False,
     ) -> RequestResult:
-        """Run a reserved id and note the outcome."""
+        """Run a request under a reserved id and record the result."""
         run_request = proto.RunRequest(
             id=request,
             service=service,
@@ -103,7 +104,7 @@
             channel.close()
 
     async def _read_answer(self, channel: Channel, run_request: proto.RunRequest) -> RequestResult:
-        """Read an answer to its end mark, or another outcome."""
+        """Read an answer up to its end marker, or another outcome."""
         parts: list[bytes] = []
         async with RequestsStub(channel).Run.open(timeout=_CALL_TIMEOUT_S) as stream:
             await stream.send_message(run_request, end=True)
--- a/src/bronzekeel/standins/echo_flows.py
+++ b/src/bronzekeel/standins/echo_flows.py
@@ -1,4 +1,4 @@
-"""Stand in for callers and upstreams whose flows carry a connection id."""
+"""Stand-ins for callers and upstreams whose flows carry a connection id."""
 
 from asyncio import DatagramProtocol, DatagramTransport, get_running_loop
 from dataclasses import dataclass, field
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class EchoFlow:
-    """Hold one flow as its caller sees it; `reset` tells that it was broken."""
+    """Hold one flow as its caller sees it; `reset` is set when an upstream has reset it."""
 
     port: int
     echo: int = 0
@@ -42,10 +42,10 @@
 
 @dataclass(slots=True)
 class EchoCallers(DatagramProtocol):
-    """Hold flows to one address, and spray each packet over the balancers.
+    """Send packets of flows to one address, each through a random balancer.
 
-    Upstreams answer directly; a caller puts the id of the last answer into its
-    own packets.
+    Upstreams answer callers directly (direct server return).  A caller echoes the connection id
+    of the last answer in its own packets.
     """
 
     service: _Address
@@ -55,24 +55,24 @@
     transport: DatagramTransport | None = None
 
     async def open(self) -> int:
-        """Bind the port at which all callers take answers; return it."""
+        """Bind the port at which all callers receive answers, and return it."""
         self.transport = await _bind(self)
         port: int = self.transport.get_extra_info('sockname')[1]
         return port
 
     def close(self) -> None:
-        """Free the socket."""
+        """Close the socket."""
         if self.transport is not None:
             self.transport.close()
 
     def add_flow(self) -> EchoFlow:
-        """Return a new flow."""
+        """Create a flow and return it."""
         flow = EchoFlow(1024 + len(self.flow_by_port))
         self.flow_by_port[flow.port] = flow
         return flow
 
     def step(self, flow: EchoFlow) -> None:
-        """Send a flow's next packet: its opening one until that is answered."""
+        """Send the next packet of a flow: its opening packet until that is answered, then data."""
         if flow.reset or not self.balancers or self.transport is None:
             return
         flow.sent += 1
@@ -90,7 +90,7 @@
         self.transport.sendto(build_echo(segment), address)
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Take an answer or a reset."""
+        """Handle an answer or a reset."""
         segment = read_echo(data)
         flow = self.flow_by_port.get(segment.target[1])
         if flow is None:
@@ -107,9 +107,9 @@
 
 @dataclass(slots=True, eq=False)
 class EchoUpstream(DatagramProtocol):
-    """Take packets that are meant for it, and answer callers directly.
+    """Receive packets addressed to its number, and answer callers directly.
 
-    It resets flows that it did not open, and counts packets meant for others.
+    It resets flows that it did not open, and counts packets for other upstreams.
     """
 
     number: int
@@ -121,7 +121,7 @@
 
     @property
     def address(self) -> _Address:
-        """Where it takes packets."""
+        """Address at which it receives packets.  Raises RuntimeError if it is not open."""
         if self.transport is None:
             raise RuntimeError('not open; call `open` first')
         host, port = self.transport.get_extra_info('sockname')[:2]
@@ -132,12 +132,12 @@
         self.transport = await _bind(self)
 
     def close(self) -> None:
-        """Free the socket."""
+        """Close the socket."""
         if self.transport is not None:
             self.transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Take one packet."""
+        """Handle one packet."""
         number, raw = split_number(data)
         if number != self.number:
             self.misdelivered += 1
--- a/src/bronzekeel/standins/echo_packets.py
+++ b/src/bronzekeel/standins/echo_packets.py
@@ -1,4 +1,4 @@
-"""Build and read packets of flows whose ends echo a connection id."""
+"""Encode and decode packets of flows whose endpoints echo a connection id."""
 
 from socket import inet_aton, inet_ntoa
 from struct import Struct
@@ -10,8 +10,8 @@
 FIN = 32
 RST = 64
 
-#: Payload length, checksum, target, source port, target port, source, echo,
-#: flags, sequence, acknowledged.
+#: Payload length, checksum, target, source port, target port, source, echo, flags, sequence
+#: number, acknowledgement number.
 _HEADER = Struct('>HI4sHH4sIBII')
 _PREFIX_BYTES = 8
 
@@ -19,7 +19,7 @@
 
 
 class EchoSegment:
-    """Hold one packet between the two ends of a flow."""
+    """Hold one packet between the two endpoints of a flow."""
 
     __slots__ = (
         'acknowledged',
@@ -43,7 +43,7 @@
         acknowledged: int = 0,
         payload: bytes = b'',
     ) -> None:
-        """Keep the fields of the packet."""
+        """Create a packet with an unset checksum."""
         self.source = source
         self.target = target
         self.flags = flags
@@ -55,13 +55,13 @@
 
     @property
     def computed_checksum(self) -> int:
-        """What the checksum of an unchanged packet is; the echo is not part of it."""
+        """Checksum of the fields and the payload; the echo is not included."""
         fields = (self.source, self.target, self.flags, self.sequence, self.acknowledged)
         return crc32(repr(fields).encode() + self.payload) or 1
 
 
 def build_echo(segment: EchoSegment) -> bytes:
-    """Return the bytes of a packet."""
+    """Encode a packet."""
     header = _HEADER.pack(
         len(segment.payload),
         segment.checksum,
@@ -78,7 +78,7 @@
 
 
 def read_echo(raw: bytes) -> EchoSegment:
-    """Return the packet that `build_echo` made."""
+    """Decode a packet that `build_echo` encoded."""
     fields = _HEADER.unpack_from(raw)
     segment = EchoSegment(
         (inet_ntoa(fields[5]), fields[3]),
@@ -94,5 +94,5 @@
 
 
 def split_number(raw: bytes) -> tuple[int, bytes]:
-    """Return the number of the upstream that a datagram is meant for, and the packet."""
+    """Split a datagram into the number of its upstream and the packet."""
     return int.from_bytes(raw[:_PREFIX_BYTES], 'big'), raw[_PREFIX_BYTES:]
--- a/src/bronzekeel/standins/entry_settings.py
+++ b/src/bronzekeel/standins/entry_settings.py
@@ -1,4 +1,4 @@
-"""Spell the settings of a lean balancer on loopback."""
+"""Settings of an entry balancer on loopback."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 def loopback_settings(name: str, store_port: int, **changed: Any) -> dict[str, Any]:
-    """Return settings with free ports; `changed` fields replace those here."""
+    """Return settings with ephemeral ports; the fields of `changed` override the defaults."""
     fields: dict[str, Any] = {
         'name': name,
         'data_centre': 'dc-a',
--- a/src/bronzekeel/standins/fabric.py
+++ b/src/bronzekeel/standins/fabric.py
@@ -1,4 +1,4 @@
-"""Stand in for the fabric and the clients of flow services."""
+"""Stand-in for the fabric and the clients of flow services."""
 
 from asyncio import DatagramProtocol, DatagramTransport, get_running_loop
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 class ClientFlow:
     """Hold one flow as its client sees it.
 
-    `reset` is set by an upstream that does not know the flow: it is broken.
+    `reset` is set when an upstream does not know the flow, which is then broken.
     """
 
     number: int
@@ -43,7 +43,7 @@
     transport: DatagramTransport | None = None
 
     async def open(self) -> _Address:
-        """Bind a socket; upstreams answer to its address."""
+        """Bind a socket and return its address, to which upstreams send answers."""
         transport, _ = await get_running_loop().create_datagram_endpoint(
             lambda: self,
             local_addr=('127.0.0.1', 0),
@@ -52,12 +52,12 @@
         return transport.get_extra_info('sockname')[:2]
 
     def close(self) -> None:
-        """Free the socket."""
+        """Close the socket."""
         if self.transport is not None:
             self.transport.close()
 
     def add_flow(self, service: _Address, number: int) -> ClientFlow:
-        """Return a new flow of a client; `number` makes its address."""
+        """Create a flow and return it; its source address and port derive from `number`."""
         rest, last = divmod(number, _OCTET)
         page, third = divmod(rest, _OCTET)
         flow = ClientFlow(number, service, _FIRST_PORT + page, f'127.1.{third}.{last}')
@@ -77,7 +77,7 @@
         flow.waited += 1
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Take an upstream's direct answer."""
+        """Handle an answer that an upstream sent directly."""
         segment = read_segment(data)
         flow = self.flow_by_key.get((segment.target, segment.target_port))
         if flow is None:
--- a/src/bronzekeel/standins/packets.py
+++ b/src/bronzekeel/standins/packets.py
@@ -1,4 +1,4 @@
-"""Build and read the inner packets that stand-ins exchange: IPv4 with TCP."""
+"""Encode and decode the inner packets that stand-ins exchange: TCP over IPv4."""
 
 from socket import inet_aton, inet_ntoa
 from struct import Struct
@@ -18,7 +18,7 @@
 
 
 class Segment(NamedTuple):
-    """Hold what the stand-ins look at in a packet."""
+    """Hold the fields of a packet that the stand-ins use."""
 
     source: str
     source_port: int
@@ -29,7 +29,7 @@
 
 
 def build(segment: Segment) -> bytes:
-    """Return the packet of a segment; checksums are zero, nobody checks them."""
+    """Encode a segment as a packet; checksums are zero, since no stand-in verifies them."""
     length = _HEADERS + len(segment.content)
     ip_header = _IP.pack(
         _VERSION_AND_LENGTH,
@@ -58,7 +58,7 @@
 
 
 def read_segment(raw: bytes) -> Segment:
-    """Return the segment of a packet that `build` made."""
+    """Decode a packet that `build` encoded."""
     ip_fields = _IP.unpack_from(raw)
     tcp_fields = _TCP.unpack_from(raw, _IP.size)
     return Segment(
--- a/src/bronzekeel/standins/platform.py
+++ b/src/bronzekeel/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's object store, with its faults."""
+"""Stand-in for the platform's object store, with fault injection."""
 
 from asyncio import Condition, Event, sleep, wait_for
 from collections.abc import Mapping
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class ObjectRecord:
-    """Hold one object as the store has it."""
+    """Hold one object of the store."""
 
     kind: str
     name: str
@@ -53,7 +53,7 @@
     deleting: bool = False
 
     def answer(self) -> dict[str, Any]:
-        """Return the object as it goes over the wire."""
+        """Return the object in its wire format."""
         return object_content(
             self.name,
             self.revision,
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRecord:
-    """Hold one change of the history."""
+    """Hold one entry of the change history."""
 
     revision: int
     kind: str
@@ -77,13 +77,13 @@
 
 @dataclass(slots=True)
 class PlatformStandIn:
-    """Serve objects by kind and name with revisions, conditions and watches.
+    """Serve objects by kind and name with revisions, conditional writes and watches.
 
-    `down` answers 503, `silent` never answers, `latency_s` delays,
-    `confirmations_to_lose` closes the connection after a write took effect,
-    `calls_left` answers 429 at zero, `stale` answers serializable reads with
-    what was before the last change, `page_size` cuts lists.  `incarnation` stands in the header
-    of all answers.
+    Faults: `down` answers 503; `silent` never answers; `latency_s` delays every answer;
+    `confirmations_to_lose` is the number of writes that take effect but whose connection is
+    closed without an answer; at zero `calls_left`, calls are answered with 429.  `page_size`
+    limits the objects per page of a list.  `incarnation` is sent in a header of every answer.
+    `stale` has no effect: all reads return the current objects.
     """
 
     down: bool = False
@@ -105,11 +105,11 @@
 
     @property
     def url(self) -> str:
-        """Where clients find it."""
+        """Base URL of the store."""
         return f'http://127.0.0.1:{self.port}'
 
     async def open(self, port: int = 0) -> None:
-        """Bind a port on loopback; 0 takes a free one."""
+        """Listen on a loopback port; 0 selects a free one."""
         app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.on_response_prepare.append(partial(_add_incarnation_header, self))
         app.router.add_get(LIST_PATH, self._list)
@@ -124,14 +124,14 @@
         self.port = self._runner.addresses[0][1]
 
     async def close(self) -> None:
-        """End waiting watches and free the port."""
+        """End open watches and release the port."""
         self.silent = False
         await self.switch(down=True)
         if self._runner is not None:
             await self._runner.cleanup()
 
     def put(self, key: str, body: bytes) -> None:
-        """Write an object of ours, as another process would."""
+        """Write an object under a balancer's key, as another balancer would."""
         object_key = Key.of(key)
         self.put_object(object_key.kind, object_key.name, spec_of(body))
 
@@ -141,7 +141,7 @@
         service_by_address: dict[tuple[str, int], str],
         objective_ms_by_service: Mapping[str, int] | None = None,
     ) -> int:
-        """Write an operators' text that sends addresses to services with latency objectives."""
+        """Write a text that routes addresses to services, with latency objectives."""
         spec = text_spec(version, service_by_address, objective_ms_by_service)
         return self.put_object(TEXT_KIND, TEXT_NAME, spec)
 
@@ -155,12 +155,15 @@
         draining: bool = False,
         slots: int = 3,
     ) -> int:
-        """Write the entry of the upstream with a number."""
+        """Write the entry of the upstream with the given number."""
         spec = upstream_spec(service, address, data_centre, draining=draining, slots=slots)
         return self.put_object(UPSTREAMS_KIND, upstream_name(number), spec)
 
     def put_object(self, kind: str, name: str, spec: Any) -> int:
-        """Write an object as its owner would; return its revision."""
+        """Write an object as its owner would, and return its revision.
+
+        An unchanged spec is not written again.
+        """
         record = self.object_by_key.get((kind, name))
         if record is None:
             record = ObjectRecord(kind, name, self.revision + 1)
@@ -171,23 +174,23 @@
         return self._record_change(record)
 
     def remove_object(self, kind: str, name: str) -> None:
-        """Remove an object as its owner, or the end of its lease, would."""
+        """Remove an object as its owner or the expiry of its lease would."""
         record = self.object_by_key.pop((kind, name), None)
         if record is not None:
             self._record_change(record, removed=True)
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the change history."""
         self.history.clear()
         self.history_from = self.revision
 
     async def notify_watches(self) -> None:
-        """Let waiting watches look again, after changes made by ``put_object``."""
+        """Wake open watches, after changes made by ``put_object``."""
         async with self._changed:
             self._changed.notify_all()
 
     async def switch(self, *, down: bool) -> None:
-        """Begin or end an outage; waiting watches end with it."""
+        """Begin or end an outage; its begin ends open watches."""
         self.down = down
         await self.notify_watches()
 
@@ -212,7 +215,7 @@
         return None
 
     async def _find(self, request: web.Request) -> ObjectRecord | web.Response:
-        """Return the object that a call is about, or the refusal of the call."""
+        """Return the object that a request addresses, or an error response."""
         refusal = await self._refusal()
         if refusal is not None:
             return refusal
@@ -326,5 +329,5 @@
     request: web.Request,
     response: web.StreamResponse,
 ) -> None:
-    """Say in an answer which incarnation of a store gives it."""
+    """Add the incarnation of the store to the headers of a response."""
     response.headers[INCARNATION_HEADER] = str(store.incarnation)
--- a/src/bronzekeel/standins/store_copy.py
+++ b/src/bronzekeel/standins/store_copy.py
@@ -1,4 +1,4 @@
-"""Let the stand-in of the platform's store come back from a copy that is some time old."""
+"""Back up the stand-in for the platform's store, and restore it from an older backup."""
 
 from copy import copy as shallow_copy
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """Hold all that a store had at a revision."""
+    """Hold a snapshot of a store at a revision."""
 
     revision: int
     object_by_key: dict[tuple[str, str], ObjectRecord]
@@ -16,7 +16,7 @@
 
 
 def copy_of(store: PlatformStandIn) -> StoreCopy:
-    """Return a copy of all that a store has, to be restored later."""
+    """Return a snapshot of a store for a later restore."""
     object_by_key = {
         object_key: shallow_copy(record) for object_key, record in store.object_by_key.items()
     }
@@ -24,9 +24,9 @@
 
 
 def restore(store: PlatformStandIn, copy: StoreCopy) -> None:
-    """Let a store come back from a copy: what was written since is lost.
+    """Restore a store from a copy; later writes are lost.
 
-    Its revisions go back and are given out again.
+    Revisions go back to that of the copy, so later ones are assigned a second time.
     """
     store.incarnation += 1
     store.revision = copy.revision
--- a/src/bronzekeel/standins/template.py
+++ b/src/bronzekeel/standins/template.py
@@ -1,4 +1,4 @@
-"""Fill in a settings template as the platform does: values, and sections for lists."""
+"""Render a settings template as the platform does: placeholders, and sections for lists."""
 
 import re
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 def fill_template(template: str, fields: Mapping[str, Any]) -> str:
-    """Return a template with its places filled from `fields`."""
+    """Return a template with its sections and placeholders filled from `fields`."""
     whole = _SECTION.sub(lambda match: _fill_section(match, fields), template)
     return _fill_placeholders(whole, fields)
 
@@ -35,7 +35,7 @@
 
 
 def _lookup(fields: Mapping[str, Any], name: str) -> Any:
-    """Return what stands under a dotted name, None if nothing does, or the current item."""
+    """Return the value under a dotted name, None if there is none; `.` is the current item."""
     if name == _CURRENT_ITEM:
         return fields[_CURRENT_ITEM]
     value: Any = fields
--- a/src/bronzekeel/standins/upstream.py
+++ b/src/bronzekeel/standins/upstream.py
@@ -1,4 +1,4 @@
-"""Stand in for upstreams: one for packets of flows, one for requests."""
+"""Stand-ins for upstreams: one for packets of flows, one for requests."""
 
 from asyncio import CancelledError, DatagramProtocol, DatagramTransport, get_running_loop, sleep
 from collections import Counter
@@ -22,10 +22,10 @@
 
 @dataclass(slots=True, eq=False)
 class FlowUpstream(DatagramProtocol):
-    """Take a service's packets as its host's kernel would, and answer directly.
+    """Receive a service's packets as the kernel of its host would, and answer directly.
 
-    A packet of a flow it did not open is answered by a reset; one for another
-    service is counted as misdelivered.
+    A packet of a flow that it did not open is answered by a reset; a packet for another service
+    is counted as misdelivered.
     """
 
     service: _Address
@@ -38,7 +38,7 @@
     transport: DatagramTransport | None = None
 
     async def open(self) -> str:
-        """Bind a socket; return the endpoint for the text."""
+        """Bind a socket and return the endpoint for the text."""
         transport, _ = await get_running_loop().create_datagram_endpoint(
             lambda: self,
             local_addr=('127.0.0.1', 0),
@@ -48,12 +48,12 @@
         return f'{host}:{port}'
 
     def close(self) -> None:
-        """Free the socket."""
+        """Close the socket."""
         if self.transport is not None:
             self.transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Take one inner packet."""
+        """Handle one inner packet."""
         segment = read_segment(data)
         if (segment.target, segment.target_port) != self.service:
             self.misdelivered += 1
@@ -89,11 +89,11 @@
 
 @dataclass(slots=True, eq=False)
 class RequestUpstream(UpstreamBase):
-    """Run requests in a few slots; shed above, drain, answer slowly or not.
+    """Run requests in a number of slots, and shed those beyond.
 
-    `cold_until` doubles work before it, `draining` sheds everything new,
-    `lose_next` runs requests and loses their answers, `cut_next` cuts them
-    short.  `ran` counts what was run, by id.
+    Work takes twice as long before `cold_until`.  `draining` sheds all new requests.  The next
+    `lose_next` requests run but their answers are lost; the next `cut_next` answers are
+    truncated.  `ran` counts the runs by request id.
     """
 
     random: Random
@@ -111,7 +111,7 @@
     server: Server | None = None
 
     async def open(self, port: int = 0) -> str:
-        """Bind a port; return the endpoint for the text."""
+        """Start serving and return the endpoint for the text; port 0 selects a free one."""
         self.health.set(True)
         self.server = Server([self, Health({self: [self.health]})])
         await self.server.start('127.0.0.1', port)
@@ -119,7 +119,7 @@
         return f'127.0.0.1:{bound}'
 
     async def close(self) -> None:
-        """Close at once; calls in progress are lost."""
+        """Stop serving at once; calls in progress are lost."""
         if self.server is not None:
             self.server.close()
             await self.server.wait_closed()
--- a/tests/test_connection_id_demo.py
+++ b/tests/test_connection_id_demo.py
@@ -1,4 +1,4 @@
-"""Test the demo of connection ids: the whole way, with everything changing."""
+"""Test the demo of connection ids end to end, with changes of all components."""
 
 from asyncio import run
 from unittest import TestCase
@@ -7,14 +7,14 @@
 
 
 class ConnectionIdDemoTest(TestCase):
-    """Play the demo as the command does."""
+    """Run the demo as its command does."""
 
     def test_flows_outlive_all_changes(self) -> None:
-        """Symptom: a feed breaks when balancers, upstreams or the store change.
+        """Guards against flows that break when balancers, upstreams or the store change.
 
-        Sequence: an upstream drains, one joins, a balancer is stopped, one is
-        killed and another started while the store is away.
-        Cause: state of a flow that one process has, or one that knows nothing.
+        An upstream drains, another joins, a balancer is stopped, one is killed and another one
+        started during a store outage.  Flows would break if their state were held by a single
+        process, or if a process without that state could not forward them.
         """
         reports: list[str] = []
         outcome = run(play_connection_ids(reports.append, 3))
--- a/tests/test_moving_load.py
+++ b/tests/test_moving_load.py
@@ -100,7 +100,7 @@
         load = _load((self._crowd, _usual, _usual), 16)
         load.fleet.run(20)
         tally = load.tally_by_kind[_PATIENT.name]
-        self.assertGreater(tally.earned / tally.owed, 0.98)
+        self.assertGreater(tally.earned / tally.full_worth, 0.98)
 
     def test_others_send_nothing_back(self) -> None:
         """Guards against data centres that send each other flows at the same time."""
@@ -187,7 +187,7 @@
         self.assertLess(min(crossed), 6 + _FOLLOWS_S)
         self.assertLess(max(crossed), 12 + _FOLLOWS_S)
         tally = load.tally_by_kind[_PATIENT.name]
-        self.assertGreater(tally.earned / tally.owed, 0.98)
+        self.assertGreater(tally.earned / tally.full_worth, 0.98)
 
     def _receiving(self, at_s: float) -> float:
         return 0.6 + 0.6 * 0.8 if 6 <= at_s < 12 else 0.6
@@ -251,7 +251,7 @@
         there = [at - began_at for at, _, centre in load.callers.remote_opens if centre == 'dc-b']
         self.assertLess(max(there, default=0), evacuated_at)
         tally = load.tally_by_kind[_PATIENT.name]
-        self.assertGreater(tally.earned / tally.owed, 0.95)
+        self.assertGreater(tally.earned / tally.full_worth, 0.95)
         reasons = _reasons(load, 'dc-b')
         self.assertGreater(reasons[Departure.NO_UPSTREAM], 0)
 
