--- a/src/bronzekeel/replay/fleet.py
+++ b/src/bronzekeel/replay/fleet.py
@@ -143,7 +143,7 @@
     def submit(self, catalogue: Catalogue) -> None:
         """Accept a text at the platform and send it to the watchers.
 
-        Without the platform, it is sent once the outage ends.
+        During an outage it is only stored; watchers read the newest text when the outage ends.
         """
         self.newest = catalogue
         if not self.platform_up:
