--- a/src/bronzekeel/demo/counts.py
+++ b/src/bronzekeel/demo/counts.py
@@ -51,9 +51,9 @@
     """
     caller = site.caller
     ran = _runs(site)
-    ran_twice = sum(1 for reply in caller.told if ran[reply.request] > 1)
+    ran_twice = sum(1 for reply in caller.request_results if ran[reply.request] > 1)
     not_run_but_ran = sum(
-        1 for reply in caller.told if reply.outcome == 'not_run' and reply.request in ran
+        1 for reply in caller.request_results if reply.outcome == 'not_run' and reply.request in ran
     )
     flows = list(site.fabric.flow_by_key.values())
     broken = sum(flow.reset for flow in flows)
@@ -63,20 +63,20 @@
         for flow in upstreams.values()
     )
     violations = (broken_planned, misdelivered, ran_twice, not_run_but_ran, late)
-    guarantees_held = not any(violations) and not caller.cut and not caller.crossed
+    guarantees_held = not any(violations) and not caller.cut and not caller.mismatched
     return Outcome(
         flows=len(flows),
         broken_flows_planned=broken_planned,
         broken_flows_unplanned=broken - broken_planned,
         misdelivered=misdelivered,
-        requests=len(caller.told),
+        requests=len(caller.request_results),
         answered=caller.outcomes['answered'],
         not_run=caller.outcomes['not_run'],
         unknown=caller.outcomes['unknown'],
         ran_twice=ran_twice,
         not_run_but_ran=not_run_but_ran,
         cut_answers=caller.cut,
-        crossed_answers=caller.crossed,
+        crossed_answers=caller.mismatched,
         late_flows_on_leaving=late,
         imbalance=_imbalance(site),
         text_in_force_s=[round(seconds, 3) for seconds in in_force_s],
--- a/src/bronzekeel/replay/fleet.py
+++ b/src/bronzekeel/replay/fleet.py
@@ -1,7 +1,7 @@
-"""Join several balancers' reducers by one heap of timed deliveries.
+"""Run the reducers of several balancers against each other in virtual time.
 
-A replayer and not a simulator: no sockets, no threads, no model of hosts.
-All randomness comes from one seed.
+Messages, texts and packets are delivered by one event queue ordered by time.  There are no
+sockets, no threads and no model of hosts.  All randomness comes from one seed.
 """
 
 from collections import Counter
@@ -24,21 +24,21 @@
 from bronzekeel.core.messages import HostEntry, JournalPart, Message, TextBody
 from bronzekeel.core.reducer import packet_verdict, reduce
 from bronzekeel.core.state import BalancerState
-from bronzekeel.replay.sinks import Sink, Sprayed
+from bronzekeel.replay.sinks import Sink, SprayedFleet
 from bronzekeel.wire import encode, wire_bytes
 
 
-#: Time that a text takes to reach a watcher or a peer, at most.
-_TEXT_S = 0.05
+#: Longest delay before a text from the platform reaches a watcher, in seconds.
+_MAX_TEXT_DELAY_S = 0.05
 
 
 @dataclass(slots=True)
 class Node:
-    """Hold one balancer of a replay.
+    """Hold the state of one balancer of a replay.
 
-    `clock_skew` shifts its clock; a node that is paused gets its deliveries
-    when it wakes, as a stopped process finds them in its socket buffers.
-    `view_lag_s` delays the texts and journals that reach it.
+    `clock_skew` shifts its clock, in seconds.  Deliveries to a paused node are deferred until it
+    resumes, as a stopped process finds them in its socket buffers.  `view_lag_s` delays texts
+    and journals on their way to it.
     """
 
     state: BalancerState
@@ -56,8 +56,8 @@
         return self.state.members.me.name
 
 
-class Fleet(Sprayed):
-    """Run balancers' reducers against each other in virtual time."""
+class Fleet(SprayedFleet):
+    """Connect the reducers of balancers through a simulated network and platform."""
 
     def __init__(
         self,
@@ -67,7 +67,10 @@
         one_way_s: float = 0.0005,
         lost_share: float = 0,
     ) -> None:
-        """Start a node for each of `hosts`; they know of each other by list."""
+        """Start a node for each of `hosts`, which learn of each other from the list of hosts.
+
+        Messages take `one_way_s` to twice that; a share `lost_share` of them is lost.
+        """
         super().__init__(seed)
         self.sink = sink or Sink()
         self.one_way_s = one_way_s
@@ -84,16 +87,16 @@
 
     @property
     def running(self) -> list[Node]:
-        """Nodes that are not dead."""
+        """Nodes that are alive, including paused ones."""
         return [node for node in self.by_name.values() if not node.dead]
 
     @property
     def sprayed_names(self) -> list[str]:
-        """Names of the running balancers that are not being stopped."""
+        """Names of the running balancers that are not stopping."""
         return [node.name for node in self.running if not node.state.stopping]
 
     def start(self, host: HostEntry) -> Node:
-        """Start a fresh balancer, in place of one of the same name."""
+        """Start a balancer with empty state; it replaces one of the same name."""
         self.hosts[host.name] = host
         self.incarnations += 1
         node = Node(BalancerState.fresh(host, self.incarnations, self.now))
@@ -103,31 +106,31 @@
         return node
 
     def list_hosts(self) -> None:
-        """Give the platform's list of hosts to every node."""
+        """Deliver the platform's list of hosts to every running node."""
         listed = tuple(self.hosts.values())
         self.hosts_version += 1
         for node in self.running:
             self.deliver(node, HostsListed(listed, self.hosts_version))
 
     def unlist(self, name: str) -> None:
-        """Take a host off the platform's list."""
+        """Remove a host from the platform's list."""
         self.hosts.pop(name, None)
         self.list_hosts()
 
     def kill(self, name: str) -> None:
-        """End a balancer without warning."""
+        """Crash a balancer: it stops without notice."""
         self.by_name[name].dead = True
 
     def pause(self, name: str, duration_s: float) -> None:
-        """Stop a balancer's process for a while."""
+        """Suspend a balancer's process for `duration_s`."""
         self.by_name[name].paused_until = self.now + duration_s
 
     def stop(self, name: str) -> None:
-        """Stop a balancer in the planned way."""
+        """Ask a balancer to stop gracefully."""
         self.deliver(self.by_name[name], StopAsked())
 
     def cut(self, left: Iterable[str], right: Iterable[str]) -> None:
-        """Cut all links between two groups."""
+        """Cut all links between two groups of hosts, in both directions."""
         others = list(right)
         for one in left:
             self.cuts.update((one, other) for other in others)
@@ -138,33 +141,36 @@
         self.cuts.clear()
 
     def submit(self, catalogue: Catalogue) -> None:
-        """Accept a text at the platform and tell its watchers."""
+        """Accept a text at the platform and send it to the watchers.
+
+        During an outage it is only stored; watchers read the newest text when the outage ends.
+        """
         self.newest = catalogue
         if not self.platform_up:
             return
         for node in self.running:
             if node.state.rollout.watching or not node.state.rollout.generation:
-                self._tell_text(node, catalogue)
+                self._send_text(node, catalogue)
 
     def deliver(self, node: Node, event: Event) -> None:
-        """Reduce an event on a node, now or when it wakes."""
+        """Reduce an event on a node, now or when its pause ends."""
         if node.dead:
             return
         if self.now < node.paused_until:
             self.at(node.paused_until - self.now, lambda: self.deliver(node, event))
             return
         for effect in reduce(node.state, event, self.now + node.clock_skew):
-            self._carry_out(node, effect)
+            self._apply_effect(node, effect)
 
     def platform_back(self) -> None:
-        """End a platform outage: watchers read what they missed."""
+        """End a platform outage; watchers then read the newest text."""
         self.platform_up = True
         for node in self.running:
             if node.state.rollout.watching:
                 self._read_platform(node)
 
     def arrive(self, name: str, packet: Packet) -> None:
-        """Let a packet arrive at a balancer, from the fabric or a peer."""
+        """Process a packet that a balancer receives from the fabric or a peer."""
         node = self.by_name[name]
         if node.dead:
             self.sink.dropped(packet, 'dead_balancer')
@@ -175,17 +181,17 @@
         now = self.now + node.clock_skew
         verdict = packet_verdict(node.state, packet, now)
         if verdict is not None:
-            self._follow(node, packet, verdict)
+            self._apply_verdict(node, packet, verdict)
             return
         for effect in reduce(node.state, PacketArrived(packet), now):
             if isinstance(effect, (Forward, Hand, Drop)):
-                self._follow(node, packet, effect)
+                self._apply_verdict(node, packet, effect)
             else:
-                self._carry_out(node, effect)
+                self._apply_effect(node, effect)
 
-    def _tell_text(self, node: Node, catalogue: Catalogue) -> None:
+    def _send_text(self, node: Node, catalogue: Catalogue) -> None:
         event = TextAccepted(catalogue, from_platform=True)
-        delay_s = self.random.random() * _TEXT_S + node.view_lag_s
+        delay_s = self.random.random() * _MAX_TEXT_DELAY_S + node.view_lag_s
         self.at(delay_s, lambda: self.deliver(node, event))
 
     def _tick(self, node: Node) -> None:
@@ -202,19 +208,19 @@
 
     def _read_platform(self, node: Node) -> None:
         if self.platform_up and self.newest is not None:
-            self._tell_text(node, self.newest)
+            self._send_text(node, self.newest)
 
-    def _carry_out(self, node: Node, effect: Effect) -> None:
+    def _apply_effect(self, node: Node, effect: Effect) -> None:
         if isinstance(effect, Say):
-            self._say(node, effect.host, effect.message)
+            self._send(node, effect.host, effect.message)
         elif isinstance(effect, InForce):
             node.in_force_at[effect.generation] = self.now
         elif isinstance(effect, Stopped):
             node.dead = True
         elif not isinstance(effect, Log):
-            self.sink.carried_out(effect, node.name)
+            self.sink.effect_emitted(effect, node.name)
 
-    def _say(self, node: Node, host: str, message: Message) -> None:
+    def _send(self, node: Node, host: str, message: Message) -> None:
         size = wire_bytes(message, encode(message))
         node.bytes_by_kind[type(message).__name__] += size
         peer = self.by_name.get(host)
@@ -227,7 +233,7 @@
             delay_s += peer.view_lag_s
         self.at(delay_s, lambda: self.deliver(peer, PeerSaid(message)))
 
-    def _follow(self, node: Node, packet: Packet, verdict: Forward | Hand | Drop) -> None:
+    def _apply_verdict(self, node: Node, packet: Packet, verdict: Forward | Hand | Drop) -> None:
         node.verdicts[type(verdict).__name__] += 1
         if isinstance(verdict, Forward):
             self.sink.forwarded(packet, verdict.upstream)
--- a/src/bronzekeel/replay/player.py
+++ b/src/bronzekeel/replay/player.py
@@ -1,4 +1,4 @@
-"""Play a written trace on a fleet and observe its outcomes."""
+"""Play a written trace on a fleet and return the outcomes."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -29,33 +29,33 @@
 from bronzekeel.replay.traffic import FlowTraffic
 from bronzekeel.text.checks import build_catalogue
 
-_AFTERWARDS_S = 30.0
+_SETTLE_S = 30.0
 
 
-class _ByService(Sink):
-    """Pass packets on to the traffic of their service."""
+class _ServiceDispatch(Sink):
+    """Dispatch the fates of packets to the traffic of their service."""
 
     def __init__(self) -> None:
         self.by_key: dict[bytes, FlowTraffic] = {}
 
     def forwarded(self, packet: Packet, upstream: str) -> None:
-        """Tell the traffic that a packet was delivered."""
+        """Notify the traffic that a packet was forwarded."""
         self.by_key[packet.service].forwarded(packet, upstream)
 
     def dropped(self, packet: Packet, reason: str) -> None:
-        """Tell the traffic that a packet was dropped."""
+        """Notify the traffic that a packet was dropped."""
         self.by_key[packet.service].dropped(packet, reason)
 
-    def carried_out(self, effect: Effect, host: str) -> None:
-        """Pass over all other effects."""
+    def effect_emitted(self, effect: Effect, host: str) -> None:
+        """Ignore all other effects."""
 
 
 class Player:
-    """Hold a fleet while a trace is played on it."""
+    """Play the acts of a trace on a fleet."""
 
     def __init__(self, seed: int) -> None:
-        """Start without balancers."""
-        self._sink = _ByService()
+        """Create a fleet without balancers."""
+        self._sink = _ServiceDispatch()
         self._fleet = Fleet((), seed, self._sink)
         self._traffic_by_service: dict[str, FlowTraffic] = {}
         self._generation = 0
@@ -75,15 +75,18 @@
         }
 
     def play(self, happenings: list[Happening]) -> dict[str, float]:
-        """Play a trace to some time after its last line; return the outcomes."""
+        """Play a trace and return the outcomes.
+
+        The fleet runs on for ``_SETTLE_S`` after the last act, so that it can converge.
+        """
         for happening in happenings:
-            self._fleet.at(happening.at, partial(self._act, happening.act))
+            self._fleet.at(happening.at, partial(self._apply_act, happening.act))
         last_at = max((item.at for item in happenings), default=0)
-        self._fleet.run(last_at + _AFTERWARDS_S)
-        return self._observe()
+        self._fleet.run(last_at + _SETTLE_S)
+        return self._outcomes()
 
-    def _act(self, act: Act) -> None:
-        """Carry out one act."""
+    def _apply_act(self, act: Act) -> None:
+        """Apply one act to the fleet."""
         self._handlers[type(act)](act)
 
     def _start(self, act: Start) -> None:
@@ -127,8 +130,8 @@
         else:
             self._fleet.platform_up = False
 
-    def _observe(self) -> dict[str, float]:
-        """Return what callers and operators would have seen, by name."""
+    def _outcomes(self) -> dict[str, float]:
+        """Return the outcomes that callers and operators would observe, by name."""
         traffics = list(self._traffic_by_service.values())
         states = [node.state for node in self._fleet.running]
         verdicts = sum(
@@ -152,11 +155,11 @@
         }
 
 
-def failed_outcomes(observed: dict[str, float], stated: dict[str, Bounds]) -> list[str]:
-    """Return the names of the stated outcomes that were not observed."""
+def failed_outcomes(observed: dict[str, float], expected: dict[str, Bounds]) -> list[str]:
+    """Return the names of the expected outcomes that are missing or out of bounds."""
     failed = []
-    for name, bounds in stated.items():
-        figure = observed.get(name)
-        if figure is None or not bounds.least <= figure <= bounds.most:
+    for name, bounds in expected.items():
+        value = observed.get(name)
+        if value is None or not bounds.least <= value <= bounds.most:
             failed.append(name)
     return failed
--- a/src/bronzekeel/replay/traffic.py
+++ b/src/bronzekeel/replay/traffic.py
@@ -1,4 +1,4 @@
-"""Spray flows over a fleet and count what became of them."""
+"""Spray the packets of flows over a fleet and count the outcomes."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -8,10 +8,10 @@
 from bronzekeel.core.catalogue import ServiceSpec
 from bronzekeel.core.events import Packet
 from bronzekeel.core.hashing import service_key, string_hash
-from bronzekeel.replay.sinks import Sink, Sprayed
+from bronzekeel.replay.sinks import Sink, SprayedFleet
 
 
-_SYN_RETRY_S = 1.0
+_SYN_RETRANSMIT_S = 1.0
 
 
 @dataclass(slots=True)
@@ -30,9 +30,10 @@
 class FlowTraffic(Sink):
     """Open flows of one service and send their packets to random balancers.
 
-    A flow is broken when a packet of it reaches an upstream other than the one
-    that took its SYN.  A dropped packet is a stall: TCP repeats it.  `foreign`
-    holds endpoints of other services, which none of its packets may reach.
+    A flow is broken when one of its packets reaches an upstream other than the one that received
+    its SYN.  A dropped packet only counts as a stall, since TCP retransmits it.  `foreign` holds
+    the endpoints of other services, which no packet may reach.  `reachable` returns the names of
+    the balancers to send to; by default those of `fleet`.
     """
 
     service: ServiceSpec
@@ -42,12 +43,12 @@
     packets: int = 0
     handed: int = 0
     opened_at_by_upstream: dict[str, float] = field(default_factory=dict)
-    fleet: Sprayed | None = None
+    fleet: SprayedFleet | None = None
     foreign: set[str] = field(default_factory=set)
     reachable: Callable[[], list[str]] | None = None
 
     def forwarded(self, packet: Packet, upstream: str) -> None:
-        """Count a delivered packet against the flow's upstream."""
+        """Check that a packet was forwarded to the flow's upstream."""
         flow = self.by_hash[packet.hashed]
         if upstream in self.foreign:
             flow.misdelivered = True
@@ -59,15 +60,18 @@
             flow.broken = True
 
     def dropped(self, packet: Packet, reason: str) -> None:
-        """Count a stall, and repeat an opening packet later."""
+        """Count a stall; retransmit an opening packet after ``_SYN_RETRANSMIT_S``."""
         self.drops[reason] += 1
         flow = self.by_hash[packet.hashed]
         flow.stalls += 1
         if packet.opens and self.fleet is not None:
-            self.fleet.at(_SYN_RETRY_S, lambda: self.send(flow, opens=True))
+            self.fleet.at(_SYN_RETRANSMIT_S, lambda: self.send(flow, opens=True))
 
     def open(self, count: int, over_s: float, packets: int, every_s: float) -> None:
-        """Open `count` flows over `over_s`, each with packets at intervals."""
+        """Open `count` flows over `over_s` seconds, at random times.
+
+        Each sends `packets` more packets at random intervals, `every_s` on average.
+        """
         fleet = self._fleet()
         for _ in range(count):
             number = len(self.flows)
@@ -95,7 +99,7 @@
 
     @property
     def broken(self) -> int:
-        """Number of flows that a packet to a wrong upstream ended."""
+        """Number of flows of which a packet reached a wrong upstream."""
         return sum(flow.broken for flow in self.flows)
 
     @property
@@ -105,11 +109,11 @@
 
     @property
     def opened(self) -> int:
-        """Number of flows that an upstream took."""
+        """Number of flows that were opened at an upstream."""
         return sum(bool(flow.upstream) for flow in self.flows)
 
     def imbalance(self) -> float:
-        """Return the most flows over the mean, over upstreams with flows."""
+        """Return the ratio of the highest to the mean flow count of upstreams with flows."""
         counts = Counter(flow.upstream for flow in self.flows if flow.upstream)
         if not counts:
             return 0
@@ -117,20 +121,20 @@
 
     def _begin(self, flow: Flow, packets: int, every_s: float) -> None:
         self.send(flow, opens=True)
-        self._plan(flow, packets, every_s)
+        self._schedule(flow, packets, every_s)
 
-    def _plan(self, flow: Flow, left: int, every_s: float) -> None:
-        if left:
+    def _schedule(self, flow: Flow, remaining: int, every_s: float) -> None:
+        if remaining:
             fleet = self._fleet()
             delay_s = every_s * (0.5 + fleet.random.random())
-            fleet.at(delay_s, partial(self._go_on, flow, left, every_s))
+            fleet.at(delay_s, partial(self._send_next, flow, remaining, every_s))
 
-    def _go_on(self, flow: Flow, left: int, every_s: float) -> None:
+    def _send_next(self, flow: Flow, remaining: int, every_s: float) -> None:
         if flow.upstream:
             self.send(flow)
-        self._plan(flow, left - 1, every_s)
+        self._schedule(flow, remaining - 1, every_s)
 
-    def _fleet(self) -> Sprayed:
+    def _fleet(self) -> SprayedFleet:
         if self.fleet is None:
             raise RuntimeError('set `fleet` before flows are opened')
         return self.fleet
--- a/src/bronzekeel/soak/hosts.py
+++ b/src/bronzekeel/soak/hosts.py
@@ -16,7 +16,7 @@
 from bronzekeel.platform.start import SETTINGS_VARIABLE
 from bronzekeel.soak.disturbances import Disturbances
 from bronzekeel.soak.links import Address, DatagramProxy, StreamProxy, loopback
-from bronzekeel.standins.template import filled
+from bronzekeel.standins.template import fill_template
 
 
 _ROOT = Path(__file__).parents[3]
@@ -99,7 +99,7 @@
         store = ('127.0.0.1', self.store.port)
         template = _TEMPLATE.read_text(encoding='utf-8')
         fields = decode_json(
-            filled(template, template_fields(host_place, store, seeds, stop_within_s))
+            fill_template(template, template_fields(host_place, store, seeds, stop_within_s))
         )
         fields['peers_advertised'] = f'{self.advertised[0]}:{self.advertised[1]}'
         temporary = self._path.with_suffix('.new')
--- a/src/bronzekeel/soak/site.py
+++ b/src/bronzekeel/soak/site.py
@@ -150,24 +150,24 @@
             draining=draining,
             slots=SLOTS,
         )
-        await self.store.tell()
+        await self.store.notify_watches()
 
     async def unlist_upstream(self, upstream: Upstream) -> None:
         """Remove the entry of an upstream."""
         self.store.remove_object(UPSTREAMS_KIND, upstream_name(upstream.number))
-        await self.store.tell()
+        await self.store.notify_watches()
 
     async def evacuate(self, centre: str) -> None:
         """Start an evacuation: balancers must send no new flows to the data centre."""
         self.store.put_object(EVACUATIONS_KIND, centre, {})
-        await self.store.tell()
+        await self.store.notify_watches()
         self.evacuated_at_by_centre[centre] = monotonic()
 
     async def end_evacuation(self, centre: str) -> None:
         """End an evacuation."""
         self.evacuated_at_by_centre.pop(centre)
         self.store.remove_object(EVACUATIONS_KIND, centre)
-        await self.store.tell()
+        await self.store.notify_watches()
 
     def evacuated_for(self, host_ip: str) -> set[str]:
         """Return the data centres to which a host must send no new flows.
--- a/src/bronzekeel/soak/upstreams.py
+++ b/src/bronzekeel/soak/upstreams.py
@@ -143,7 +143,7 @@
         description = (
             f'upstream {self.number} of {self.service} received a packet of {segment.source}'
         )
-        unchanged = segment.checksum == segment.reckoned_checksum
+        unchanged = segment.checksum == segment.computed_checksum
         self._checks.check(Promise.UNCHANGED, unchanged, description)
         if segment.flags & SYN:
             self._open_flow(segment, description, str(addr[0]))
@@ -240,7 +240,7 @@
             acknowledged=segment.sequence + len(segment.payload),
             payload=payload,
         )
-        reply.checksum = reply.reckoned_checksum
+        reply.checksum = reply.computed_checksum
         self._resend(reply)
         return reply
 
--- a/src/bronzekeel/standins/platform.py
+++ b/src/bronzekeel/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's object store, with its faults."""
+"""Stand-in for the platform's object store, with fault injection."""
 
 from asyncio import Condition, Event, sleep, wait_for
 from collections.abc import Mapping
@@ -30,18 +30,18 @@
 from bronzekeel.platform.client import ObjectId, spec_of
 
 
-_MOST_BYTES = 2 * 1024 * 1024
+_MAX_BODY_BYTES = 2 * 1024 * 1024
 _CONFLICT = 409
 _GONE = 410
-_TOO_MANY = 429
-_DOWN = 503
+_TOO_MANY_REQUESTS = 429
+_UNAVAILABLE = 503
 _NOT_FOUND = 404
 _MS = 1000
 
 
 @dataclass(slots=True)
-class HeldObject:
-    """Hold one object as the store has it."""
+class ObjectRecord:
+    """Hold one object of the store."""
 
     kind: str
     name: str
@@ -53,7 +53,7 @@
     deleting: bool = False
 
     def answer(self) -> dict[str, Any]:
-        """Return the object as it goes over the wire."""
+        """Return the object in its wire format."""
         return object_content(
             self.name,
             self.revision,
@@ -66,8 +66,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldChange:
-    """Hold one change of the history."""
+class ChangeRecord:
+    """Hold one entry of the change history."""
 
     revision: int
     kind: str
@@ -77,13 +77,13 @@
 
 @dataclass(slots=True)
 class PlatformStandIn:
-    """Serve objects by kind and name with revisions, conditions and watches.
+    """Serve objects by kind and name with revisions, conditional writes and watches.
 
-    `down` answers 503, `silent` never answers, `latency_s` delays,
-    `confirmations_to_lose` closes the connection after a write took effect,
-    `calls_left` answers 429 at zero, `stale` answers serializable reads with
-    what was before the last change, `page_size` cuts lists.  `incarnation` stands in the header
-    of all answers.
+    Faults: `down` answers 503; `silent` never answers; `latency_s` delays every answer;
+    `confirmations_to_lose` is the number of writes that take effect but whose connection is
+    closed without an answer; at zero `calls_left`, calls are answered with 429.  `page_size`
+    limits the objects per page of a list.  `incarnation` is sent in a header of every answer.
+    `stale` has no effect: all reads return the current objects.
     """
 
     down: bool = False
@@ -97,21 +97,21 @@
     incarnation: int = 1
     revision: int = 0
     port: int = 0
-    by_place: dict[tuple[str, str], HeldObject] = field(default_factory=dict)
-    history: list[HeldChange] = field(default_factory=list)
+    object_by_key: dict[tuple[str, str], ObjectRecord] = field(default_factory=dict)
+    history: list[ChangeRecord] = field(default_factory=list)
     history_from: int = 0
     _runner: web.AppRunner | None = None
     _changed: Condition = field(default_factory=Condition)
 
     @property
     def url(self) -> str:
-        """Where clients find it."""
+        """Base URL of the store."""
         return f'http://127.0.0.1:{self.port}'
 
     async def open(self, port: int = 0) -> None:
-        """Bind a port on loopback; 0 takes a free one."""
-        app = web.Application(client_max_size=_MOST_BYTES)
-        app.on_response_prepare.append(partial(_mark, self))
+        """Listen on a loopback port; 0 selects a free one."""
+        app = web.Application(client_max_size=_MAX_BODY_BYTES)
+        app.on_response_prepare.append(partial(_add_incarnation_header, self))
         app.router.add_get(LIST_PATH, self._list)
         app.router.add_post(LIST_PATH, self._create)
         app.router.add_get(OBJECT_PATH, self._get)
@@ -124,16 +124,16 @@
         self.port = self._runner.addresses[0][1]
 
     async def close(self) -> None:
-        """End waiting watches and free the port."""
+        """End open watches and release the port."""
         self.silent = False
         await self.switch(down=True)
         if self._runner is not None:
             await self._runner.cleanup()
 
     def put(self, key: str, body: bytes) -> None:
-        """Write an object of ours, as another process would."""
-        place = ObjectId.of(key)
-        self.put_object(place.kind, place.name, spec_of(body))
+        """Write an object under a balancer's key, as another balancer would."""
+        object_key = ObjectId.of(key)
+        self.put_object(object_key.kind, object_key.name, spec_of(body))
 
     def put_text(
         self,
@@ -141,7 +141,7 @@
         service_by_address: dict[tuple[str, int], str],
         objective_ms_by_service: Mapping[str, int] | None = None,
     ) -> int:
-        """Write an operators' text that sends addresses to services with latency objectives."""
+        """Write a text that routes addresses to services, with latency objectives."""
         spec = text_spec(version, service_by_address, objective_ms_by_service)
         return self.put_object(TEXT_KIND, TEXT_NAME, spec)
 
@@ -155,87 +155,90 @@
         draining: bool = False,
         slots: int = 3,
     ) -> int:
-        """Write the entry of the upstream with a number."""
+        """Write the entry of the upstream with the given number."""
         spec = upstream_spec(service, address, data_centre, draining=draining, slots=slots)
         return self.put_object(UPSTREAMS_KIND, upstream_name(number), spec)
 
     def put_object(self, kind: str, name: str, spec: Any) -> int:
-        """Write an object as its owner would; return its revision."""
-        held = self.by_place.get((kind, name))
-        if held is None:
-            held = HeldObject(kind, name, self.revision + 1)
-            self.by_place[kind, name] = held
-        elif held.spec == spec:
-            return held.revision
-        held.spec = spec
-        return self._note(held)
+        """Write an object as its owner would, and return its revision.
+
+        An unchanged spec is not written again.
+        """
+        record = self.object_by_key.get((kind, name))
+        if record is None:
+            record = ObjectRecord(kind, name, self.revision + 1)
+            self.object_by_key[kind, name] = record
+        elif record.spec == spec:
+            return record.revision
+        record.spec = spec
+        return self._record_change(record)
 
     def remove_object(self, kind: str, name: str) -> None:
-        """Remove an object as its owner, or the end of its lease, would."""
-        held = self.by_place.pop((kind, name), None)
-        if held is not None:
-            self._note(held, removed=True)
+        """Remove an object as its owner or the expiry of its lease would."""
+        record = self.object_by_key.pop((kind, name), None)
+        if record is not None:
+            self._record_change(record, removed=True)
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the change history."""
         self.history.clear()
         self.history_from = self.revision
 
-    async def tell(self) -> None:
-        """Let waiting watches look again, after changes made by ``put_object``."""
+    async def notify_watches(self) -> None:
+        """Wake open watches, after changes made by ``put_object``."""
         async with self._changed:
             self._changed.notify_all()
 
     async def switch(self, *, down: bool) -> None:
-        """Begin or end an outage; waiting watches end with it."""
+        """Begin or end an outage; its begin ends open watches."""
         self.down = down
-        await self.tell()
+        await self.notify_watches()
 
-    def _note(self, held: HeldObject, *, removed: bool = False) -> int:
+    def _record_change(self, record: ObjectRecord, *, removed: bool = False) -> int:
         self.revision += 1
-        held.revision = self.revision
-        change = HeldChange(self.revision, held.kind, held.answer(), removed)
+        record.revision = self.revision
+        change = ChangeRecord(self.revision, record.kind, record.answer(), removed)
         self.history.append(change)
         return self.revision
 
-    async def _refuse(self) -> web.Response | None:
+    async def _refusal(self) -> web.Response | None:
         self.calls += 1
         await sleep(self.latency_s)
         if self.silent:
             await Event().wait()
         if self.down:
-            return web.Response(status=_DOWN)
+            return web.Response(status=_UNAVAILABLE)
         if self.calls_left is not None:
             if self.calls_left <= 0:
-                return web.Response(status=_TOO_MANY)
+                return web.Response(status=_TOO_MANY_REQUESTS)
             self.calls_left -= 1
         return None
 
-    async def _find(self, request: web.Request) -> HeldObject | web.Response:
-        """Return the object that a call is about, or the refusal of the call."""
-        refusal = await self._refuse()
+    async def _find(self, request: web.Request) -> ObjectRecord | web.Response:
+        """Return the object that a request addresses, or an error response."""
+        refusal = await self._refusal()
         if refusal is not None:
             return refusal
-        place = (request.match_info['kind'], request.match_info['name'])
-        return self.by_place.get(place) or web.Response(status=_NOT_FOUND)
+        object_key = (request.match_info['kind'], request.match_info['name'])
+        return self.object_by_key.get(object_key) or web.Response(status=_NOT_FOUND)
 
     async def _get(self, request: web.Request) -> web.Response:
-        held = await self._find(request)
-        if isinstance(held, web.Response):
-            return held
-        return web.json_response(held.answer())
+        record = await self._find(request)
+        if isinstance(record, web.Response):
+            return record
+        return web.json_response(record.answer())
 
     async def _list(self, request: web.Request) -> web.Response:
-        refusal = await self._refuse()
+        refusal = await self._refusal()
         if refusal is not None:
             return refusal
         if WATCH in request.query:
             return await self._watch(request)
         kind = request.match_info['kind']
         after = request.query.get(AFTER, '')
-        names = sorted(name for owner, name in self.by_place if owner == kind and name > after)
+        names = sorted(name for owner, name in self.object_by_key if owner == kind and name > after)
         page = names[: self.page_size]
-        items = [self.by_place[kind, name].answer() for name in page]
+        items = [self.object_by_key[kind, name].answer() for name in page]
         more = len(names) > len(page)
         return web.json_response(page_content(items, self.revision, more=more))
 
@@ -245,15 +248,15 @@
         if not self.history_from <= since <= self.revision:
             return web.Response(status=_GONE)
         wait_s = int(request.query.get(WAIT_MS, '0')) / _MS
-        newer = partial(self._newer, kind, since)
+        newer = partial(self._has_newer, kind, since)
         try:
             async with self._changed:
                 await wait_for(self._changed.wait_for(newer), wait_s)
         except TimeoutError:
             return self._changes(kind, since)
-        return web.Response(status=_DOWN) if self.down else self._changes(kind, since)
+        return web.Response(status=_UNAVAILABLE) if self.down else self._changes(kind, since)
 
-    def _newer(self, kind: str, since: int) -> bool:
+    def _has_newer(self, kind: str, since: int) -> bool:
         if self.down:
             return True
         return any(change.revision > since and change.kind == kind for change in self.history)
@@ -267,64 +270,64 @@
         return web.json_response(changes_content(changes, self.revision))
 
     async def _create(self, request: web.Request) -> web.Response:
-        refusal = await self._refuse()
+        refusal = await self._refusal()
         if refusal is not None:
             return refusal
         content = await request.json()
-        place = (request.match_info['kind'], content['meta']['name'])
-        held = self.by_place.get(place)
-        if held is not None:
-            return web.json_response(held.answer(), status=_CONFLICT)
-        self.put_object(*place, content['spec'])
-        return await self._confirm(request, self.by_place[place])
+        object_key = (request.match_info['kind'], content['meta']['name'])
+        record = self.object_by_key.get(object_key)
+        if record is not None:
+            return web.json_response(record.answer(), status=_CONFLICT)
+        self.put_object(*object_key, content['spec'])
+        return await self._confirm(request, self.object_by_key[object_key])
 
     async def _replace(self, request: web.Request) -> web.Response:
-        held = await self._find(request)
-        if isinstance(held, web.Response):
-            return held
+        record = await self._find(request)
+        if isinstance(record, web.Response):
+            return record
         content = await request.json()
-        wanted = content['meta'].get('revision')
-        if wanted and wanted != held.revision:
-            return web.json_response(held.answer(), status=_CONFLICT)
+        expected_revision = content['meta'].get('revision')
+        if expected_revision and expected_revision != record.revision:
+            return web.json_response(record.answer(), status=_CONFLICT)
         finalizers = list(content['meta'].get('finalizers') or ())
-        if (content['spec'], finalizers) != (held.spec, held.finalizers):
-            held.spec = content['spec']
-            held.finalizers = finalizers
-            self._note(held)
-        return await self._confirm(request, held)
+        if (content['spec'], finalizers) != (record.spec, record.finalizers):
+            record.spec = content['spec']
+            record.finalizers = finalizers
+            self._record_change(record)
+        return await self._confirm(request, record)
 
     async def _replace_status(self, request: web.Request) -> web.Response:
-        held = await self._find(request)
-        if isinstance(held, web.Response):
-            return held
-        held.status = (await request.json())['status']
-        self._note(held)
-        return await self._confirm(request, held)
+        record = await self._find(request)
+        if isinstance(record, web.Response):
+            return record
+        record.status = (await request.json())['status']
+        self._record_change(record)
+        return await self._confirm(request, record)
 
     async def _delete(self, request: web.Request) -> web.Response:
-        held = await self._find(request)
-        if isinstance(held, web.Response):
-            return held
-        if held.finalizers:
-            held.deleting = True
-            self._note(held)
+        record = await self._find(request)
+        if isinstance(record, web.Response):
+            return record
+        if record.finalizers:
+            record.deleting = True
+            self._record_change(record)
         else:
-            self.remove_object(held.kind, held.name)
-        return await self._confirm(request, held)
+            self.remove_object(record.kind, record.name)
+        return await self._confirm(request, record)
 
-    async def _confirm(self, request: web.Request, held: HeldObject) -> web.Response:
-        await self.tell()
+    async def _confirm(self, request: web.Request, record: ObjectRecord) -> web.Response:
+        await self.notify_watches()
         if self.confirmations_to_lose:
             self.confirmations_to_lose -= 1
             if request.transport is not None:
                 request.transport.abort()
-        return web.json_response(held.answer())
+        return web.json_response(record.answer())
 
 
-async def _mark(
+async def _add_incarnation_header(
     store: PlatformStandIn,
     request: web.Request,
     response: web.StreamResponse,
 ) -> None:
-    """Say in an answer which incarnation of a store gives it."""
+    """Add the incarnation of the store to the headers of a response."""
     response.headers[INCARNATION_HEADER] = str(store.incarnation)
--- a/tests/test_caller_shares.py
+++ b/tests/test_caller_shares.py
@@ -50,7 +50,7 @@
 from bronzekeel.entry.settings import EntrySettings, SettingsError
 from bronzekeel.replay.flow_load import CENTRES
 from bronzekeel.replay.routing_fleet import FleetPolicies
-from tests.caller_crowds import OBJECTIVE_S, TIMEOUT_S, Crowd, played, restart_a_host
+from tests.caller_surges import OBJECTIVE_S, TIMEOUT_S, CallerSurge, played_surge, restart_host
 from tests.routing_cases import (
     LOCAL_CENTRE,
     PORTAL,
@@ -436,8 +436,8 @@
 
     def test_every_answer_is_the_same(self) -> None:
         """Guards against another order, other waits or refusals where demand is not controlled."""
-        plain = Crowd(FleetPolicies(order_of=NewestFirst), objective_s=0, lasting_s=4)
-        shared = Crowd(FleetPolicies(), objective_s=0, lasting_s=4)
+        plain = CallerSurge(FleetPolicies(order_of=NewestFirst), objective_s=0, lasting_s=4)
+        shared = CallerSurge(FleetPolicies(), objective_s=0, lasting_s=4)
         self.assertEqual(plain.latencies, shared.latencies)
 
 
@@ -491,38 +491,38 @@
 
     def test_other_callers_are_not_affected(self) -> None:
         """Guards against a heavy caller that makes the answers of all others late."""
-        self.assertGreater(played(10, 0).late_share, _MAX_LATE_SHARE)
-        surge = played(10, OBJECTIVE_S)
+        self.assertGreater(played_surge(10, 0).late_share, _MAX_LATE_SHARE)
+        surge = played_surge(10, OBJECTIVE_S)
         self.assertLess(surge.late_share, _MAX_LATE_SHARE)
-        self.assertGreater(surge.late_share_of_crowd, surge.late_share)
+        self.assertGreater(surge.surge_late_share, surge.late_share)
 
     def test_twenty_times_its_share(self) -> None:
         """Guards against a surge large enough to defeat the shares."""
-        without = played(20, 0)
-        self.assertLess(played(20, OBJECTIVE_S).late_share, without.late_share / 2)
+        without = played_surge(20, 0)
+        self.assertLess(played_surge(20, OBJECTIVE_S).late_share, without.late_share / 2)
 
     def test_no_request_waits_beside_free_slots(self) -> None:
         """Guards against shares that leave slots idle."""
-        surge = played(20, OBJECTIVE_S)
-        self.assertGreater(surge.looks, 100)
-        self.assertEqual(0, surge.waited_beside_room)
+        surge = played_surge(20, OBJECTIVE_S)
+        self.assertGreater(surge.polls, 100)
+        self.assertEqual(0, surge.waited_with_free_capacity)
 
     def test_open_flows_do_not_starve(self) -> None:
         """Guards against requests on open flows that wait until their callers give them up."""
-        self.assertGreater(played(20, 0).p99_of_open, 2 * OBJECTIVE_S)
-        self.assertLess(played(20, OBJECTIVE_S).p99_of_open, OBJECTIVE_S)
+        self.assertGreater(played_surge(20, 0).open_flow_p99_s, 2 * OBJECTIVE_S)
+        self.assertLess(played_surge(20, OBJECTIVE_S).open_flow_p99_s, OBJECTIVE_S)
 
     def test_a_host_dies_halfway(self) -> None:
         """Guards against shares that stay wrong after a host that held part of the counts dies."""
-        surge = Crowd(FleetPolicies(), disturb=restart_a_host)
-        without = Crowd(FleetPolicies(), objective_s=0, disturb=restart_a_host)
+        surge = CallerSurge(FleetPolicies(), disturb=restart_host)
+        without = CallerSurge(FleetPolicies(), objective_s=0, disturb=restart_host)
         self.assertLess(surge.late_share, without.late_share)
 
     def test_a_data_centre_is_cut_off(self) -> None:
         """Guards against shares that depend on other data centres or the store."""
-        surge = Crowd(
+        surge = CallerSurge(
             FleetPolicies(),
-            disturb=lambda load: load.fleet.cut_centres.add(CENTRES[0]),
+            disturb=lambda load: load.fleet.isolated_centres.add(CENTRES[0]),
         )
         self.assertLess(surge.late_share, _MAX_LATE_SHARE)
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -203,9 +203,9 @@
         """There is one log line per collection for the outage of the store, and one for its end."""
         fleet = fleet_of(1, ('dc-a',))
         node = fleet.node_by_name['dc-a-1']
-        fleet.lose_store(['dc-a-1'], 'refuses')
+        fleet.fail_store(['dc-a-1'], 'refuses')
         fleet.run(6)
-        fleet.lose_store(['dc-a-1'], 'serves')
+        fleet.fail_store(['dc-a-1'], 'serves')
         fleet.run(4)
         self.assertEqual(len(Collection), node.lines[LogNumber.PLATFORM_LOST])
         self.assertEqual(len(Collection), node.lines[LogNumber.PLATFORM_BACK])
@@ -221,10 +221,10 @@
         returns.  If a lapsed entry counted as a dead upstream, a whole service would have none.
         """
         fleet = fleet_of(1, ('dc-a',))
-        fleet.lose_store(['dc-a-1'], 'refuses')
+        fleet.fail_store(['dc-a-1'], 'refuses')
         fleet.run(5)
         fleet.store.remove(Collection.UPSTREAMS, entry(1).name)
-        fleet.lose_store(['dc-a-1'], 'serves')
+        fleet.fail_store(['dc-a-1'], 'serves')
         fleet.run(1.6)
         verdict = fleet.decide('dc-a-1', opening(1))
         self.assertEqual(entry(1).name, delivered_to(verdict))
@@ -235,10 +235,10 @@
     def test_entries_that_return_are_used_on(self) -> None:
         """An upstream whose entry lapsed and came back is used as before."""
         fleet = fleet_of(1, ('dc-a',))
-        fleet.lose_store(['dc-a-1'], 'refuses')
+        fleet.fail_store(['dc-a-1'], 'refuses')
         fleet.store.remove(Collection.UPSTREAMS, entry(1).name)
         fleet.run(5)
-        fleet.lose_store(['dc-a-1'], 'serves')
+        fleet.fail_store(['dc-a-1'], 'serves')
         fleet.run(1)
         put_upstream(fleet, 1)
         fleet.run(RETURN_GRACE_S + 1)
--- a/tests/test_lapsed_entries.py
+++ b/tests/test_lapsed_entries.py
@@ -42,7 +42,7 @@
     def test_a_host_without_a_peers_view_resets_nothing(self) -> None:
         """A host whose fetches of views fail although neighbours are live resets no flow."""
         fleet, given = _with_lapsed_entry()
-        fleet.views_pass = False
+        fleet.views_available = False
         fleet.restart('dc-a-1')
         fleet.run(4)
         verdicts = {_verdict(fleet, 'dc-a-1', given) for _ in range(4)}
@@ -68,7 +68,7 @@
         if delivered_to(placed) == entry(1).name:
             given = id_given(placed)
     fleet.store.remove(Collection.UPSTREAMS, entry(1).name)
-    fleet.tell_watches()
+    fleet.notify_watches()
     fleet.run(1)
     return fleet, given
 
--- a/tests/test_moving_load.py
+++ b/tests/test_moving_load.py
@@ -21,7 +21,7 @@
 
 
 _MOVING = FleetPolicies(demand_control=DemandControlMode.ALWAYS)
-_PATIENT = RequestKind('patient', SINGLE.key, aim_s=0.5, timeout_s=4)
+_PATIENT = RequestKind('patient', SINGLE.key, target_s=0.5, timeout_s=4)
 _HOSTS = 3
 _SERVERS = 3
 
@@ -65,7 +65,7 @@
 def _remote_flow_times(load: FlowLoad, home: str | None = None) -> list[float]:
     """Return when flows were opened remotely, in seconds from the start of the load."""
     began_at = load.fleet.now - load.elapsed_s
-    return [at - began_at for at, source, _ in load.callers.crossed if home in {None, source}]
+    return [at - began_at for at, source, _ in load.callers.remote_opens if home in {None, source}]
 
 
 def _allowances(load: FlowLoad, home: str, centre: str) -> list[float]:
@@ -100,7 +100,7 @@
         load = _load((self._surge, _usual, _usual), 16)
         load.fleet.run(20)
         tally = load.tally_by_kind[_PATIENT.name]
-        self.assertGreater(tally.earned / tally.owed, 0.98)
+        self.assertGreater(tally.earned / tally.full_worth, 0.98)
 
     def test_others_send_no_flows_back(self) -> None:
         """Guards against data centres that send each other flows at the same time."""
@@ -171,7 +171,7 @@
     """Return whether a data centre sent more flows than it got, by second; ties are left out."""
     began_at = load.fleet.now - load.elapsed_s
     net = [0 for _ in range(lasting_s + 2)]
-    for at, source, target in load.callers.crossed:
+    for at, source, target in load.callers.remote_opens:
         net[int(at - began_at)] += (source == centre) - (target == centre)
     return [flows > 0 for flows in net if flows]
 
@@ -187,7 +187,7 @@
         self.assertLess(min(moved), 6 + _REACTION_S)
         self.assertLess(max(moved), 12 + _REACTION_S)
         tally = load.tally_by_kind[_PATIENT.name]
-        self.assertGreater(tally.earned / tally.owed, 0.98)
+        self.assertGreater(tally.earned / tally.full_worth, 0.98)
 
     def _receiving(self, at_s: float) -> float:
         return 0.6 + 0.6 * 0.8 if 6 <= at_s < 12 else 0.6
@@ -225,7 +225,7 @@
         load = _load((_usual, _usual, _usual), 12)
         load.fleet.run(5)
         self.assertGreater(min(_allowances(load, 'dc-a', 'dc-b')), 0)
-        load.fleet.cut_centres.add('dc-b')
+        load.fleet.isolated_centres.add('dc-b')
         load.fleet.run(_REPORT_ENDS_S)
         self.assertEqual(0, max(_allowances(load, 'dc-a', 'dc-b')))
         self.assertGreater(min(_allowances(load, 'dc-a', 'dc-c')), 0)
@@ -234,7 +234,7 @@
         """Guards against sending flows over a lossy link while reports still come back."""
         load = _load((_usual, _usual, _usual), 14)
         load.fleet.run(5)
-        load.fleet.lost_ways.add(('dc-a', 'dc-b'))
+        load.fleet.lost_directions.add(('dc-a', 'dc-b'))
         load.fleet.run(_REPORT_ENDS_S + RELAY_S)
         self.assertEqual(0, max(_allowances(load, 'dc-a', 'dc-b')))
         self.assertGreater(min(_allowances(load, 'dc-b', 'dc-c')), 0)
@@ -244,14 +244,14 @@
         load = _load((partial(_constant, 0.9), _usual, _usual), 14)
         load.fleet.run(5)
         load.fleet.store.put(Collection.EVACUATIONS, 'dc-b', lambda revision: Evacuation())
-        load.fleet.tell_watches()
+        load.fleet.notify_watches()
         evacuated_at = load.elapsed_s + _REACTION_S
         load.fleet.run(12)
         began_at = load.fleet.now - load.elapsed_s
-        moved_at = [at - began_at for at, _, centre in load.callers.crossed if centre == 'dc-b']
+        moved_at = [at - began_at for at, _, centre in load.callers.remote_opens if centre == 'dc-b']
         self.assertLess(max(moved_at, default=0), evacuated_at)
         tally = load.tally_by_kind[_PATIENT.name]
-        self.assertGreater(tally.earned / tally.owed, 0.95)
+        self.assertGreater(tally.earned / tally.full_worth, 0.95)
         reasons = _reasons(load, 'dc-b')
         self.assertGreater(reasons[Departure.NO_UPSTREAM], 0)
 
--- a/tests/test_restarted_upstreams.py
+++ b/tests/test_restarted_upstreams.py
@@ -250,7 +250,7 @@
 def _restart(fleet: RoutingFleet, started_ms: int) -> None:
     """Make the first upstream write its entry as a process with another start time."""
     fleet.store.put(Collection.UPSTREAMS, _NAME, partial(_started, started_ms))
-    fleet.tell_watches()
+    fleet.notify_watches()
 
 
 def _report(
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -48,7 +48,7 @@
 
 def _restart_without_store(fleet: RoutingFleet, names: list[str]) -> None:
     """Let hosts lose power for a second, and start while the store refuses their calls."""
-    fleet.lose_store(names, 'refuses')
+    fleet.fail_store(names, 'refuses')
     for name in names:
         fleet.kill(name)
     fleet.run(1)
@@ -86,7 +86,7 @@
         """
         fleet = fleet_of(9, ('dc-a',))
         fleet.run(_SETTLED_S)
-        fleet.views_pass = False
+        fleet.views_available = False
         before = sum(node.calls for node in fleet.running)
         newest = put_text(fleet)
         fleet.run(MAX_BEHIND_S + 1)
@@ -131,7 +131,7 @@
         fleet = fleet_of(6, ('dc-a',))
         fleet.run(_SETTLED_S)
         watching = [node.me.name for node in fleet.running if node.state.is_direct(fleet.now)]
-        fleet.lose_store(watching, 'refuses')
+        fleet.fail_store(watching, 'refuses')
         newest = put_text(fleet)
         fleet.run(2.5)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
@@ -145,7 +145,7 @@
         fleet = fleet_of(9, ('dc-a',))
         fleet.run(_SETTLED_S)
         watching = [node.me.name for node in fleet.running if node.state.is_direct(fleet.now)]
-        fleet.lose_store(watching[:3], 'silent')
+        fleet.fail_store(watching[:3], 'silent')
         newest = put_text(fleet)
         fleet.run(0.5)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
@@ -162,10 +162,10 @@
         fleet.run(_SETTLED_S)
         stalled = [name for name in _watching(fleet) if name.startswith('dc-c')]
         self.assertEqual(MAX_WATCHERS_PER_CENTRE, len(stalled))
-        fleet.lose_store(stalled, 'silent')
+        fleet.fail_store(stalled, 'silent')
         newest = put_text(fleet)
         fleet.store.remove(Collection.UPSTREAMS, entry(2).name)
-        fleet.tell_watches()
+        fleet.notify_watches()
         fleet.run(_CHANGE_BOUND_S)
         self.assertEqual({newest}, {node.state.text_revision for node in fleet.running})
         for node in fleet.running:
@@ -180,7 +180,7 @@
         fleet = fleet_of(8, ('dc-a', 'dc-b'))
         fleet.run(_SETTLED_S)
         stalled = [name for name in _watching(fleet) if name.startswith('dc-a')][:2]
-        fleet.lose_store(stalled, 'silent')
+        fleet.fail_store(stalled, 'silent')
         put_text(fleet)
         fleet.run(MAX_WATCH_LAG_S + PROBE_WATCH_S + ANSWER_TIMEOUT_S + 1)
         working = [name for name in _watching(fleet) if name.startswith('dc-a')]
@@ -191,9 +191,9 @@
         """Guards against traffic between data centres that grows with the square of the hosts."""
         fleet = fleet_of(12, ('dc-a', 'dc-b', 'dc-c'))
         fleet.run(_SETTLED_S)
-        before = fleet.heartbeats_elsewhere
+        before = fleet.remote_heartbeats
         fleet.run(2 * SEED_INTERVAL_S)
-        heartbeats_s = (fleet.heartbeats_elsewhere - before) / (2 * SEED_INTERVAL_S)
+        heartbeats_s = (fleet.remote_heartbeats - before) / (2 * SEED_INTERVAL_S)
         seeds = 2 * len(fleet.running) / SEED_INTERVAL_S
         self.assertLessEqual(heartbeats_s, 6 * RELAYS * RELAYS / RELAY_S + seeds)
 
@@ -220,11 +220,11 @@
         """
         fleet = fleet_of(1, ('dc-a',))
         fleet.run(1)
-        fleet.lose_store(['dc-a-1'], 'silent')
+        fleet.fail_store(['dc-a-1'], 'silent')
         fleet.run(2 * WATCH_WAIT_S)
         self.assertFalse(fleet.running[0].state.is_current(fleet.now))
         newest = put_text(fleet)
-        fleet.lose_store(['dc-a-1'], 'serves')
+        fleet.fail_store(['dc-a-1'], 'serves')
         fleet.run(WATCH_WAIT_S)
         self.assertEqual(newest, fleet.running[0].state.text_revision)
 
@@ -242,7 +242,7 @@
         fleet.run(5)
         for name in ('dc-a-1', 'dc-a-2'):
             fleet.kill(name)
-        fleet.cut_centres.add('dc-a')
+        fleet.isolated_centres.add('dc-a')
         fleet.run(2)
         for name in ('dc-a-1', 'dc-a-2'):
             fleet.restart(name)
@@ -256,13 +256,13 @@
         """All hosts agree soon after a cut has healed, and none returned to an older text."""
         fleet = fleet_of(3)
         fleet.run(5)
-        fleet.cut_centres.add('dc-a')
+        fleet.isolated_centres.add('dc-a')
         fleet.run(1)
         newest = put_text(fleet)
         fleet.run(6)
         cut_off = fleet.node_by_name['dc-a-1']
         self.assertLess(cut_off.state.text_revision, newest)
-        fleet.cut_centres.clear()
+        fleet.isolated_centres.clear()
         fleet.run(2 * WATCH_WAIT_S)
         for node in fleet.running:
             self.assertEqual(newest, node.state.text_revision)
@@ -275,7 +275,7 @@
         _restart_without_store(fleet, names)
         fleet.run(3)
         self.assertFalse(any(node.state.ready for node in fleet.running))
-        fleet.lose_store(names, 'serves')
+        fleet.fail_store(names, 'serves')
         fleet.run(1)
         self.assertEqual(3, sum(node.state.ready for node in fleet.running))
 
@@ -312,7 +312,7 @@
         put_upstream(fleet, 2)
         fleet.run(_SETTLED_S)
         fleet.store.remove(Collection.UPSTREAMS, entry(2).name)
-        fleet.tell_watches()
+        fleet.notify_watches()
         fleet.run(0.5)
         for node in fleet.running:
             known = node.state.directory.by_name[entry(2).name]
@@ -350,9 +350,9 @@
         put_upstream(fleet, 2)
         fleet.run(1)
         fleet.store.remove(Collection.UPSTREAMS, entry(2).name)
-        fleet.tell_watches()
+        fleet.notify_watches()
         fleet.run(RETENTION_S + 10)
-        fleet.lose_store(['dc-a-3'], 'refuses')
+        fleet.fail_store(['dc-a-3'], 'refuses')
         fleet.kill('dc-a-3')
         fleet.run(1)
         fleet.restart('dc-a-3')
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -111,7 +111,7 @@
         """
         fleet = fleet_of(24, ('dc-a', 'dc-b'))
         fleet.run(_SETTLED_S)
-        fleet.lose_store(list(fleet.node_by_name), 'refuses')
+        fleet.fail_store(list(fleet.node_by_name), 'refuses')
         fleet.run(10)
         for centre in ('dc-a', 'dc-b'):
             lost = [
@@ -141,7 +141,7 @@
         for name in _of(fleet, 'dc-d'):
             fleet.restart(name)
         fleet.run(1)
-        views = [node.fetches_elsewhere for node in fleet.running]
+        views = [node.remote_fetches for node in fleet.running]
         self.assertEqual(0, sum(views))
         self.assertTrue(all(node.state.ready for node in fleet.running))
 
@@ -149,7 +149,7 @@
         """Hosts that start in a data centre without answers of the store become ready."""
         fleet = _settled(4)
         started = _of(fleet, 'dc-d')
-        fleet.lose_store(started, 'silent')
+        fleet.fail_store(started, 'silent')
         for name in started:
             fleet.restart(name)
         fleet.run(STORE_GRACE_S + 0.5)
@@ -220,7 +220,7 @@
         it, new flows would go to an upstream that left six seconds ago.
         """
         fleet = _settled(6)
-        fleet.store.stale_by_s = 6
+        fleet.store.staleness_s = 6
         put_upstream(fleet, 1, draining=True)
         fleet.run(_REPORTED_S)
         for node in fleet.running:
@@ -233,7 +233,7 @@
         upstreams from another one.
         """
         fleet = _settled(4)
-        fleet.store.stale_by_s = 6
+        fleet.store.staleness_s = 6
         newest = put_text(fleet)
         put_upstream(fleet, 1, draining=True)
         fleet.restart('dc-c-2')
@@ -250,7 +250,7 @@
         listing must be followed by a watch without staleness.
         """
         fleet = _settled(4)
-        fleet.store.stale_by_s = 6
+        fleet.store.staleness_s = 6
         newest = put_text(fleet)
         put_upstream(fleet, 1, draining=True)
         for name in fleet.node_by_name:
@@ -270,11 +270,11 @@
             and not node.state.reads_stale(Collection.UPSTREAMS, fleet.now)
         ]
         self.assertEqual(NEWEST_READERS, len(newest_readers))
-        fleet.lose_store(newest_readers, 'silent')
-        fleet.store.stale_by_s = 1
+        fleet.fail_store(newest_readers, 'silent')
+        fleet.store.staleness_s = 1
         newest = put_text(fleet)
         put_upstream(fleet, 1, draining=True)
-        fleet.run(fleet.store.stale_by_s + _REPORTED_S)
+        fleet.run(fleet.store.staleness_s + _REPORTED_S)
         for node in fleet.running:
             self.assertEqual(newest, node.state.text_revision)
             self.assertTrue(node.state.directory.by_name[entry(1).name].entry.draining)
@@ -289,7 +289,7 @@
                 )
                 others = sorted(set(fleet.node_by_name).difference(watching))
                 stalled = watching[offset * 2 : offset * 2 + 4]
-                fleet.lose_store([*stalled, *others[offset : offset + 6]], 'silent')
+                fleet.fail_store([*stalled, *others[offset : offset + 6]], 'silent')
                 newest = put_text(fleet)
                 put_upstream(fleet, 1, draining=True)
                 fleet.run(_REPORTED_S)
@@ -312,7 +312,7 @@
 
 
 def _newest_reads(fleet: RoutingFleet) -> int:
-    return sum(node.newest_reads for node in fleet.node_by_name.values())
+    return sum(node.consistent_reads for node in fleet.node_by_name.values())
 
 
 def _calls(fleet: RoutingFleet) -> int:
