--- a/src/bronzekeel/bench/baselines.py
+++ b/src/bronzekeel/bench/baselines.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class LoneBalancer:
+class IndependentBalancer:
     """Hold a balancer that decides by itself."""
 
     name: str
@@ -28,26 +28,26 @@
     upstream_by_flow: dict[int, str] = field(default_factory=dict)
 
 
-class Way(ABC):
+class SteeringPolicy(ABC):
     """Choose the upstream of a packet from one balancer's view."""
 
     @abstractmethod
-    def choose(self, balancer: LoneBalancer, packet: Packet) -> str:
+    def choose(self, balancer: IndependentBalancer, packet: Packet) -> str:
         """Return the endpoint that the packet goes to."""
 
 
-class HashWay(Way):
+class HashPolicy(SteeringPolicy):
     """Use the consistent hash alone."""
 
-    def choose(self, balancer: LoneBalancer, packet: Packet) -> str:
+    def choose(self, balancer: IndependentBalancer, packet: Packet) -> str:
         """Return the bucket's target in this balancer's view."""
         return balancer.targets[packet.hashed % len(balancer.targets)]
 
 
-class TableWay(HashWay):
+class FlowTablePolicy(HashPolicy):
     """Use a table of the flows that this balancer has seen, else the hash."""
 
-    def choose(self, balancer: LoneBalancer, packet: Packet) -> str:
+    def choose(self, balancer: IndependentBalancer, packet: Packet) -> str:
         """Return the upstream that the flow had here before."""
         upstream = balancer.upstream_by_flow.get(packet.hashed)
         if upstream is None or packet.opens:
@@ -64,20 +64,20 @@
         hosts: Iterable[HostEntry],
         seed: int,
         sink: Sink,
-        way: Way,
+        policy: SteeringPolicy,
     ) -> None:
         """Start a lone balancer for each of `hosts`."""
         super().__init__(seed)
         self.sink = sink
-        self.by_name: dict[str, LoneBalancer] = {}
-        self._way = way
-        self._newest: ServiceSpec | None = None
+        self.by_name: dict[str, IndependentBalancer] = {}
+        self._policy = policy
+        self._latest_spec: ServiceSpec | None = None
         self._stopping: set[str] = set()
         for host in hosts:
             self.start(host)
 
     @property
-    def running(self) -> list[LoneBalancer]:
+    def running(self) -> list[IndependentBalancer]:
         """Balancers that are not dead."""
         return [balancer for balancer in self.by_name.values() if not balancer.dead]
 
@@ -89,15 +89,15 @@
     def start(self, host: HostEntry) -> None:
         """Start a balancer that knows the newest text."""
         self._stopping.discard(host.name)
-        balancer = LoneBalancer(host.name)
-        if self._newest is not None:
-            balancer.targets = assign(self._newest)
+        balancer = IndependentBalancer(host.name)
+        if self._latest_spec is not None:
+            balancer.targets = assign(self._latest_spec)
         self.by_name[host.name] = balancer
 
     def submit(self, catalogue: Catalogue) -> None:
         """Let the text reach each balancer after its lag."""
-        self._newest = next(iter(catalogue.services_by_name.values()))
-        targets = assign(self._newest)
+        self._latest_spec = next(iter(catalogue.services_by_name.values()))
+        targets = assign(self._latest_spec)
         for balancer in self.running:
             self.at(balancer.view_lag_s, partial(self._adopt, balancer, targets))
 
@@ -131,9 +131,9 @@
         elif self.now < balancer.paused_until:
             self.at(balancer.paused_until - self.now, partial(self.arrive, name, packet))
         else:
-            self.sink.forwarded(packet, self._way.choose(balancer, packet))
+            self.sink.forwarded(packet, self._policy.choose(balancer, packet))
 
-    def _adopt(self, balancer: LoneBalancer, targets: list[str]) -> None:
+    def _adopt(self, balancer: IndependentBalancer, targets: list[str]) -> None:
         if self.now < balancer.paused_until:
             wait_s = balancer.paused_until - self.now
             self.at(wait_s, partial(self._adopt, balancer, targets))
--- a/src/bronzekeel/bench/calls.py
+++ b/src/bronzekeel/bench/calls.py
@@ -18,8 +18,8 @@
 _P50 = 0.5
 _P99 = 0.99
 _MILLI = 1000
-_AT_ONCE = 16
-_READY_TRIES = 200
+_CONCURRENCY = 16
+_MAX_READY_POLLS = 200
 
 
 class CallReport(Struct, frozen=True):
@@ -58,13 +58,13 @@
     await site.start_balancer('a1', 'dc-a')
     await site.submit()
     balancer = site.balancers['a1']
-    for _ in range(_READY_TRIES):
+    for _ in range(_MAX_READY_POLLS):
         if balancer.state is not None and balancer.state.ready:
             break
         await sleep(0.05)
     for upstream in site.request_upstreams[REPLIES].values():
         upstream.work_s = 0
-        upstream.slots = _AT_ONCE
+        upstream.slots = _CONCURRENCY
     report = await _compare(site, calls)
     await site.close()
     return report
@@ -74,26 +74,26 @@
     host = site.hosts['a1']
     endpoint = next(iter(site.request_upstreams[REPLIES]))
     address, _, port = endpoint.rpartition(':')
-    times = _Times(Channel(address, int(port)), Channel(host.address, host.callers))
-    await times.measure(calls)
-    rate_direct = await times.rate(calls, through=False)
-    rate_through = await times.rate(calls, through=True)
-    times.close()
+    samples = _LatencySamples(Channel(address, int(port)), Channel(host.address, host.callers))
+    await samples.measure(calls)
+    rate_direct = await samples.rate(calls, through=False)
+    rate_through = await samples.rate(calls, through=True)
+    samples.close()
     return CallReport(
         calls=calls,
-        direct_p50_ms=_ms(times.direct, _P50),
-        direct_p99_ms=_ms(times.direct, _P99),
-        through_p50_ms=_ms(times.through, _P50),
-        through_p99_ms=_ms(times.through, _P99),
-        reserve_p50_ms=_ms(times.reserved, _P50),
-        added_p50_ms=round(_ms(times.through, _P50) - _ms(times.direct, _P50), 3),
+        direct_p50_ms=_ms(samples.direct, _P50),
+        direct_p99_ms=_ms(samples.direct, _P99),
+        through_p50_ms=_ms(samples.through, _P50),
+        through_p99_ms=_ms(samples.through, _P99),
+        reserve_p50_ms=_ms(samples.reserved, _P50),
+        added_p50_ms=round(_ms(samples.through, _P50) - _ms(samples.direct, _P50), 3),
         throughput_share=round(rate_through / rate_direct, 3),
         peer_call_bytes=await peer_call_bytes(),
-        ok=len(times.through) == calls,
+        ok=len(samples.through) == calls,
     )
 
 
-class _Times:
+class _LatencySamples:
     """Make calls over two channels and hold their times in seconds."""
 
     def __init__(self, direct_channel: Channel, through_channel: Channel) -> None:
@@ -106,61 +106,61 @@
     async def measure(self, calls: int) -> None:
         """Make calls of both kinds in turn, one at a time."""
         for number in range(calls):
-            self.direct.append(await _direct(self._direct_channel, f'd{number}'))
-            reserve_s, run_s = await _through(self._through_channel)
+            self.direct.append(await _call_upstream(self._direct_channel, f'd{number}'))
+            reserve_s, run_s = await _call_through_balancer(self._through_channel)
             self.reserved.append(reserve_s)
             self.through.append(run_s)
 
     async def rate(self, calls: int, *, through: bool) -> float:
         """Return calls a second with several at once."""
-        begun_at = perf_counter()
-        share = calls // _AT_ONCE
-        await gather(*(self._repeat(share, through=through) for _ in range(_AT_ONCE)))
-        return calls / (perf_counter() - begun_at)
+        started_at = perf_counter()
+        share = calls // _CONCURRENCY
+        await gather(*(self._repeat_calls(share, through=through) for _ in range(_CONCURRENCY)))
+        return calls / (perf_counter() - started_at)
 
     def close(self) -> None:
         """Close both channels."""
         self._direct_channel.close()
         self._through_channel.close()
 
-    async def _repeat(self, calls: int, *, through: bool) -> None:
+    async def _repeat_calls(self, calls: int, *, through: bool) -> None:
         for number in range(calls):
             if through:
-                await _through(self._through_channel)
+                await _call_through_balancer(self._through_channel)
             else:
-                await _direct(self._direct_channel, f'r{number}')
+                await _call_upstream(self._direct_channel, f'r{number}')
 
 
 def _ms(seconds: list[float], share: float) -> float:
     return round(quantile(seconds, share) * _MILLI, 3)
 
 
-async def _direct(channel: Channel, request: str) -> float:
-    begun_at = perf_counter()
+async def _call_upstream(channel: Channel, request: str) -> float:
+    started_at = perf_counter()
     async with UpstreamStub(channel).Handle.open() as stream:
         work = proto.Work(id=request, service=REPLIES, body=b'x' * 100)
         await stream.send_message(work, end=True)
-        async for piece in stream:
-            if piece.HasField('end'):
+        async for reply in stream:
+            if reply.HasField('end'):
                 break
-    return perf_counter() - begun_at
+    return perf_counter() - started_at
 
 
-async def _through(channel: Channel) -> tuple[float, float]:
+async def _call_through_balancer(channel: Channel) -> tuple[float, float]:
     """Return the time to reserve an id and the time to run it."""
     stub = RequestsStub(channel)
-    begun_at = perf_counter()
+    started_at = perf_counter()
     reserved = await stub.Reserve(proto.ReserveRequest(service=REPLIES, deadline_ms=5000))
-    reserve_s = perf_counter() - begun_at
-    asked = proto.RunRequest(
+    reserve_s = perf_counter() - started_at
+    run_request = proto.RunRequest(
         id=reserved.id,
         service=REPLIES,
         deadline_ms=5000,
         body=b'x' * 100,
     )
     async with stub.Run.open() as stream:
-        await stream.send_message(asked, end=True)
+        await stream.send_message(run_request, end=True)
         replies = [reply async for reply in stream]
     if not replies[-1].HasField('end'):
         raise RuntimeError(f'call not answered: {replies[-1]}')
-    return reserve_s, perf_counter() - begun_at - reserve_s
+    return reserve_s, perf_counter() - started_at - reserve_s
--- a/src/bronzekeel/bench/connection_id_path.py
+++ b/src/bronzekeel/bench/connection_id_path.py
@@ -22,7 +22,7 @@
 _KEY = bytes((198, 51, 100, 10, 1, 187))
 _ACK = 128
 _FLOWS = 64
-_NUMBER = 42
+_UPSTREAM_NUMBER = 42
 
 
 class ConnectionIdPath:
@@ -30,14 +30,14 @@
 
     def __init__(self, sink: tuple[str, int]) -> None:
         """Let all flows have the upstream at `sink`."""
-        me = PeerAddress('a1', 'dc-a', (_LOOPBACK, 0))
-        state = RoutingState(PeerTable(me, ()), 1)
+        own_address = PeerAddress('a1', 'dc-a', (_LOOPBACK, 0))
+        state = RoutingState(PeerTable(own_address, ()), 1)
         seal = seal_of(_KEY)
         route = Route(_KEY, (ServiceShare('portal', 1),), seal)
         state.text = RoutingText(1, 1, {_KEY: route}, 15)
         entry = UpstreamEntry(
             name='i-2a',
-            number=_NUMBER,
+            number=_UPSTREAM_NUMBER,
             service='portal',
             address=sink,
             data_centre='dc-a',
@@ -55,7 +55,7 @@
             bind_packet_port((_LOOPBACK, 0)),
             PlatformPackets(0),
             steering,
-            _refuse_fault,
+            _raise_fault,
         )
         self.port = self._socket.port
         self.packets = [
@@ -64,7 +64,7 @@
                     (_LOOPBACK, 1024 + number),
                     _SERVICE,
                     _ACK,
-                    encode_connection_id(_NUMBER, seal),
+                    encode_connection_id(_UPSTREAM_NUMBER, seal),
                     sequence=number,
                     payload=b'x' * 64,
                 ),
@@ -72,7 +72,7 @@
             for number in range(_FLOWS)
         ]
 
-    def take_batch(self) -> None:
+    def receive_batch(self) -> None:
         """Take the packets that wait."""
         self._socket.receive_batch(EVENT_READ)
 
@@ -82,5 +82,5 @@
         self._loop.close()
 
 
-def _refuse_fault(kind: str, raw: bytes) -> None:
+def _raise_fault(kind: str, raw: bytes) -> None:
     raise ValueError(f'{kind}: the benchmark sends good packets only')
--- a/src/bronzekeel/bench/demand_moments.py
+++ b/src/bronzekeel/bench/demand_moments.py
@@ -18,7 +18,7 @@
 from bronzekeel.replay.load_servers import ServerKind
 
 
-_AIM_S = 0.55
+_TARGET_LATENCY_S = 0.55
 _TIMEOUT_S = 4.4
 _FLOW_REQUESTS = 20
 
@@ -27,13 +27,13 @@
     'watch',
     FEED.key,
     work_s=0.034,
-    aim_s=_AIM_S,
+    aim_s=_TARGET_LATENCY_S,
     timeout_s=_TIMEOUT_S,
     late_worth=0.1,
     priority=2,
     keeps_flow=True,
     flow_requests=_FLOW_REQUESTS,
-    objective_s=_AIM_S,
+    objective_s=_TARGET_LATENCY_S,
 )
 AMEND = replace(
     WATCH,
@@ -47,7 +47,7 @@
 FETCH = replace(WATCH, name='fetch', key=SINGLE.key, keeps_flow=False, flow_requests=0)
 
 #: Share of the work that each kind asks for.
-_SHARE_BY_KIND = MappingProxyType({WATCH.name: 0.65, AMEND.name: 0.25, FETCH.name: 0.1})
+_WORK_SHARE_BY_KIND = MappingProxyType({WATCH.name: 0.65, AMEND.name: 0.25, FETCH.name: 0.1})
 
 _CLIENTS = 60
 
@@ -57,7 +57,7 @@
 
 
 class DemandMoment(Moment):
-    """Hold a moment in which callers ask for `usual_share` of what all slots can do.
+    """Hold a moment in which callers ask for `base_load` of what all slots can do.
 
     Some of the `clients` may be a crowd.
     """
@@ -65,34 +65,34 @@
     name = 'demand'
     kinds: ClassVar[tuple[RequestKind, ...]] = (WATCH, AMEND, FETCH)
     server_kind = ServerKind(slots=2, queue=8, cold_s=2)
-    late_s = _AIM_S
+    late_after_s = _TARGET_LATENCY_S
     lasting_s = 16
-    usual_share: ClassVar[float] = 0.7
+    base_load: ClassVar[float] = 0.7
     clients: ClassVar[int] = _CLIENTS
 
-    def ask(self, load: FlowLoad) -> None:
+    def plan_requests(self, load: FlowLoad) -> None:
         """Plan requests of all kinds."""
         clients = load.add_clients(self.clients)
-        work_s = self.usual_share * load.capacity
+        work_s = self.base_load * load.capacity
         for kind in self.kinds:
-            usual = work_s * _SHARE_BY_KIND[kind.name] / kind.mean_work_s
-            self.ask_for(load, kind, clients, usual)
+            base_rate = work_s * _WORK_SHARE_BY_KIND[kind.name] / kind.mean_work_s
+            self.plan_kind(load, kind, clients, base_rate)
 
-    def ask_for(
+    def plan_kind(
         self,
         load: FlowLoad,
         kind: RequestKind,
         clients: list[Client],
-        usual: float,
+        base_rate: float,
     ) -> None:
         """Plan the requests of one kind, `usual` a second."""
-        rate_of = partial(self.rate_of, usual=usual)
+        rate_of = partial(self.rate_of, base_rate=base_rate)
         if kind.keeps_flow:
             load.ask_from(clients, rate_of, self.lasting_s, kind)
             return
         load.arrive(rate_of, self.lasting_s, kind)
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Plan nothing."""
 
 
@@ -107,16 +107,16 @@
     """The same at nine tenths of what all can do."""
 
     name = 'unequal_0.9'
-    usual_share = 0.9
+    base_load = 0.9
 
 
 class ChangingSpeed(DemandMoment):
     """A third of the upstreams work three times slower for six seconds."""
 
     name = 'changing_speed'
-    usual_share = 0.6
+    base_load = 0.6
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Slow every third one down."""
         for server in list(load.server_by_name.values())[::3]:
             load.fleet.at(4, partial(server.work_at, 1 / 3))
@@ -127,96 +127,100 @@
     """Three in a hundred requests take seven times as long, at high load."""
 
     name = 'long_tail'
-    usual_share = 0.9
+    base_load = 0.9
     kinds = tuple(
         replace(kind, tail_share=_TAIL_SHARE, tail_factor=_TAIL_FACTOR)
         for kind in (WATCH, AMEND, FETCH)
     )
 
 
-class CrowdOfOneCaller(DemandMoment):
+class SingleCallerSurge(DemandMoment):
     """One of twelve callers sends ten times its share for four seconds, through all hosts."""
 
     name = 'crowd_of_one_caller'
     clients = 12
-    _times: ClassVar[float] = 10
-    _begins_s: ClassVar[float] = 4
-    _ends_s: ClassVar[float] = 8
+    _rate_factor: ClassVar[float] = 10
+    _surge_begins_s: ClassVar[float] = 4
+    _surge_ends_s: ClassVar[float] = 8
 
-    def ask_for(
+    def plan_kind(
         self,
         load: FlowLoad,
         kind: RequestKind,
         clients: list[Client],
-        usual: float,
+        base_rate: float,
     ) -> None:
         """Plan the usual requests, and what the first client asks for beyond its share."""
-        super().ask_for(load, kind, clients, usual)
+        super().plan_kind(load, kind, clients, base_rate)
         if not kind.keeps_flow:
             return
-        crowd = clients[0]
-        crowd.caller.crowd = True
-        more = usual * (self._times - 1) / len(clients)
-        load.ask_from([crowd], lambda at_s: more, self._ends_s, kind, self._begins_s)
+        surging = clients[0]
+        surging.caller.crowd = True
+        extra_rate = base_rate * (self._rate_factor - 1) / len(clients)
+        load.ask_from(
+            [surging], lambda at_s: extra_rate, self._surge_ends_s, kind, self._surge_begins_s
+        )
 
 
-class _ByCentre(DemandMoment):
+class _PerCentreDemand(DemandMoment):
     """Let the callers of each data centre ask at a rate of their own."""
 
     clients = _CLIENTS
 
-    def ask_for(
+    def plan_kind(
         self,
         load: FlowLoad,
         kind: RequestKind,
         clients: list[Client],
-        usual: float,
+        base_rate: float,
     ) -> None:
         """Plan the requests of each data centre's callers."""
-        for place, centre in enumerate(CENTRES):
-            rate_of = self.rate_in(place, usual / len(CENTRES))
+        for index, centre in enumerate(CENTRES):
+            rate_of = self.rate_in_centre(index, base_rate / len(CENTRES))
             if kind.keeps_flow:
-                own = [client for client in clients if client.caller.centre == centre]
-                load.ask_from(own, rate_of, self.lasting_s, kind)
+                local_clients = [client for client in clients if client.caller.centre == centre]
+                load.ask_from(local_clients, rate_of, self.lasting_s, kind)
                 continue
             load.arrive(rate_of, self.lasting_s, kind, centre)
 
     @abstractmethod
-    def rate_in(self, place: int, usual: float) -> Callable[[float], float]:
+    def rate_in_centre(self, index: int, base_rate: float) -> Callable[[float], float]:
         """Return the requests a second by time in one data centre."""
 
 
-class Waves(_ByCentre):
+class Waves(_PerCentreDemand):
     """Demand swings by half up and down in each data centre, a little later in each."""
 
     name = 'waves'
     lasting_s = 30
-    usual_share = 0.65
-    _phase: ClassVar[float] = 0.1
+    base_load = 0.65
+    _phase_step: ClassVar[float] = 0.1
     _swing: ClassVar[float] = 0.55
     _period_s: ClassVar[float] = 15
 
-    def rate_in(self, place: int, usual: float) -> Callable[[float], float]:
+    def rate_in_centre(self, index: int, base_rate: float) -> Callable[[float], float]:
         """Return a wave with a phase of its own."""
-        phase = place * self._phase
-        return lambda at_s: usual * (1 + self._swing * cos(tau * (at_s / self._period_s - phase)))
+        phase = index * self._phase_step
+        return lambda at_s: (
+            base_rate * (1 + self._swing * cos(tau * (at_s / self._period_s - phase)))
+        )
 
 
-class MovedCallers(_ByCentre):
+class MovedCallers(_PerCentreDemand):
     """Four fifths of one data centre's callers send to another one for six seconds."""
 
     name = 'moved_callers'
-    usual_share = 0.9
+    base_load = 0.9
 
-    def rate_in(self, place: int, usual: float) -> Callable[[float], float]:
+    def rate_in_centre(self, index: int, base_rate: float) -> Callable[[float], float]:
         """Return the usual rate."""
-        return lambda at_s: usual
+        return lambda at_s: base_rate
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Move callers, and let them return."""
-        home, other = CENTRES[:2]
-        load.fleet.at(4, partial(load.caller_list.move, home, 0.8, other))
-        load.fleet.at(10, partial(load.caller_list.move, home, 1, home))
+        origin, destination = CENTRES[:2]
+        load.fleet.at(4, partial(load.caller_list.move, origin, 0.8, destination))
+        load.fleet.at(10, partial(load.caller_list.move, origin, 1, origin))
 
 
 DEMAND_MOMENTS: tuple[type[Moment], ...] = (
@@ -224,7 +228,7 @@
     UnequalHigh,
     ChangingSpeed,
     LongTail,
-    CrowdOfOneCaller,
+    SingleCallerSurge,
     Waves,
     MovedCallers,
 )
--- a/src/bronzekeel/bench/flow_trials.py
+++ b/src/bronzekeel/bench/flow_trials.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from bronzekeel.bench.baselines import BaselineFleet, HashWay, TableWay
+from bronzekeel.bench.baselines import BaselineFleet, HashPolicy, FlowTablePolicy
 from bronzekeel.core.catalogue import Catalogue, ServiceKind, ServiceSpec, UpstreamSpec
 from bronzekeel.core.messages import HostEntry
 from bronzekeel.replay.fleet import Fleet
@@ -60,19 +60,19 @@
 class Trial:
     """Hold one fleet with its traffic while a scenario plays."""
 
-    def __init__(self, way: str, seed: int, flows: int) -> None:
+    def __init__(self, policy: str, seed: int, flows: int) -> None:
         """Start nine balancers that steer by `way`."""
         self.flows = flows
         self.generation = 0
         self.traffic = FlowTraffic(portal(range(7)))
-        self.fleet = _fleet(way, seed, self.traffic)
+        self.fleet = _fleet(policy, seed, self.traffic)
         self.traffic.fleet = self.fleet
         self.submit(portal(range(7)))
         self.fleet.run(_START_UP_S)
         for balancer in self.fleet.running:
             balancer.view_lag_s = self.fleet.random.random() * _LAG_S
         self._bytes_before = self._control_bytes()
-        self._begun_at = self.fleet.now
+        self._started_at = self.fleet.now
 
     def submit(self, spec: ServiceSpec) -> None:
         """Accept the next text."""
@@ -100,8 +100,8 @@
         if isinstance(self.fleet, Fleet):
             verdicts = _verdicts(self.fleet)
             unsettled = sum(len(node.state.steering.unsettled) for node in self.fleet.running)
-        passed_s = max(1.0, self.fleet.now - self._begun_at)
-        spent = self._control_bytes() - self._bytes_before
+        elapsed_s = max(1.0, self.fleet.now - self._started_at)
+        sent_bytes = self._control_bytes() - self._bytes_before
         hosts = max(1, len(self.fleet.by_name))
         return FlowFigures(
             flows=self.traffic.opened,
@@ -109,7 +109,7 @@
             misdelivered=self.traffic.misdelivered,
             stalled_packets=sum(self.traffic.drops.values()),
             handed_share=round(verdicts['Hand'] / max(1, self.traffic.packets), 4),
-            control_bytes_per_s=round(spent / passed_s / hosts, 1),
+            control_bytes_per_s=round(sent_bytes / elapsed_s / hosts, 1),
             imbalance=round(self.traffic.imbalance(), 4),
             unsettled_at_end=unsettled,
         )
@@ -127,15 +127,15 @@
     return verdicts
 
 
-def _fleet(way: str, seed: int, traffic: FlowTraffic) -> Fleet | BaselineFleet:
-    if way == 'hash':
-        return BaselineFleet(bench_hosts(), seed, traffic, HashWay())
-    if way == 'tables':
-        return BaselineFleet(bench_hosts(), seed, traffic, TableWay())
+def _fleet(policy: str, seed: int, traffic: FlowTraffic) -> Fleet | BaselineFleet:
+    if policy == 'hash':
+        return BaselineFleet(bench_hosts(), seed, traffic, HashPolicy())
+    if policy == 'tables':
+        return BaselineFleet(bench_hosts(), seed, traffic, FlowTablePolicy())
     fleet = Fleet(bench_hosts(), seed, traffic)
     for node in fleet.running:
-        node.state.steering.fenced = way != 'on_sight'
-        node.state.steering.replicating = way != 'no_copies'
+        node.state.steering.fenced = policy != 'on_sight'
+        node.state.steering.replicating = policy != 'no_copies'
     return fleet
 
 
@@ -164,13 +164,13 @@
 class OneText(Scenario):
     """Submit one text while flows are open."""
 
-    latter: ClassVar[ServiceSpec]
+    new_spec: ClassVar[ServiceSpec]
 
     def play(self, trial: Trial) -> None:
         """Open flows, change the text, and wait until the change has settled."""
         trial.open(10, 30)
         trial.fleet.run(5)
-        trial.submit(self.latter)
+        trial.submit(self.new_spec)
         trial.fleet.run(45)
 
 
@@ -178,21 +178,21 @@
     """Let an upstream join."""
 
     name = 'join'
-    latter = portal(range(8))
+    new_spec = portal(range(8))
 
 
 class Drain(OneText):
     """Drain an upstream."""
 
     name = 'drain'
-    latter = portal(range(7), draining=(3,))
+    new_spec = portal(range(7), draining=(3,))
 
 
 class Removal(OneText):
     """Take an upstream out of the text."""
 
     name = 'removal'
-    latter = portal([0, 1, 2, 4, 5, 6])
+    new_spec = portal([0, 1, 2, 4, 5, 6])
 
 
 class Several(Scenario):
@@ -313,7 +313,7 @@
         trial.fleet.run(50)
 
 
-class Season(Scenario):
+class ManyChanges(Scenario):
     """Change upstreams 200 times while feeds from the start stay open."""
 
     name = 'season'
@@ -321,13 +321,13 @@
     def play(self, trial: Trial) -> None:
         """Drain and return upstreams in turn, one change each ten seconds."""
         changes = 200
-        apart_s = 10.0
-        trial.open(20, (changes + 8) * apart_s, every_s=8)
+        interval_s = 10.0
+        trial.open(20, (changes + 8) * interval_s, every_s=8)
         trial.fleet.run(25)
         for number in range(changes):
-            leaving = (number % 7,) if number % 2 else ()
-            trial.submit(portal(range(7), draining=leaving))
-            trial.fleet.run(apart_s)
+            drained = (number % 7,) if number % 2 else ()
+            trial.submit(portal(range(7), draining=drained))
+            trial.fleet.run(interval_s)
         trial.fleet.run(60)
 
 
@@ -338,7 +338,7 @@
     Removal,
     Several,
     Rolling,
-    Season,
+    ManyChanges,
     Death,
     TwoDeaths,
     Pause,
--- a/src/bronzekeel/bench/flows.py
+++ b/src/bronzekeel/bench/flows.py
@@ -7,7 +7,7 @@
 from bronzekeel.bench.base import Benchmark
 from bronzekeel.bench.flow_trials import SCENARIOS, FlowFigures, Scenario, Trial
 
-WAYS = ('hash', 'tables', 'on_sight', 'no_copies', 'keeper')
+STEERING_POLICIES = ('hash', 'tables', 'on_sight', 'no_copies', 'keeper')
 
 
 class FlowReport(Struct, frozen=True):
@@ -30,34 +30,34 @@
         parser.add_argument('--flows', type=int, default=3000)
         parser.add_argument('--seed', type=int, default=1)
         parser.add_argument('--scenario', action='append', default=[])
-        parser.add_argument('--way', action='append', default=[], choices=WAYS)
+        parser.add_argument('--way', action='append', default=[], choices=STEERING_POLICIES)
 
     def run(self, options: Namespace) -> FlowReport:
         """Play every scenario on every way."""
-        ways = tuple(options.way) or WAYS
+        policies = tuple(options.way) or STEERING_POLICIES
         figures: dict[str, dict[str, FlowFigures]] = {}
-        kept = True
+        passed = True
         for kind in SCENARIOS:
             if options.scenario and kind.name not in options.scenario:
                 continue
             scenario = kind()
-            by_way = {}
-            for way in ways:
-                by_way[way] = _measure(scenario, way, options)
-            figures[kind.name] = by_way
-            kept = kept and _holds(scenario, by_way)
-        return FlowReport(options.flows, options.seed, figures, kept)
+            by_policy = {}
+            for policy in policies:
+                by_policy[policy] = _measure(scenario, policy, options)
+            figures[kind.name] = by_policy
+            passed = passed and _passes(scenario, by_policy)
+        return FlowReport(options.flows, options.seed, figures, passed)
 
 
-def _measure(scenario: Scenario, way: str, options: Namespace) -> FlowFigures:
-    trial = Trial(way, options.seed, options.flows)
+def _measure(scenario: Scenario, policy: str, options: Namespace) -> FlowFigures:
+    trial = Trial(policy, options.seed, options.flows)
     scenario.play(trial)
     return trial.figures()
 
 
-def _holds(scenario: Scenario, by_way: dict[str, FlowFigures]) -> bool:
+def _passes(scenario: Scenario, by_policy: dict[str, FlowFigures]) -> bool:
     """Return whether the keeper kept the promises in a scenario."""
-    figures = by_way.get('keeper')
+    figures = by_policy.get('keeper')
     if figures is None:
         return True
     if figures.misdelivered:
--- a/src/bronzekeel/bench/forward.py
+++ b/src/bronzekeel/bench/forward.py
@@ -28,11 +28,11 @@
 from bronzekeel.standins.packets import ACK, Segment, build
 
 _BATCH = 64
-_BUFFER = 4 * 1024 * 1024
+_RECEIVE_BUFFER_BYTES = 4 * 1024 * 1024
 _LOOPBACK = '127.0.0.1'
-_AIM_SETTLED = 0.6
-_AIM_UNSETTLED = 0.35
-_AIM_CONNECTION_ID = 0.7
+_MIN_SETTLED_SHARE = 0.6
+_MIN_UNSETTLED_SHARE = 0.35
+_MIN_CONNECTION_ID_SHARE = 0.7
 _SERVICE = ('198.51.100.10', 443)
 
 
@@ -64,15 +64,15 @@
 
     def run(self, options: Namespace) -> ForwardReport:
         """Measure."""
-        bench = _Bench()
+        packet_paths = _PacketPaths()
         try:
-            return bench.measure(options.rounds)
+            return packet_paths.measure(options.rounds)
         except OSError:
-            bench.close()
+            packet_paths.close()
             raise
 
 
-class _Bench:
+class _PacketPaths:
     """Hold the sockets and a balancer's state that packets pass through."""
 
     def __init__(self) -> None:
@@ -80,10 +80,10 @@
         self._source = _udp()
         self._floor_in = _udp()
         self._state = _ready_state(self._sink.getsockname())
-        self._steering = KeeperSteering(self._state, _ignore)
+        self._steering = KeeperSteering(self._state, _discard_effect)
         self._path = PacketSocket(_LOOPBACK, 0, self._handed_address)
         self._path.steer_by(self._steering.decide)
-        self._by_id = ConnectionIdPath(self._sink.getsockname())
+        self._connection_id_path = ConnectionIdPath(self._sink.getsockname())
         self._settled = self._packets(Stage.SETTLED)
         self._acting = self._packets(Stage.ACTING)
         self._handed = self._packets(Stage.ANNOUNCED)
@@ -105,50 +105,56 @@
             for path, packets in paths:
                 times[path].append(self._time(self._path.take_batch, self._path.port, packets))
             times['connection_id'].append(
-                self._time(self._by_id.take_batch, self._by_id.port, self._by_id.packets),
+                self._time(
+                    self._connection_id_path.receive_batch,
+                    self._connection_id_path.port,
+                    self._connection_id_path.packets,
+                ),
             )
         self.close()
-        each = {name: median(listed) / _BATCH * 1e6 for name, listed in times.items()}
+        us_by_path = {
+            name: median(batch_times) / _BATCH * 1e6 for name, batch_times in times.items()
+        }
         shares = {
-            name: round(each['floor'] / each[name], 3)
+            name: round(us_by_path['floor'] / us_by_path[name], 3)
             for name in ('settled', 'unsettled', 'handed', 'connection_id')
         }
         return ForwardReport(
             rounds=rounds,
-            floor_us=round(each['floor'], 3),
-            settled_us=round(each['settled'], 3),
-            unsettled_us=round(each['unsettled'], 3),
-            handed_us=round(each['handed'], 3),
-            connection_id_us=round(each['connection_id'], 3),
+            floor_us=round(us_by_path['floor'], 3),
+            settled_us=round(us_by_path['settled'], 3),
+            unsettled_us=round(us_by_path['unsettled'], 3),
+            handed_us=round(us_by_path['handed'], 3),
+            connection_id_us=round(us_by_path['connection_id'], 3),
             parse_us=round(self._time_parse(), 3),
             verdict_us=round(self._time_verdict(), 3),
             observable_us=round(_time_observable(), 3),
             floor_share=shares,
-            ok=_is_met(shares),
+            ok=_meets_targets(shares),
         )
 
     def close(self) -> None:
         """Free the sockets."""
-        for used in (self._sink, self._source, self._floor_in):
-            used.close()
+        for open_socket in (self._sink, self._source, self._floor_in):
+            open_socket.close()
         self._path.close()
-        self._by_id.close()
+        self._connection_id_path.close()
 
     def _time(
         self,
-        take: Callable[[], None],
+        receive: Callable[[], None],
         port: int,
         packets: list[bytes],
     ) -> float:
         """Send a batch to a port, time how it is taken, and empty the sink."""
         for raw in packets:
             self._source.sendto(raw, (_LOOPBACK, port))
-        begun_at = perf_counter()
-        take()
-        passed_s = perf_counter() - begun_at
+        started_at = perf_counter()
+        receive()
+        elapsed_s = perf_counter() - started_at
         for _ in packets:
             self._sink.recv(2048)
-        return passed_s
+        return elapsed_s
 
     def _floor_batch(self) -> None:
         target = self._sink.getsockname()
@@ -182,47 +188,47 @@
         return found
 
     def _time_parse(self) -> float:
-        begun_at = perf_counter()
+        started_at = perf_counter()
         for _ in range(200):
             for raw in self._settled:
                 read_packet(raw)
-        return (perf_counter() - begun_at) / 200 / _BATCH * 1e6
+        return (perf_counter() - started_at) / 200 / _BATCH * 1e6
 
     def _time_verdict(self) -> float:
         packets = list(map(read_packet, self._settled))
-        begun_at = perf_counter()
+        started_at = perf_counter()
         for _ in range(200):
             for packet in packets:
                 if isinstance(packet, Packet):
                     packet_verdict(self._state, packet, 0)
-        return (perf_counter() - begun_at) / 200 / _BATCH * 1e6
+        return (perf_counter() - started_at) / 200 / _BATCH * 1e6
 
 
 def _time_observable() -> float:
     """Return the microseconds that one element through a bare subject takes."""
     subject: Subject[int] = Subject()
     subject.subscribe(lambda element: None)
-    begun_at = perf_counter()
+    started_at = perf_counter()
     for element in range(50_000):
         subject.on_next(element)
-    return (perf_counter() - begun_at) / 50_000 * 1e6
+    return (perf_counter() - started_at) / 50_000 * 1e6
 
 
-def _is_met(shares: dict[str, float]) -> bool:
-    if shares['settled'] < _AIM_SETTLED or shares['unsettled'] < _AIM_UNSETTLED:
+def _meets_targets(shares: dict[str, float]) -> bool:
+    if shares['settled'] < _MIN_SETTLED_SHARE or shares['unsettled'] < _MIN_UNSETTLED_SHARE:
         return False
-    return shares['connection_id'] >= _AIM_CONNECTION_ID
+    return shares['connection_id'] >= _MIN_CONNECTION_ID_SHARE
 
 
-def _ignore(effect: Effect) -> None:
+def _discard_effect(effect: Effect) -> None:
     """Leave out effects beside verdicts: they are not timed."""
 
 
 def _udp() -> socket:
-    made = socket(AF_INET, SOCK_DGRAM)
-    made.setsockopt(SOL_SOCKET, SO_RCVBUF, _BUFFER)
-    made.bind((_LOOPBACK, 0))
-    return made
+    udp_socket = socket(AF_INET, SOCK_DGRAM)
+    udp_socket.setsockopt(SOL_SOCKET, SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
+    udp_socket.bind((_LOOPBACK, 0))
+    return udp_socket
 
 
 def _ready_state(sink: tuple[str, int]) -> BalancerState:
--- a/src/bronzekeel/bench/load_figures.py
+++ b/src/bronzekeel/bench/load_figures.py
@@ -36,8 +36,8 @@
     others_late_share: float
 
 
-def mean_of(plays: list[PlacementFigures]) -> PlacementFigures:
+def mean_figures(runs: list[PlacementFigures]) -> PlacementFigures:
     """Return the means of some plays' figures."""
-    listed = [asdict(figures) for figures in plays]
-    means = {name: fmean(figures[name] for figures in listed) for name in listed[0]}
+    figures_by_run = [asdict(figures) for figures in runs]
+    means = {name: fmean(figures[name] for figures in figures_by_run) for name in figures_by_run[0]}
     return PlacementFigures(**{name: round(mean, 4) for name, mean in means.items()})
--- a/src/bronzekeel/bench/load_moments.py
+++ b/src/bronzekeel/bench/load_moments.py
@@ -14,7 +14,7 @@
 _USERS_PER_UPSTREAM = 4
 
 #: Seconds between an upstream's silence and the lapse of its entry.
-_LAPSE_S = 2.4
+_ENTRY_LAPSE_S = 2.4
 
 #: Single requests that are worth more and are more urgent than feeds.
 URGENT = RequestKind(
@@ -33,7 +33,7 @@
 class Moment(ABC):
     """Hold one worst moment of `lasting_s` seconds, in which balancers may be `dark`.
 
-    Answers after `late_s` count as late.
+    Answers after `late_after_s` count as late.
     """
 
     name: ClassVar[str]
@@ -41,23 +41,23 @@
     weights: ClassVar[tuple[int, ...]] = (1, 1, 1)
     server_kind: ClassVar[ServerKind] = ServerKind()
     kinds: ClassVar[tuple[RequestKind, ...]] = (SINGLE, FEED)
-    dark: ClassVar[tuple[float, float]] = (0, 0)
-    late_s: ClassVar[float] = SINGLE.aim_s
+    outage_interval: ClassVar[tuple[float, float]] = (0, 0)
+    late_after_s: ClassVar[float] = SINGLE.aim_s
     lasting_s: float = 12
 
-    def ask(self, load: FlowLoad) -> None:
+    def plan_requests(self, load: FlowLoad) -> None:
         """Plan what callers ask for: usual load, unless a moment says otherwise."""
         servers = len(load.server_by_name)
-        usual = _SINGLE_SHARE * servers * load.server_kind.slots / SINGLE.work_s
-        load.arrive(lambda at_s: self.rate_of(at_s, usual), self.lasting_s)
+        base_rate = _SINGLE_SHARE * servers * load.server_kind.slots / SINGLE.work_s
+        load.arrive(lambda at_s: self.rate_of(at_s, base_rate), self.lasting_s)
         load.hold_flows(_USERS_PER_UPSTREAM * servers, self.lasting_s)
 
-    def rate_of(self, at_s: float, usual: float) -> float:
+    def rate_of(self, at_s: float, base_rate: float) -> float:
         """Return the requests a second at a time of the moment."""
-        return usual
+        return base_rate
 
     @abstractmethod
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Plan what goes wrong."""
 
 
@@ -67,7 +67,7 @@
     name = 'calm'
     equal_upstreams = True
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Plan nothing."""
 
 
@@ -83,9 +83,9 @@
 
     name = 'burst'
 
-    def rate_of(self, at_s: float, usual: float) -> float:
+    def rate_of(self, at_s: float, base_rate: float) -> float:
         """Return three times the usual rate in the middle."""
-        return usual * 3 if 4 <= at_s < 7 else usual
+        return base_rate * 3 if 4 <= at_s < 7 else base_rate
 
 
 class SlowUpstream(Moment):
@@ -93,7 +93,7 @@
 
     name = 'slow_upstream'
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Slow the first one down."""
         server = next(iter(load.server_by_name.values()))
         load.fleet.at(3, partial(setattr, server, 'slow', 5))
@@ -105,22 +105,22 @@
 
     name = 'grey_upstream'
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Turn the first one grey."""
         server = next(iter(load.server_by_name.values()))
         load.fleet.at(3, partial(setattr, server, 'grey', True))
         load.fleet.at(5, partial(setattr, server, 'grey', False))
 
 
-class SilentUpstream(Moment):
+class UnresponsiveUpstream(Moment):
     """One upstream falls silent; its entry lapses later."""
 
     name = 'silent_upstream'
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Silence the first one."""
         first = next(iter(load.server_by_name))
-        load.fleet.at(3, partial(load.silence_server, first, _LAPSE_S))
+        load.fleet.at(3, partial(load.silence_server, first, _ENTRY_LAPSE_S))
 
 
 class Release(Moment):
@@ -128,10 +128,10 @@
 
     name = 'release'
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Replace them in turn."""
-        for place, server in enumerate(list(load.server_by_name.values())):
-            load.fleet.at(1 + place, partial(_replace, load, server.name))
+        for index, server in enumerate(list(load.server_by_name.values())):
+            load.fleet.at(1 + index, partial(_replace_server, load, server.name))
 
 
 class CentreShort(Moment):
@@ -139,7 +139,7 @@
 
     name = 'centre_short'
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Drain those of the first data centre but the last."""
         for server in _servers_in(load, CENTRES[0])[:-1]:
             load.fleet.at(3, partial(load.drain_server, server.name))
@@ -150,7 +150,7 @@
 
     name = 'centre_without_upstreams'
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Drain those of the first data centre."""
         for server in _servers_in(load, CENTRES[0]):
             load.fleet.at(3, partial(load.drain_server, server.name))
@@ -159,7 +159,7 @@
 class Overload(Calm):
     """Callers ask for `times` the usual for four seconds, feeds and urgent requests alike.
 
-    Usually they ask for `usual_share` of what all slots can do.
+    Usually they ask for `base_load` of what all slots can do.
     """
 
     name = 'overload'
@@ -167,47 +167,47 @@
     equal_upstreams = False
     begins_s: ClassVar[float] = 4
     ends_s: ClassVar[float] = 8
-    usual_share: ClassVar[float] = 0.4
+    base_load: ClassVar[float] = 0.4
     feed_share: ClassVar[float] = 0.75
-    times: float = 3
+    rate_factor: float = 3
 
-    def ask(self, load: FlowLoad) -> None:
+    def plan_requests(self, load: FlowLoad) -> None:
         """Plan requests of both kinds."""
         servers = len(load.server_by_name)
-        work_s = self.usual_share * servers * load.server_kind.slots
-        feeds = work_s * self.feed_share / FEED.work_s
-        urgent = work_s * (1 - self.feed_share) / URGENT.work_s
-        load.arrive(lambda at_s: self.rate_of(at_s, urgent), self.lasting_s, URGENT)
+        work_s = self.base_load * servers * load.server_kind.slots
+        feed_rate = work_s * self.feed_share / FEED.work_s
+        urgent_rate = work_s * (1 - self.feed_share) / URGENT.work_s
+        load.arrive(lambda at_s: self.rate_of(at_s, urgent_rate), self.lasting_s, URGENT)
         load.ask_from_clients(
-            lambda at_s: self.rate_of(at_s, feeds),
+            lambda at_s: self.rate_of(at_s, feed_rate),
             self.lasting_s,
             _CLIENTS_PER_UPSTREAM * servers,
         )
 
-    def rate_of(self, at_s: float, usual: float) -> float:
+    def rate_of(self, at_s: float, base_rate: float) -> float:
         """Return the rate of the burst in the middle."""
-        return usual * self.times if self.begins_s <= at_s < self.ends_s else usual
+        return base_rate * self.rate_factor if self.begins_s <= at_s < self.ends_s else base_rate
 
 
 class Overload15(Overload):
     """One and a half times the usual: high, but possible."""
 
     name = 'overload_1.5'
-    times = 1.5
+    rate_factor = 1.5
 
 
 class Overload2(Overload):
     """Twice the usual: four fifths of what all can do."""
 
     name = 'overload_2'
-    times = 2
+    rate_factor = 2
 
 
 class Overload4(Overload):
     """Four times the usual."""
 
     name = 'overload_4'
-    times = 4
+    rate_factor = 4
 
 
 class OverloadTwoSlots(Overload):
@@ -228,41 +228,41 @@
     """A third of the upstreams fall silent two seconds before."""
 
     name = 'overload_third_lost'
-    times = 2.5
+    rate_factor = 2.5
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Silence every third one."""
         for name in list(load.server_by_name)[::3]:
-            load.fleet.at(2, partial(load.silence_server, name, _LAPSE_S))
+            load.fleet.at(2, partial(load.silence_server, name, _ENTRY_LAPSE_S))
 
 
 class OverloadRestart(Overload):
     """All balancers are dark for a second in the middle of it."""
 
     name = 'overload_restart'
-    times = 2.5
-    dark = (5, 6)
+    rate_factor = 2.5
+    outage_interval = (5, 6)
 
-    def disturb(self, load: FlowLoad) -> None:
+    def schedule_faults(self, load: FlowLoad) -> None:
         """Kill all, and start them again."""
         for name in load.fleet.node_by_name:
-            load.fleet.at(self.dark[0], partial(load.fleet.kill, name))
-            load.fleet.at(self.dark[1], partial(load.fleet.restart, name))
+            load.fleet.at(self.outage_interval[0], partial(load.fleet.kill, name))
+            load.fleet.at(self.outage_interval[1], partial(load.fleet.restart, name))
 
 
 class HighLoad(Overload):
     """Callers ask for four fifths of what all slots can do, all the time."""
 
     name = 'high_load'
-    usual_share = 0.8
-    times = 1
+    base_load = 0.8
+    rate_factor = 1
 
 
 def _servers_in(load: FlowLoad, centre: str) -> list[Server]:
     return [server for server in load.server_by_name.values() if server.data_centre == centre]
 
 
-def _replace(load: FlowLoad, name: str) -> None:
+def _replace_server(load: FlowLoad, name: str) -> None:
     load.add_server(load.server_by_name[name].data_centre, cold=True)
     load.drain_server(name)
 
@@ -273,7 +273,7 @@
     Burst,
     SlowUpstream,
     GreyUpstream,
-    SilentUpstream,
+    UnresponsiveUpstream,
     Release,
     CentreShort,
     CentreWithoutUpstreams,
--- a/src/bronzekeel/bench/load_picture.py
+++ b/src/bronzekeel/bench/load_picture.py
@@ -24,9 +24,9 @@
     axes = figure.add_subplot()
     moments = list(figures_by_moment)
     policies = list(next(iter(figures_by_moment.values())))
-    for place, policy in enumerate(policies):
+    for index, policy in enumerate(policies):
         earned = [figures_by_moment[moment][policy].earned_over_ceiling for moment in moments]
-        marker = _MARKERS[place % len(_MARKERS)]
+        marker = _MARKERS[index % len(_MARKERS)]
         axes.plot(earned, range(len(moments)), marker, label=policy, alpha=0.8)
     axes.set_yticks(range(len(moments)), moments)
     axes.invert_yaxis()
--- a/src/bronzekeel/bench/load_policies.py
+++ b/src/bronzekeel/bench/load_policies.py
@@ -7,10 +7,10 @@
     AdmitAll,
     FixedLimit,
     LearnedLimit,
-    ShareAlone,
+    ShareWithoutBorrowing,
     WaitTarget,
 )
-from bronzekeel.bench.placement_policies import OwnSight, RandomNear, Summed, TwoChoices
+from bronzekeel.bench.placement_policies import OwnCountsOnly, RandomLocal, SummedCounts, TwoChoices
 from bronzekeel.bench.waiting_policies import (
     OldestFirst,
     PriorityBlind,
@@ -24,19 +24,19 @@
 
 
 PRODUCT = 'least_busy'
-EQUAL = 'equal_work'
+EQUAL_WORK = 'equal_work'
 
 POLICIES: Mapping[str, FleetPolicies] = MappingProxyType(
     {
         PRODUCT: FleetPolicies(),
-        EQUAL: FleetPolicies(placement_of=EqualWork),
-        'random_near': FleetPolicies(placement_of=RandomNear),
+        EQUAL_WORK: FleetPolicies(placement_of=EqualWork),
+        'random_near': FleetPolicies(placement_of=RandomLocal),
         'two_choices': FleetPolicies(placement_of=TwoChoices),
-        'own_sight': FleetPolicies(placement_of=OwnSight),
-        'summed': FleetPolicies(placement_of=Summed),
+        'own_sight': FleetPolicies(placement_of=OwnCountsOnly),
+        'summed': FleetPolicies(placement_of=SummedCounts),
         'admit_all': FleetPolicies(admission_of=AdmitAll),
         'fixed_limit': FleetPolicies(admission_of=FixedLimit),
-        'share_alone': FleetPolicies(admission_of=ShareAlone),
+        'share_alone': FleetPolicies(admission_of=ShareWithoutBorrowing),
         'learned_limit': FleetPolicies(admission_of=LearnedLimit),
         'wait_target': FleetPolicies(admission_of=WaitTarget),
         'oldest_first': FleetPolicies(order_of=OldestFirst),
--- a/src/bronzekeel/bench/membership.py
+++ b/src/bronzekeel/bench/membership.py
@@ -14,11 +14,11 @@
 _SIZES = (9, 30, 90)
 _KILLS = 3
 _STEP_S = 0.1
-_PATIENCE_S = 12.0
+_DETECTION_TIMEOUT_S = 12.0
 _STEADY_S = 10.0
 _LOST_SHARE = 0.05
 _P99 = 0.99
-_AIM_DETECT_S = 6.0
+_MAX_DETECT_S = 6.0
 _BUDGET_BYTES = 6000
 
 
@@ -71,11 +71,13 @@
     def run(self, options: Namespace) -> MembershipReport:
         """Measure every size."""
         figures = {str(size): _measure(size, options.seed) for size in _SIZES}
-        within = max(size for size in _SIZES if figures[str(size)].bytes_per_s <= _BUDGET_BYTES)
-        today = figures[str(_SIZES[0])]
-        kept = today.detect_p99_s <= _AIM_DETECT_S and today.bytes_per_s <= _BUDGET_BYTES
-        kept = kept and not any(measured.false_removals for measured in figures.values())
-        return MembershipReport(figures, within, kept)
+        largest_within_budget = max(
+            size for size in _SIZES if figures[str(size)].bytes_per_s <= _BUDGET_BYTES
+        )
+        smallest = figures[str(_SIZES[0])]
+        passed = smallest.detect_p99_s <= _MAX_DETECT_S and smallest.bytes_per_s <= _BUDGET_BYTES
+        passed = passed and not any(measured.false_removals for measured in figures.values())
+        return MembershipReport(figures, largest_within_budget, passed)
 
 
 def _measure(size: int, seed: int) -> MembershipFigures:
@@ -109,11 +111,11 @@
     """Kill a balancer; return after how long each of the others knows."""
     fleet.kill(name)
     killed_at = fleet.now
-    found: dict[str, float] = {}
-    while fleet.now < killed_at + _PATIENCE_S:
+    detected_after_s: dict[str, float] = {}
+    while fleet.now < killed_at + _DETECTION_TIMEOUT_S:
         fleet.run(_STEP_S)
         for node in fleet.running:
             if node.state.members.by_name[name].dead:
-                found.setdefault(node.name, fleet.now - killed_at)
-    missing = len(fleet.running) - len(found)
-    return [*found.values(), *(_PATIENCE_S for _ in range(missing))]
+                detected_after_s.setdefault(node.name, fleet.now - killed_at)
+    undetected = len(fleet.running) - len(detected_after_s)
+    return [*detected_after_s.values(), *(_DETECTION_TIMEOUT_S for _ in range(undetected))]
--- a/src/bronzekeel/bench/peer_bytes.py
+++ b/src/bronzekeel/bench/peer_bytes.py
@@ -8,7 +8,7 @@
 
 _LOOPBACK = '127.0.0.1'
 _CALLS = 100
-_CHUNK = 65536
+_CHUNK_BYTES = 65536
 
 
 class _CountingRelay:
@@ -16,23 +16,23 @@
 
     def __init__(self, port: int) -> None:
         """Pass on to `port`."""
-        self.counted = 0
+        self.byte_count = 0
         self._port = port
 
     async def serve(self, reader: StreamReader, writer: StreamWriter) -> None:
         """Pass one connection on until both sides end it."""
-        onward_reader, onward_writer = await open_connection(_LOOPBACK, self._port)
+        target_reader, target_writer = await open_connection(_LOOPBACK, self._port)
         await gather(
-            self._copy(reader, onward_writer),
-            self._copy(onward_reader, writer),
+            self._copy(reader, target_writer),
+            self._copy(target_reader, writer),
         )
 
     async def _copy(self, reader: StreamReader, writer: StreamWriter) -> None:
         with suppress(ConnectionResetError):
             while not reader.at_eof():
-                content = await reader.read(_CHUNK)
-                self.counted += len(content)
-                writer.write(content)
+                chunk = await reader.read(_CHUNK_BYTES)
+                self.byte_count += len(chunk)
+                writer.write(chunk)
         writer.close()
 
 
@@ -41,9 +41,9 @@
 
     Without the headers of TCP and IP.
     """
-    taken: list[Message] = []
-    receiver = Peers(taken.append)
-    sender = Peers(taken.append)
+    received: list[Message] = []
+    receiver = Peers(received.append)
+    sender = Peers(received.append)
     relay = _CountingRelay(await receiver.open(_LOOPBACK, 0))
     await sender.open(_LOOPBACK, 0)
     server = await start_server(relay.serve, _LOOPBACK, 0)
@@ -51,11 +51,11 @@
     host = HostEntry('b1', 'dc-b', _LOOPBACK, 0, relay_port)
     for number in range(_CALLS):
         sender.send(host, JournalAck('a1', 1, number))
-        while len(taken) <= number:
+        while len(received) <= number:
             await sleep(0.001)
-    counted = relay.counted
+    byte_count = relay.byte_count
     await sender.close()
     await sleep(0.05)
     server.close()
     await receiver.close()
-    return round(counted / _CALLS, 1)
+    return round(byte_count / _CALLS, 1)
--- a/src/bronzekeel/bench/placement.py
+++ b/src/bronzekeel/bench/placement.py
@@ -13,11 +13,11 @@
 
 from bronzekeel.bench.base import Benchmark
 from bronzekeel.bench.demand_moments import DEMAND_MOMENTS
-from bronzekeel.bench.load_ceiling import PerfectSight
-from bronzekeel.bench.load_figures import PlacementFigures, mean_of
+from bronzekeel.bench.load_ceiling import OracleScheduler
+from bronzekeel.bench.load_figures import PlacementFigures, mean_figures
 from bronzekeel.bench.load_moments import MOMENTS, Moment
 from bronzekeel.bench.load_picture import draw
-from bronzekeel.bench.load_policies import EQUAL, POLICIES, PRODUCT
+from bronzekeel.bench.load_policies import EQUAL_WORK, POLICIES, PRODUCT
 from bronzekeel.bench.quantiles import quantile
 from bronzekeel.replay.flow_load import FlowLoad
 from bronzekeel.replay.load_callers import CALLER_S
@@ -37,7 +37,7 @@
 _IMBALANCE_SLACK = 0.1
 
 #: Share of what perfect sight earns that the product must earn in every moment.
-_LEAST_OF_CEILING = 0.85
+_MIN_CEILING_SHARE = 0.85
 
 
 class PlacementReport(Struct, frozen=True):
@@ -78,7 +78,7 @@
     def run(self, options: Namespace) -> PlacementReport:
         """Play; the product must be nearly as good as the best, and near perfect sight."""
         seeds = list(range(options.seed, options.seed + options.seeds))
-        figures_by_moment = _means(_trials(options, seeds))
+        figures_by_moment = _run_trials(_selected_trials(options, seeds))
         if options.png is not None:
             draw(figures_by_moment, options.png)
         failed = []
@@ -92,37 +92,37 @@
 )
 
 
-def _trials(options: Namespace, seeds: list[int]) -> list[Trial]:
-    chosen = product(options.moment or _MOMENT_BY_NAME, options.policy or POLICIES, seeds)
+def _selected_trials(options: Namespace, seeds: list[int]) -> list[Trial]:
+    selected = product(options.moment or _MOMENT_BY_NAME, options.policy or POLICIES, seeds)
     return [
         Trial(moment, policy, seed, options.hosts, options.upstreams)
-        for moment, policy, seed in chosen
+        for moment, policy, seed in selected
     ]
 
 
-def _means(trials: list[Trial]) -> dict[str, dict[str, PlacementFigures]]:
+def _run_trials(trials: list[Trial]) -> dict[str, dict[str, PlacementFigures]]:
     """Play trials side by side; return their mean figures by moment and policy."""
-    plays: dict[str, dict[str, list[PlacementFigures]]] = {}
+    runs: dict[str, dict[str, list[PlacementFigures]]] = {}
     with ProcessPoolExecutor() as executor:
-        played_in_turn = zip(trials, executor.map(play, trials), strict=True)
+        figures_by_trial = zip(trials, executor.map(run_trial, trials), strict=True)
         console = Console(stderr=True)
-        for trial, figures in track(played_in_turn, 'playing', len(trials), console=console):
-            by_policy = plays.setdefault(trial.moment, {})
+        for trial, figures in track(figures_by_trial, 'playing', len(trials), console=console):
+            by_policy = runs.setdefault(trial.moment, {})
             by_policy.setdefault(trial.policy, []).append(figures)
     return {
-        moment: {policy: mean_of(listed) for policy, listed in by_policy.items()}
-        for moment, by_policy in plays.items()
+        moment: {policy: mean_figures(run_figures) for policy, run_figures in by_policy.items()}
+        for moment, by_policy in runs.items()
     }
 
 
-def play(trial: Trial) -> PlacementFigures:
+def run_trial(trial: Trial) -> PlacementFigures:
     """Play one trial."""
     moment = _MOMENT_BY_NAME[trial.moment]()
     policies = POLICIES[trial.policy]
-    return played(moment, policies, trial.seed, trial.hosts, trial.upstreams)
+    return run_moment(moment, policies, trial.seed, trial.hosts, trial.upstreams)
 
 
-def played(
+def run_moment(
     moment: Moment,
     policies: FleetPolicies,
     seed: int = 1,
@@ -130,13 +130,13 @@
     upstreams: int = 3,
 ) -> PlacementFigures:
     """Play one moment under some policies."""
-    load = load_of_moment(moment, policies, seed, hosts, upstreams)
-    played_s = moment.lasting_s + _SETTLING_S
-    load.fleet.run(played_s)
-    return _figures_of(load, moment, played_s)
+    load = build_moment_load(moment, policies, seed, hosts, upstreams)
+    duration_s = moment.lasting_s + _SETTLING_S
+    load.fleet.run(duration_s)
+    return _figures_of(load, moment, duration_s)
 
 
-def load_of_moment(
+def build_moment_load(
     moment: Moment,
     policies: FleetPolicies,
     seed: int = 1,
@@ -153,21 +153,23 @@
         moment.server_kind,
         moment.kinds,
     )
-    moment.disturb(load)
-    moment.ask(load)
+    moment.schedule_faults(load)
+    moment.plan_requests(load)
     return load
 
 
-def _figures_of(load: FlowLoad, moment: Moment, played_s: float) -> PlacementFigures:
+def _figures_of(load: FlowLoad, moment: Moment, duration_s: float) -> PlacementFigures:
     """Return what was felt, beside perfect sight."""
-    sight = PerfectSight(load.slots, 2 * CALLER_S, moment.dark)
-    kept = PerfectSight(load.slots, 2 * CALLER_S, moment.dark, keeps_flows=True)
+    oracle = OracleScheduler(load.slots, 2 * CALLER_S, moment.outage_interval)
+    affinity_oracle = OracleScheduler(
+        load.slots, 2 * CALLER_S, moment.outage_interval, flow_affinity=True
+    )
     tallies = list(load.tally_by_kind.values())
     latencies = [latency for tally in tallies for latency in tally.latencies]
     total = sum(len(tally.arrivals) for tally in tallies)
     unanswered = total - len(latencies)
-    late = sum(latency > moment.late_s for latency in latencies)
-    ran = [server.ran for server in load.server_by_name.values()]
+    late = sum(latency > moment.late_after_s for latency in latencies)
+    ran_by_server = [server.ran for server in load.server_by_name.values()]
     earned = sum(tally.earned for tally in tallies)
     urgent = min(tallies, key=lambda tally: (not tally.arrivals, tally.kind.priority))
     return PlacementFigures(
@@ -178,42 +180,42 @@
         copy_share=load.callers.waited_for_copy / max(load.callers.opened, 1),
         opened_twice=load.callers.opened_twice,
         failed=unanswered,
-        imbalance=max(ran) * len(ran) / sum(ran),
-        heartbeats_s=_heartbeats(load) / played_s,
+        imbalance=max(ran_by_server) * len(ran_by_server) / sum(ran_by_server),
+        heartbeats_s=_mean_heartbeats(load) / duration_s,
         earned_share=earned / sum(tally.owed for tally in tallies),
-        earned_over_ceiling=earned / sight.earn(tallies),
-        earned_over_kept_ceiling=earned / kept.earn(tallies),
+        earned_over_ceiling=earned / oracle.earned_value(tallies),
+        earned_over_kept_ceiling=earned / affinity_oracle.earned_value(tallies),
         urgent_share=urgent.earned / max(urgent.owed, 1),
-        turned_away_share=_turned_away(load) / max(sum(ran), 1),
+        turned_away_share=_total_turned_away(load) / max(sum(ran_by_server), 1),
         crowd_late_share=load.caller_list.late_share(crowd=True),
         others_late_share=load.caller_list.late_share(crowd=False),
     )
 
 
-def _heartbeats(load: FlowLoad) -> float:
+def _mean_heartbeats(load: FlowLoad) -> float:
     """Return how many heartbeats a balancer sent, in the mean."""
     nodes = load.fleet.running
     return sum(node.heartbeats for node in nodes) / len(nodes)
 
 
-def _turned_away(load: FlowLoad) -> int:
+def _total_turned_away(load: FlowLoad) -> int:
     """Return how many requests upstreams turned away."""
     return sum(server.turned_away for server in load.server_by_name.values())
 
 
 def _failures(kind: type[Moment], by_policy: dict[str, PlacementFigures]) -> list[str]:
     """Return where the product's policies are worse than they may be."""
-    best = min(figures.late_share for figures in by_policy.values())
+    min_late_share = min(figures.late_share for figures in by_policy.values())
     failed = []
-    for name in (PRODUCT, EQUAL):
+    for name in (PRODUCT, EQUAL_WORK):
         if name not in by_policy:
             continue
-        if by_policy[name].late_share > best + _LATE_SLACK:
+        if by_policy[name].late_share > min_late_share + _LATE_SLACK:
             failed.append(f'{kind.name}.{name}.late_share')
-        if by_policy[name].earned_over_ceiling < _LEAST_OF_CEILING:
+        if by_policy[name].earned_over_ceiling < _MIN_CEILING_SHARE:
             failed.append(f'{kind.name}.{name}.earned_over_ceiling')
-    least = min(figures.imbalance for figures in by_policy.values())
-    equal = by_policy.get(EQUAL)
-    if kind.equal_upstreams and equal and equal.imbalance > least + _IMBALANCE_SLACK:
+    min_imbalance = min(figures.imbalance for figures in by_policy.values())
+    equal = by_policy.get(EQUAL_WORK)
+    if kind.equal_upstreams and equal and equal.imbalance > min_imbalance + _IMBALANCE_SLACK:
         failed.append(f'{kind.name}.imbalance')
     return failed
--- a/src/bronzekeel/bench/placement_policies.py
+++ b/src/bronzekeel/bench/placement_policies.py
@@ -8,7 +8,7 @@
 from bronzekeel.core.routing.placement import LeastBusy, Placement
 
 
-class RandomNear(Placement):
+class RandomLocal(Placement):
     """Choose at random among the upstreams of the own data centre, if there are any."""
 
     def __init__(self, data_centre: str, balance: Balance) -> None:
@@ -19,13 +19,15 @@
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
         """Return any upstream that takes flows."""
-        takers = [upstream for upstream in candidates if upstream.takes_flows(now)]
-        near = [upstream for upstream in takers if upstream.entry.data_centre == self._data_centre]
-        chosen_from = near or takers
-        return self._random.choice(chosen_from) if chosen_from else None
+        accepting = [upstream for upstream in candidates if upstream.takes_flows(now)]
+        local = [
+            upstream for upstream in accepting if upstream.entry.data_centre == self._data_centre
+        ]
+        choices = local or accepting
+        return self._random.choice(choices) if choices else None
 
 
-class OwnSight(LeastBusy):
+class OwnCountsOnly(LeastBusy):
     """Choose the least busy upstream by own sight alone."""
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
@@ -36,7 +38,7 @@
         return super().choose(listed, now)
 
 
-class Summed(LeastBusy):
+class SummedCounts(LeastBusy):
     """Choose the least busy upstream with all that peers see in progress added up."""
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
@@ -53,13 +55,15 @@
     def __init__(self, data_centre: str, balance: Balance) -> None:
         """Prefer upstreams of `data_centre`."""
         super().__init__(data_centre, balance)
-        self._near = data_centre
+        self._local_centre = data_centre
         self._random = Random(data_centre)
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
         """Return the better of two; other data centres only when the own has none."""
-        takers = [upstream for upstream in candidates if upstream.takes_flows(now)]
-        near = [upstream for upstream in takers if upstream.entry.data_centre == self._near]
-        drawn_from = near or takers
-        drawn = self._random.sample(drawn_from, min(2, len(drawn_from)))
+        accepting = [upstream for upstream in candidates if upstream.takes_flows(now)]
+        local = [
+            upstream for upstream in accepting if upstream.entry.data_centre == self._local_centre
+        ]
+        choices = local or accepting
+        drawn = self._random.sample(choices, min(2, len(choices)))
         return super().choose(drawn, now)
--- a/src/bronzekeel/bench/request_policies.py
+++ b/src/bronzekeel/bench/request_policies.py
@@ -44,8 +44,8 @@
 
     def choose(self, counts: Sequence[int], random: Random) -> int:
         """Return the better of two indices."""
-        one, other = random.sample(range(len(counts)), 2)
-        return one if counts[one] <= counts[other] else other
+        first, second = random.sample(range(len(counts)), 2)
+        return first if counts[first] <= counts[second] else second
 
 
 class LeastOutstanding(Choice):
@@ -53,12 +53,12 @@
 
     def choose(self, counts: Sequence[int], random: Random) -> int:
         """Return an index with the least count, at random among equals."""
-        least = min(counts)
-        equal = [index for index, count in enumerate(counts) if count == least]
-        return random.choice(equal)
+        min_count = min(counts)
+        tied = [index for index, count in enumerate(counts) if count == min_count]
+        return random.choice(tied)
 
 
-class LonePolicy(VirtualTime):
+class BaselineSimulation(VirtualTime):
     """Run balancers that choose alone; a shed request is tried elsewhere."""
 
     def __init__(
@@ -90,37 +90,37 @@
         counts = self.random.choice(self._counts)
         self._try(counts, work_s, self.now)
 
-    def _try(self, counts: list[int], work_s: float, begun_at: float) -> None:
+    def _try(self, counts: list[int], work_s: float, started_at: float) -> None:
         chosen = self._choice.choose(counts, self.random)
         counts[chosen] += 1
         self._result.attempts += 1
-        self.at(self._hop_s, partial(self._arrive, counts, chosen, work_s, begun_at))
+        self.at(self._hop_s, partial(self._arrive, counts, chosen, work_s, started_at))
 
     def _arrive(
         self,
         counts: list[int],
         chosen: int,
         work_s: float,
-        begun_at: float,
+        started_at: float,
     ) -> None:
         if self._busy[chosen] >= self._slots:
             counts[chosen] -= 1
-            self.at(self._hop_s, partial(self._try, counts, work_s, begun_at))
+            self.at(self._hop_s, partial(self._try, counts, work_s, started_at))
             return
         self._busy[chosen] += 1
         self._result.runs[chosen] += 1
-        self.at(work_s, partial(self._finish, counts, chosen, work_s, begun_at))
+        self.at(work_s, partial(self._finish, counts, chosen, work_s, started_at))
 
     def _finish(
         self,
         counts: list[int],
         chosen: int,
         work_s: float,
-        begun_at: float,
+        started_at: float,
     ) -> None:
         self._busy[chosen] -= 1
         counts[chosen] -= 1
-        latency_s = self.now + self._hop_s - begun_at
+        latency_s = self.now + self._hop_s - started_at
         self._result.latencies.append(latency_s)
         self._result.waits.append(latency_s - work_s)
 
@@ -130,10 +130,10 @@
     result = PolicyResult()
     free_at = deque([float(0) for _ in range(servers)])
     for arrived_s, work_s in arrivals:
-        begun_s = max(arrived_s, free_at.popleft())
-        free_at.append(begun_s + work_s)
+        started_s = max(arrived_s, free_at.popleft())
+        free_at.append(started_s + work_s)
         free_at = deque(sorted(free_at))
-        wait_s = begun_s - arrived_s + 2 * hop_s
+        wait_s = started_s - arrived_s + 2 * hop_s
         result.waits.append(wait_s)
         result.latencies.append(wait_s + work_s)
     result.attempts = len(arrivals)
--- a/src/bronzekeel/bench/request_trials.py
+++ b/src/bronzekeel/bench/request_trials.py
@@ -18,7 +18,7 @@
 MEAN_WORK_S = 0.1
 HOP_S = 0.001
 START_UP_S = 8.0
-AFTERWARDS_S = 12.0
+SETTLE_S = 12.0
 
 
 def replies(
@@ -130,7 +130,7 @@
     def play(self, trial: RequestTrial) -> None:
         """Load and wait."""
         trial.load(self.share, self.lasting_s)
-        trial.run(self.lasting_s + AFTERWARDS_S)
+        trial.run(self.lasting_s + SETTLE_S)
 
 
 class Load07(CleanLoad):
@@ -155,7 +155,7 @@
     share = 0.9
 
 
-class LyingHealth(RequestScenario):
+class WrongHealthHints(RequestScenario):
     """Let endpoints call the living dead and one dead one healthy."""
 
     name = 'lying_health'
@@ -165,10 +165,10 @@
         """Keep the lies up all the time."""
         trial.load(0.7, self.lasting_s)
         for tick in range(int(self.lasting_s)):
-            trial.fleet.at(tick, partial(self._lie, trial))
-        trial.run(self.lasting_s + AFTERWARDS_S)
+            trial.fleet.at(tick, partial(self._send_wrong_hints, trial))
+        trial.run(self.lasting_s + SETTLE_S)
 
-    def _lie(self, trial: RequestTrial) -> None:
+    def _send_wrong_hints(self, trial: RequestTrial) -> None:
         for number, endpoint in enumerate(trial.endpoints):
             trial.traffic.hint(endpoint, serving=number > 2)
 
@@ -187,7 +187,7 @@
         trial.run(self.lasting_s / 3)
         victim.dead = False
         victim.cold_until = trial.fleet.now + 5
-        trial.run(self.lasting_s / 3 + AFTERWARDS_S)
+        trial.run(self.lasting_s / 3 + SETTLE_S)
 
 
 class MostDead(RequestScenario):
@@ -206,7 +206,7 @@
         trial.run(self.lasting_s / 3)
         for victim in victims:
             victim.dead = False
-        trial.run(self.lasting_s / 3 + AFTERWARDS_S)
+        trial.run(self.lasting_s / 3 + SETTLE_S)
 
 
 class Overload(RequestScenario):
@@ -217,7 +217,7 @@
     def play(self, trial: RequestTrial) -> None:
         """Load and wait."""
         trial.load(3, self.lasting_s)
-        trial.run(self.lasting_s + AFTERWARDS_S)
+        trial.run(self.lasting_s + SETTLE_S)
 
 
 class LostAnswers(RequestScenario):
@@ -231,7 +231,7 @@
         for upstream in trial.traffic.upstream_by_endpoint.values():
             upstream.lost_share = 0.05
         trial.load(0.6, self.lasting_s)
-        trial.run(self.lasting_s + AFTERWARDS_S)
+        trial.run(self.lasting_s + SETTLE_S)
 
 
 class Flaky(RequestScenario):
@@ -244,7 +244,7 @@
         victim = trial.traffic.upstream_by_endpoint[trial.endpoints[0]]
         victim.lost_share = 1 / 3
         trial.load(0.6, self.lasting_s)
-        trial.run(self.lasting_s + AFTERWARDS_S)
+        trial.run(self.lasting_s + SETTLE_S)
 
 
 class FlakyBroken(Flaky):
@@ -267,7 +267,7 @@
         trial.run(self.lasting_s / 3)
         name = trial.keeper()
         trial.fleet.kill(name)
-        trial.run(self.lasting_s + AFTERWARDS_S)
+        trial.run(self.lasting_s + SETTLE_S)
 
 
 class KeeperPaused(RequestScenario):
@@ -283,7 +283,7 @@
         trial.load(0.6, self.lasting_s)
         trial.run(self.lasting_s / 3)
         trial.fleet.pause(trial.keeper(), 7)
-        trial.run(self.lasting_s + AFTERWARDS_S)
+        trial.run(self.lasting_s + SETTLE_S)
 
 
 class CentresCut(RequestScenario):
@@ -300,7 +300,7 @@
         trial.fleet.cut(names[:3], names[3:])
         trial.run(self.lasting_s / 3)
         trial.fleet.heal()
-        trial.run(self.lasting_s / 3 + AFTERWARDS_S)
+        trial.run(self.lasting_s / 3 + SETTLE_S)
 
 
 class PlannedStops(RequestScenario):
@@ -317,14 +317,14 @@
         trial.fleet.submit(Catalogue(2, {SERVICE: replies(7, draining=(2,))}))
         trial.run(5)
         trial.fleet.stop('b1')
-        trial.run(self.lasting_s + AFTERWARDS_S)
+        trial.run(self.lasting_s + SETTLE_S)
 
 
 REQUEST_SCENARIOS: tuple[type[RequestScenario], ...] = (
     Load07,
     Load09,
     SmallLoad09,
-    LyingHealth,
+    WrongHealthHints,
     DeadButHealthy,
     MostDead,
     Overload,
--- a/src/bronzekeel/bench/requests.py
+++ b/src/bronzekeel/bench/requests.py
@@ -10,7 +10,7 @@
 from bronzekeel.bench.request_policies import (
     Choice,
     LeastOutstanding,
-    LonePolicy,
+    BaselineSimulation,
     PolicyResult,
     RandomChoice,
     TwoChoices,
@@ -27,11 +27,11 @@
 _BALANCERS = 9
 _P50 = 0.5
 _P99 = 0.99
-_MOST_ATTEMPTS = 1.2
-_MOST_RATIO_CLEAN = 1.1
-_MOST_RATIO_LYING = 1.5
-_MOST_IMBALANCE_CLEAN = 1.05
-_MOST_IMBALANCE_FAULTY = 1.15
+_MAX_ATTEMPTS = 1.2
+_MAX_RATIO_CLEAN = 1.1
+_MAX_RATIO_FAULTY = 1.5
+_MAX_IMBALANCE_CLEAN = 1.05
+_MAX_IMBALANCE_FAULTY = 1.15
 
 
 class RequestFigures(Struct, frozen=True):
@@ -102,8 +102,8 @@
         'least_outstanding': LeastOutstanding(),
     }
     for name, choice in choices.items():
-        policy = LonePolicy(choice, seed, scenario.upstreams, SLOTS, _BALANCERS, HOP_S)
-        by_policy[name] = _lone_figures(policy.play(trial.arrivals), ideal)
+        policy = BaselineSimulation(choice, seed, scenario.upstreams, SLOTS, _BALANCERS, HOP_S)
+        by_policy[name] = _baseline_figures(policy.play(trial.arrivals), ideal)
     return by_policy
 
 
@@ -127,8 +127,8 @@
         p50=_rounded(quantile(latencies, _P50)),
         p99=_rounded(quantile(latencies, _P99)),
         wait_p99=_rounded(quantile(waits, _P99)),
-        p99_over_ideal=_over(latencies, ideal.latencies),
-        wait_p99_over_ideal=_over(waits, ideal.waits),
+        p99_over_ideal=_p99_ratio(latencies, ideal.latencies),
+        wait_p99_over_ideal=_p99_ratio(waits, ideal.waits),
         imbalance=_rounded(traffic.imbalance()),
         member_imbalance=_rounded(_member_imbalance(trial)),
         attempts_per_request=_rounded(traffic.attempts / total),
@@ -151,7 +151,7 @@
     return max(rates) * len(rates) / sum(rates) if sum(rates) else 0
 
 
-def _lone_figures(result: PolicyResult, ideal: PolicyResult) -> RequestFigures:
+def _baseline_figures(result: PolicyResult, ideal: PolicyResult) -> RequestFigures:
     total = len(result.latencies)
     counts = list(result.runs.values())
     attempts = _rounded(result.attempts / total)
@@ -166,8 +166,8 @@
         p50=_rounded(quantile(result.latencies, _P50)),
         p99=_rounded(quantile(result.latencies, _P99)),
         wait_p99=_rounded(quantile(result.waits, _P99)),
-        p99_over_ideal=_over(result.latencies, ideal.latencies),
-        wait_p99_over_ideal=_over(result.waits, ideal.waits),
+        p99_over_ideal=_p99_ratio(result.latencies, ideal.latencies),
+        wait_p99_over_ideal=_p99_ratio(result.waits, ideal.waits),
         imbalance=_rounded(max(counts) * len(counts) / sum(counts)),
         member_imbalance=0,
         attempts_per_request=attempts,
@@ -176,7 +176,7 @@
     )
 
 
-def _over(figures: list[float], ideal: list[float]) -> float:
+def _p99_ratio(figures: list[float], ideal: list[float]) -> float:
     base = quantile(ideal, _P99)
     return _rounded(quantile(figures, _P99) / base) if base else 0
 
@@ -187,14 +187,14 @@
 
 def _failures(scenario: RequestScenario, figures: RequestFigures) -> list[str]:
     """Return what the slot keeper did not hold in a scenario."""
-    imbalance = _MOST_IMBALANCE_FAULTY if scenario.faulty else _MOST_IMBALANCE_CLEAN
-    ratio = _MOST_RATIO_LYING if scenario.faulty else _MOST_RATIO_CLEAN
-    held = {
+    imbalance = _MAX_IMBALANCE_FAULTY if scenario.faulty else _MAX_IMBALANCE_CLEAN
+    ratio = _MAX_RATIO_FAULTY if scenario.faulty else _MAX_RATIO_CLEAN
+    checks = {
         'ran_twice': not figures.ran_twice,
         'not_run_but_ran': not figures.not_run_but_ran,
         'without_outcome': not figures.without_outcome,
-        'attempts_per_request': figures.attempts_per_request <= _MOST_ATTEMPTS,
+        'attempts_per_request': figures.attempts_per_request <= _MAX_ATTEMPTS,
         'imbalance': not scenario.compares_balance or figures.imbalance <= imbalance,
         'p99_over_ideal': not scenario.compares_latency or figures.p99_over_ideal <= ratio,
     }
-    return [f'{scenario.name}.{name}' for name, holds in held.items() if not holds]
+    return [f'{scenario.name}.{name}' for name, passed in checks.items() if not passed]
--- a/src/bronzekeel/bench/rollout.py
+++ b/src/bronzekeel/bench/rollout.py
@@ -14,10 +14,10 @@
 from bronzekeel.replay.fleet import Fleet
 
 _CHANGES = 20
-_APART_S = 12.0
+_INTERVAL_S = 12.0
 _P99 = 0.99
-_AIM_P99_S = 3.0
-_AIM_MOST_S = 9.0
+_MAX_P99_S = 3.0
+_MAX_DELAY_S = 9.0
 
 #: Calls a watcher makes for a change: a watch's answer, a part, the next watch.
 _CALLS_PER_WATCHER = 3
@@ -50,11 +50,11 @@
         self.generation = 0
         self.reverted = 0
         self.submitted_at: dict[int, float] = {}
-        self.highest: dict[tuple[str, int], int] = {}
+        self.highest_generations: dict[tuple[str, int], int] = {}
         self.calls = 0
         self.submit()
-        self.fleet.run(_APART_S)
-        self.fleet.at(0, self._look)
+        self.fleet.run(_INTERVAL_S)
+        self.fleet.at(0, self._check_generations)
         self.steady_bytes_per_s = self._measure_steady()
 
     def submit(self) -> None:
@@ -75,15 +75,15 @@
         self.fleet.run(20)
         return (self.bytes_sent() - before) / 20
 
-    def _look(self) -> None:
+    def _check_generations(self) -> None:
         """Note every host whose generation is lower than it was."""
         for node in self.fleet.running:
             key = (node.name, node.state.members.incarnation)
             generation = node.state.rollout.generation
-            if generation < self.highest.get(key, 0):
+            if generation < self.highest_generations.get(key, 0):
                 self.reverted += 1
-            self.highest[key] = max(generation, self.highest.get(key, 0))
-        self.fleet.at(0.05, self._look)
+            self.highest_generations[key] = max(generation, self.highest_generations.get(key, 0))
+        self.fleet.at(0.05, self._check_generations)
 
 
 def _healthy(trial: _Trial, number: int) -> None:
@@ -99,7 +99,7 @@
 def _outage(trial: _Trial, number: int) -> None:
     """Take the platform away after each change; a host is replaced meanwhile."""
     trial.fleet.at(0.06, partial(setattr, trial.fleet, 'platform_up', False))
-    trial.fleet.at(_APART_S - 1, trial.fleet.platform_back)
+    trial.fleet.at(_INTERVAL_S - 1, trial.fleet.platform_back)
 
 
 def _partition(trial: _Trial, number: int) -> None:
@@ -113,10 +113,10 @@
     """Kill one balancer at each change and start it again."""
     host = bench_hosts()[number % 9]
     trial.fleet.kill(host.name)
-    trial.fleet.at(3, lambda: _start_again(trial, host))
+    trial.fleet.at(3, lambda: _restart_host(trial, host))
 
 
-def _start_again(trial: _Trial, host: HostEntry) -> None:
+def _restart_host(trial: _Trial, host: HostEntry) -> None:
     trial.fleet.start(host)
 
 
@@ -142,30 +142,30 @@
     def run(self, options: Namespace) -> RolloutReport:
         """Play every scenario."""
         figures = {}
-        for name, disturb in _SCENARIOS:
-            figures[name] = _measure(disturb, options.seed)
+        for name, inject_fault in _SCENARIOS:
+            figures[name] = _measure(inject_fault, options.seed)
         healthy = figures['healthy']
-        kept = healthy.in_force_p99_s <= _AIM_P99_S
+        passed = healthy.in_force_p99_s <= _MAX_P99_S
         for measured in figures.values():
-            kept = kept and not measured.reverted and not measured.missed
-            kept = kept and measured.in_force_max_s <= _AIM_MOST_S
-        return RolloutReport(figures, kept)
+            passed = passed and not measured.reverted and not measured.missed
+            passed = passed and measured.in_force_max_s <= _MAX_DELAY_S
+        return RolloutReport(figures, passed)
 
 
-def _measure(disturb: Callable[[_Trial, int], None], seed: int) -> RolloutFigures:
+def _measure(inject_fault: Callable[[_Trial, int], None], seed: int) -> RolloutFigures:
     trial = _Trial(seed)
     trial.calls = 0
     bytes_before = trial.bytes_sent()
-    begun_at = trial.fleet.now
+    started_at = trial.fleet.now
     for number in range(_CHANGES):
-        disturb(trial, number)
+        inject_fault(trial, number)
         trial.fleet.run(0.05)
         trial.submit()
-        trial.fleet.run(_APART_S)
-    trial.fleet.run(_APART_S)
+        trial.fleet.run(_INTERVAL_S)
+    trial.fleet.run(_INTERVAL_S)
     delays, missed = _delays(trial)
-    passed_s = trial.fleet.now - begun_at
-    spent = trial.bytes_sent() - bytes_before - trial.steady_bytes_per_s * passed_s
+    elapsed_s = trial.fleet.now - started_at
+    sent_bytes = trial.bytes_sent() - bytes_before - trial.steady_bytes_per_s * elapsed_s
     return RolloutFigures(
         changes=_CHANGES,
         in_force_p99_s=round(quantile(delays, _P99), 3),
@@ -173,7 +173,7 @@
         missed=missed,
         reverted=trial.reverted,
         platform_calls_per_change=round(trial.calls / _CHANGES, 2),
-        bytes_per_change=round(max(0, spent) / _CHANGES / len(trial.fleet.by_name), 1),
+        bytes_per_change=round(max(0, sent_bytes) / _CHANGES / len(trial.fleet.by_name), 1),
     )
 
 
@@ -187,9 +187,13 @@
     for node in trial.fleet.running:
         for generation, submitted_at in trial.submitted_at.items():
             reachable_at = max(submitted_at, node.state.started_at)
-            reached = [at for known, at in node.in_force_at.items() if known >= generation]
-            if reached:
-                delays.append(max(0, min(reached) - reachable_at))
+            reached_at = [
+                at
+                for reached_generation, at in node.in_force_at.items()
+                if reached_generation >= generation
+            ]
+            if reached_at:
+                delays.append(max(0, min(reached_at) - reachable_at))
             else:
                 missed += 1
     return delays, missed
--- a/src/bronzekeel/bench/slopes.py
+++ b/src/bronzekeel/bench/slopes.py
@@ -81,11 +81,11 @@
     """Return the least-squares line through the measured points."""
     mean_size = sum(sizes) / len(sizes)
     mean = sum(measured) / len(measured)
-    spread = sum((size - mean_size) ** 2 for size in sizes)
+    size_variance = sum((size - mean_size) ** 2 for size in sizes)
     pairs = list(zip(sizes, measured, strict=True))
-    slope = sum((size - mean_size) * (figure - mean) for size, figure in pairs) / spread
+    slope = sum((size - mean_size) * (figure - mean) for size, figure in pairs) / size_variance
     intercept = mean - slope * mean_size
-    worst = max(abs(figure - slope * size - intercept) for size, figure in pairs)
+    max_error = max(abs(figure - slope * size - intercept) for size, figure in pairs)
     return Slope(
         unit,
         per,
@@ -93,7 +93,7 @@
         [round(figure, 3) for figure in measured],
         round(slope, 5),
         round(intercept, 3),
-        round(worst / max(measured), 4),
+        round(max_error / max(measured), 4),
     )
 
 
@@ -105,21 +105,21 @@
 def heartbeat_core(members: int) -> float:
     """Return the processor microseconds a second a balancer of `members` needs."""
     fleet = fleet_of(members, 1)
-    begun = process_time()
+    started_s = process_time()
     fleet.run(5)
-    return (process_time() - begun) / 5 / members * _MICRO
+    return (process_time() - started_s) / 5 / members * _MICRO
 
 
 def _traced(build: Callable[[], object]) -> float:
     """Return the bytes that what `build` returns takes."""
-    held: list[object] = []
+    allocated: list[object] = []
     collect()
     start()
-    held.append(build())
+    allocated.append(build())
     collect()
     size = get_traced_memory()[0]
     stop()
-    held.clear()
+    allocated.clear()
     return size
 
 
@@ -160,10 +160,10 @@
     """Return the processor microseconds of one tick with `services`."""
     state = _keeper_state(services)
     reduce(state, Ticked(), 20)
-    begun = process_time()
+    started_s = process_time()
     for number in range(10):
         reduce(state, Ticked(), 20 + number / 4)
-    return (process_time() - begun) / 10 * _MICRO
+    return (process_time() - started_s) / 10 * _MICRO
 
 
 def text_core(services: int) -> float:
@@ -172,10 +172,10 @@
     changed = _catalogue(services).services_by_name
     first = changed['service-0']
     changed['service-0'] = replace(first, upstreams=first.upstreams[1:])
-    latter = Catalogue(2, changed)
-    begun = process_time()
-    reduce(state, TextAccepted(latter, from_platform=True), 30)
-    return (process_time() - begun) * _MICRO
+    next_catalogue = Catalogue(2, changed)
+    started_s = process_time()
+    reduce(state, TextAccepted(next_catalogue, from_platform=True), 30)
+    return (process_time() - started_s) * _MICRO
 
 
 def exception_bytes(flows: int) -> float:
@@ -243,7 +243,7 @@
     known = [register for register in table.registers if register is not None]
     listed = tuple(known[number % len(known)].entry() for number in range(buckets))
     raw = encode(part_of('b1', 1, 0, 1, (), listed))
-    begun = process_time()
+    started_s = process_time()
     for _ in range(5):
         part = decode(raw)
         if isinstance(part, JournalPart):
@@ -251,7 +251,7 @@
                 register = table.registers[entry.bucket]
                 if register is not None:
                     register.take(entry)
-    return (process_time() - begun) / 5 * _MICRO
+    return (process_time() - started_s) / 5 * _MICRO
 
 
 _Measure = tuple[str, str, str, tuple[int, ...], Callable[[int], float]]
--- a/src/bronzekeel/bench/start.py
+++ b/src/bronzekeel/bench/start.py
@@ -29,11 +29,11 @@
     ' sys.exit(serve_on_platform(sys.argv[1]))'
 )
 _BARE_CODE = 'import sys; sys.stdout.write("."); sys.stdout.flush(); sys.stdin.read()'
-_AIM_S = 0.1
-_AIM_MB = 25
+_MAX_ADDED_PROCESSOR_S = 0.1
+_MAX_MEMORY_MB = 25
 _KILO = 1024
-_TRY_S = 0.01
-_PATIENCE_TRIES = 1000
+_RETRY_S = 0.01
+_MAX_TRIES = 1000
 
 
 class StartReport(Struct, frozen=True):
@@ -84,8 +84,8 @@
         self.store = PlatformStandIn()
         self.upstream = _udp()
         self.caller = _udp()
-        self.caller.settimeout(_TRY_S)
-        self.upstream.settimeout(_TRY_S)
+        self.caller.settimeout(_RETRY_S)
+        self.upstream.settimeout(_RETRY_S)
 
     def fill_store(self) -> None:
         """Write a text with one route and its upstream."""
@@ -97,17 +97,17 @@
 
         Packets that an earlier one held and forwarded together are left out.
         """
-        left_over = True
-        while left_over:
-            left_over = self._is_forwarded()
-        begun_at = perf_counter()
-        process = _started(('-c', _CODE, str(settings)))
+        is_left_over = True
+        while is_left_over:
+            is_left_over = self._is_forwarded()
+        started_at = perf_counter()
+        process = _start_interpreter(('-c', _CODE, str(settings)))
         opening = build_echo(EchoSegment(self.caller.getsockname(), _SERVICE, SYN))
-        for _ in range(_PATIENCE_TRIES):
+        for _ in range(_MAX_TRIES):
             self.caller.sendto(opening, (_LOOPBACK, packets))
             if self._is_forwarded():
                 break
-        return _usage_of(process, perf_counter() - begun_at)
+        return _usage_of(process, perf_counter() - started_at)
 
     async def close(self) -> None:
         """Free all sockets."""
@@ -151,7 +151,7 @@
         memory_mb=round(memory_mb, 1),
         bare_memory_mb=round(median(usage.memory_mb for usage in bare), 1),
         until_forwarded_s=round(median(usage.until_forwarded_s for usage in balancers), 3),
-        ok=processor_s - bare_s <= _AIM_S and memory_mb <= _AIM_MB,
+        ok=processor_s - bare_s <= _MAX_ADDED_PROCESSOR_S and memory_mb <= _MAX_MEMORY_MB,
     )
 
 
@@ -164,19 +164,19 @@
     status = Path(f'/proc/{process.pid}/status').read_text(encoding='utf-8')
     peak = next(line for line in status.splitlines() if line.startswith('VmHWM'))
     process.kill()
-    _, _, used = wait4(process.pid, 0)
-    return _Usage(used.ru_utime + used.ru_stime, int(peak.split()[1]) / _KILO, until_forwarded_s)
+    _, _, usage = wait4(process.pid, 0)
+    return _Usage(usage.ru_utime + usage.ru_stime, int(peak.split()[1]) / _KILO, until_forwarded_s)
 
 
 def _run_bare() -> _Usage:
-    process = _started(('-c', _BARE_CODE))
+    process = _start_interpreter(('-c', _BARE_CODE))
     if process.stdout is not None:
         process.stdout.read(1)
         process.stdout.close()
     return _usage_of(process)
 
 
-def _started(arguments: tuple[str, ...]) -> Popen[bytes]:
+def _start_interpreter(arguments: tuple[str, ...]) -> Popen[bytes]:
     """Start an interpreter as the platform does: without ``site``, modules on its path."""
     packages = ':'.join(folder for folder in module_path if folder)
     return Popen(
@@ -195,6 +195,6 @@
 
 
 def _udp() -> socket:
-    made = socket(AF_INET, SOCK_DGRAM)
-    made.bind((_LOOPBACK, 0))
-    return made
+    udp_socket = socket(AF_INET, SOCK_DGRAM)
+    udp_socket.bind((_LOOPBACK, 0))
+    return udp_socket
--- a/src/bronzekeel/bench/views.py
+++ b/src/bronzekeel/bench/views.py
@@ -23,10 +23,10 @@
 
 
 _SIZES = (1000, 4600, 9200)
-_OTHERS = 6
+_PEERS = 6
 _LOADS = 24
 _REPEATS = 2000
-_TRIES = 5
+_RUNS = 5
 _MICRO = 1_000_000
 _MILLI = 1000
 
@@ -57,56 +57,56 @@
         raw = encode_heartbeat(_heartbeat())
         return ViewReport(
             sizes=_SIZES,
-            bytes_a_flow=[_held(_flows, size) for size in _SIZES],
+            bytes_a_flow=[_bytes_per_item(_flows, size) for size in _SIZES],
             bytes_a_route=[
-                round(_traced(decode_view, body) / size, 1)
+                round(_allocated_bytes(decode_view, body) / size, 1)
                 for size, body in zip(_SIZES, texts, strict=True)
             ],
-            bytes_an_entry=[_held(_directory, size) for size in _SIZES],
+            bytes_an_entry=[_bytes_per_item(_directory, size) for size in _SIZES],
             text_bytes=[len(body) for body in texts],
-            text_read_ms=[round(_timed(decode_view, body) * _MILLI, 1) for body in texts],
+            text_read_ms=[round(_min_processor_s(decode_view, body) * _MILLI, 1) for body in texts],
             heartbeat_bytes=len(raw),
             heartbeat_both_ways_us=round(_heartbeat_s() * _MICRO, 1),
             ok=True,
         )
 
 
-def _held(build: Callable[[int], object], size: int) -> float:
-    return round(_traced(build, size) / size, 1)
+def _bytes_per_item(build: Callable[[int], object], size: int) -> float:
+    return round(_allocated_bytes(build, size) / size, 1)
 
 
-def _traced(build: Callable[..., object], argument: object) -> int:
+def _allocated_bytes(build: Callable[..., object], argument: object) -> int:
     """Return the bytes that what `build` returns holds."""
     start()
     before, _ = get_traced_memory()
-    held = build(argument)
+    built = build(argument)
     after, _ = get_traced_memory()
     stop()
-    return 0 if held is None else after - before
+    return 0 if built is None else after - before
 
 
-def _timed(call: Callable[..., object], argument: object) -> float:
+def _min_processor_s(call: Callable[..., object], argument: object) -> float:
     """Return the least processor time of a few calls, in seconds."""
     times = []
-    for _ in range(_TRIES):
-        begun_at = process_time()
+    for _ in range(_RUNS):
+        started_at = process_time()
         call(argument)
-        times.append(process_time() - begun_at)
+        times.append(process_time() - started_at)
     return min(times)
 
 
 def _heartbeat_s() -> float:
     heartbeat = _heartbeat()
-    begun_at = process_time()
+    started_at = process_time()
     for _ in range(_REPEATS):
         decode_heartbeat(encode_heartbeat(heartbeat))
-    return (process_time() - begun_at) / _REPEATS
+    return (process_time() - started_at) / _REPEATS
 
 
 def _heartbeat() -> Heartbeat:
-    peers = [PeerAddress(f'edge-{place}', 'dc-a', ('10.0.0.1', 8166)) for place in range(_OTHERS)]
+    peers = [PeerAddress(f'edge-{index}', 'dc-a', ('10.0.0.1', 8166)) for index in range(_PEERS)]
     loads = {number << 20: 3 for number in range(1, _LOADS + 1)}
-    rates = {f'service-{place}': float(_MICRO) for place in range(MOST_RATES)}
+    rates = {f'service-{index}': float(_MICRO) for index in range(MOST_RATES)}
     shares = tuple(FlowShare(service, 'dc-b', 0.125) for service in rates)
     return Heartbeat(peers[0], _MICRO, _MICRO, loads, tuple(peers), rates, shares)
 
--- a/src/bronzekeel/bench/waiting_policies.py
+++ b/src/bronzekeel/bench/waiting_policies.py
@@ -37,17 +37,23 @@
         return 0, -number
 
 
-class _InTurn(WaitingQueue):
+class _RoundRobinQueue(WaitingQueue):
     """Let groups of requests have their turns, within a priority; in a group the newest first."""
 
-    __slots__ = ('_group_of', '_heap_by_group', '_returned', '_turn', '_turn_by_group')
+    __slots__ = (
+        '_group_of',
+        '_heap_by_group',
+        '_last_returned',
+        '_turn_number',
+        '_last_turn_by_group',
+    )
 
     def __init__(self, group_of: Callable[[WaitingRequest], int]) -> None:
         self._group_of = group_of
         self._heap_by_group: dict[int, list[_Ranked]] = {}
-        self._turn_by_group: dict[int, int] = {}
-        self._turn = 0
-        self._returned: tuple[int, WaitingRequest] | None = None
+        self._last_turn_by_group: dict[int, int] = {}
+        self._turn_number = 0
+        self._last_returned: tuple[int, WaitingRequest] | None = None
 
     def add(self, request: WaitingRequest, number: int) -> None:
         """Take the request that came as the `number`th."""
@@ -56,7 +62,7 @@
 
     def first(self, now: float) -> WaitingRequest | None:
         """Return the request of the group whose last turn is the longest ago."""
-        self._note_turn()
+        self._record_turn()
         best: tuple[tuple[int, int], int, WaitingRequest] | None = None
         for group, heap in list(self._heap_by_group.items()):
             while heap and heap[0][1].ended:
@@ -65,20 +71,20 @@
                 self._heap_by_group.pop(group)
                 continue
             request = heap[0][1]
-            key = (request.priority, self._turn_by_group.get(group, 0))
+            key = (request.priority, self._last_turn_by_group.get(group, 0))
             if best is None or key < best[0]:
                 best = (key, group, request)
-        self._returned = best[1:] if best else None
+        self._last_returned = best[1:] if best else None
         return best[2] if best else None
 
-    def _note_turn(self) -> None:
+    def _record_turn(self) -> None:
         """Note the turn of the group whose request was taken."""
-        if self._returned is not None and self._returned[1].ended:
-            self._turn += 1
-            self._turn_by_group[self._returned[0]] = self._turn
+        if self._last_returned is not None and self._last_returned[1].ended:
+            self._turn_number += 1
+            self._last_turn_by_group[self._last_returned[0]] = self._turn_number
 
 
-class _BelowFirst(WaitingQueue):
+class _BelowShareFirstQueue(WaitingQueue):
     """Let callers below their shares go first, by a look at all that wait."""
 
     __slots__ = ('_shares', '_waiting')
@@ -94,13 +100,13 @@
     def first(self, now: float) -> WaitingRequest | None:
         """Return the newest of the callers that are below their shares."""
         self._waiting = [waiting for waiting in self._waiting if not waiting[1].ended]
-        front = min(self._waiting, key=lambda waiting: self._key(waiting, now), default=None)
-        return front[1] if front else None
+        selected = min(self._waiting, key=lambda waiting: self._key(waiting, now), default=None)
+        return selected[1] if selected else None
 
     def _key(self, waiting: tuple[int, WaitingRequest], now: float) -> tuple[int, bool, int]:
         rank, request = waiting
-        given = self._shares.given_to(_caller(request), now)
-        return request.priority, given > self._shares.level, rank
+        received = self._shares.given_to(_caller_key(request), now)
+        return request.priority, received > self._shares.level, rank
 
 
 class RoundRobin(NewestFirst):
@@ -108,7 +114,7 @@
 
     def queue_of(self, pool: Pool) -> WaitingQueue:
         """Return a queue with a group for each caller."""
-        return _InTurn(_caller)
+        return _RoundRobinQueue(_caller_key)
 
 
 class StochasticFairness(NewestFirst):
@@ -116,7 +122,7 @@
 
     def queue_of(self, pool: Pool) -> WaitingQueue:
         """Return a queue with a few groups."""
-        return _InTurn(_hashed)
+        return _RoundRobinQueue(_caller_hash)
 
 
 class TokensByShare(NewestFirst):
@@ -124,12 +130,12 @@
 
     def queue_of(self, pool: Pool) -> WaitingQueue:
         """Return a queue that knows two kinds of callers."""
-        return RankedQueue(self) if pool.callers is None else _BelowFirst(pool.callers)
+        return RankedQueue(self) if pool.callers is None else _BelowShareFirstQueue(pool.callers)
 
 
-def _caller(request: WaitingRequest) -> int:
+def _caller_key(request: WaitingRequest) -> int:
     return caller_of(request.packets[0].flow, USUAL_CALLER_BITS)
 
 
-def _hashed(request: WaitingRequest) -> int:
+def _caller_hash(request: WaitingRequest) -> int:
     return crc32(request.packets[0].flow[:4]) % _STOCHASTIC_QUEUES
--- a/tests/test_load_ceiling.py
+++ b/tests/test_load_ceiling.py
@@ -8,14 +8,14 @@
     DEMAND_MOMENTS,
     WATCH,
     ChangingSpeed,
-    CrowdOfOneCaller,
     LongTail,
     MovedCallers,
+    SingleCallerSurge,
     Unequal,
 )
-from bronzekeel.bench.load_ceiling import PerfectSight
+from bronzekeel.bench.load_ceiling import OracleScheduler
 from bronzekeel.bench.load_moments import MOMENTS, Moment
-from bronzekeel.bench.placement import load_of_moment
+from bronzekeel.bench.placement import build_moment_load
 from bronzekeel.core.routing.demand_control import DemandControl
 from bronzekeel.core.routing.model import RoutingText
 from bronzekeel.replay.flow_load import CENTRES, FlowLoad
@@ -25,19 +25,19 @@
 
 
 _ALWAYS = float('inf')
-_NEVER_DARK: tuple[float, float] = (0, 0)
+_NO_OUTAGE: tuple[float, float] = (0, 0)
 _KIND = RequestKind('asked', b'', aim_s=0.2, timeout_s=1, late_worth=0.25)
 _SECONDS = 6
 
 
 def _earned(
     slots: list[Slot],
-    asked: list[tuple[float, float]],
-    dark: tuple[float, float] = _NEVER_DARK,
+    arrival_times: list[tuple[float, float]],
+    outage_interval: tuple[float, float] = _NO_OUTAGE,
     kind: RequestKind = _KIND,
 ) -> float:
-    arrivals = [Arrival(*pair) for pair in asked]
-    return PerfectSight(slots, 0, dark).earn([Tally(kind, arrivals)])
+    arrivals = [Arrival(*pair) for pair in arrival_times]
+    return OracleScheduler(slots, 0, outage_interval).earned_value([Tally(kind, arrivals)])
 
 
 def _slot(speed: float = 1) -> Slot:
@@ -82,8 +82,8 @@
         Sequence: two requests come in the dark; two slots are free all the time.
         Cause: letting the second slot begin when it was free, before the dark ended.
         """
-        asked = [(0, 0.1), (0, 0.1)]
-        self.assertEqual(0.5, _earned([_slot(), _slot()], asked, dark=(0, 0.3)))
+        arrival_times = [(0, 0.1), (0, 0.1)]
+        self.assertEqual(0.5, _earned([_slot(), _slot()], arrival_times, outage_interval=(0, 0.3)))
 
     def test_a_slot_that_is_gone_serves_nothing(self) -> None:
         """It ends what it began."""
@@ -112,8 +112,8 @@
         Sequence: an upstream falls silent; callers open their flows elsewhere.
         Cause: letting requests wait for a server that is gone.
         """
-        asked = [Arrival(1, 0.1, 'gone')]
-        self.assertEqual(1, self._earned(asked))
+        arrivals = [Arrival(1, 0.1, 'gone')]
+        self.assertEqual(1, self._earned(arrivals))
 
     def test_nothing_is_earned_by_what_waits_too_long(self) -> None:
         """Symptom: the reckoning does not end.
@@ -121,16 +121,16 @@
         Sequence: one server works for longer than a caller waits, others idle.
         Cause: looking for the same free slot again and again.
         """
-        asked = [Arrival(0, 3, 'a'), Arrival(0.1, 0.1, 'a')]
-        self.assertEqual(0.25, self._earned(asked[:1]))
-        self.assertEqual(1.25, self._earned([*asked, Arrival(5, 0.1, 'b')][::2]))
+        arrivals = [Arrival(0, 3, 'a'), Arrival(0.1, 0.1, 'a')]
+        self.assertEqual(0.25, self._earned(arrivals[:1]))
+        self.assertEqual(1.25, self._earned([*arrivals, Arrival(5, 0.1, 'b')][::2]))
         self.assertEqual(0.25, self._earned([Arrival(0, 3, 'a'), Arrival(0, 4, 'a')]))
 
     def _earned(self, arrivals: list[Arrival]) -> float:
         slots = [Slot(0, _ALWAYS, server=name) for name in ('a', 'b')]
         slots.append(Slot(0, 0.5, server='gone'))
-        sight = PerfectSight(slots, 0, _NEVER_DARK, keeps_flows=True)
-        return sight.earn([Tally(_KIND, arrivals)])
+        oracle = OracleScheduler(slots, 0, _NO_OUTAGE, flow_affinity=True)
+        return oracle.earned_value([Tally(_KIND, arrivals)])
 
 
 class DemandMomentsTest(TestCase):
@@ -151,9 +151,11 @@
     def test_most_requests_are_on_open_flows(self) -> None:
         """Those of one flow each are a tenth."""
         load = _played(Unequal())
-        asked = {name: len(tally.arrivals) for name, tally in load.tally_by_kind.items()}
-        self.assertGreater(asked[WATCH.name] + asked[AMEND.name], sum(asked.values()) * 0.8)
-        self.assertLess(load.callers.opened, sum(asked.values()) * 0.5)
+        count_by_kind = {name: len(tally.arrivals) for name, tally in load.tally_by_kind.items()}
+        self.assertGreater(
+            count_by_kind[WATCH.name] + count_by_kind[AMEND.name], sum(count_by_kind.values()) * 0.8
+        )
+        self.assertLess(load.callers.opened, sum(count_by_kind.values()) * 0.5)
 
     def test_a_slow_upstream_works_longer(self) -> None:
         """One of four takes more than twice as long for the same request."""
@@ -191,13 +193,13 @@
 
     def test_a_crowd_asks_for_ten_times_its_share(self) -> None:
         """Its flows go through all hosts, and one address is all that they share."""
-        load = _loaded(CrowdOfOneCaller())
+        load = _loaded(SingleCallerSurge())
         load.fleet.run(4)
         before = {caller: caller.asked for caller in load.caller_list.callers}
         load.fleet.run(4)
-        asked = {caller: caller.asked - count for caller, count in before.items()}
-        crowd = [count for caller, count in asked.items() if caller.crowd]
-        others = [count for caller, count in asked.items() if not caller.crowd]
+        count_by_caller = {caller: caller.asked - count for caller, count in before.items()}
+        crowd = [count for caller, count in count_by_caller.items() if caller.crowd]
+        others = [count for caller, count in count_by_caller.items() if not caller.crowd]
         self.assertEqual((1, 11), (len(crowd), len(others)))
         self.assertAlmostEqual(10, crowd[0] / fmean(others), delta=2)
 
@@ -222,7 +224,7 @@
 
 
 def _loaded(moment: Moment) -> FlowLoad:
-    return load_of_moment(moment, FleetPolicies(), hosts=1)
+    return build_moment_load(moment, FleetPolicies(), hosts=1)
 
 
 def _played(moment: Moment) -> FlowLoad:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -18,7 +18,7 @@
     SlowUpstream,
     Uneven,
 )
-from bronzekeel.bench.placement import load_of_moment, played
+from bronzekeel.bench.placement import build_moment_load, run_moment
 from bronzekeel.bench.waiting_policies import OldestFirst, PriorityBlind
 from bronzekeel.replay.flow_load import FlowLoad
 from bronzekeel.replay.routing_fleet import FleetPolicies
@@ -27,7 +27,7 @@
 _NO_LIMIT = FleetPolicies(admission_of=AdmitAll)
 
 #: Seconds between two looks at slots, and the look at what comes after a burst.
-_LOOK_S = 0.02
+_SAMPLE_INTERVAL_S = 0.02
 _AFTER_S = 2
 
 
@@ -41,10 +41,10 @@
         Cause: upstreams' queues fill, each answer takes as long as a full queue, and
         who was turned away asks again at once.
         """
-        without = played(Overload(), _NO_LIMIT)
+        without = run_moment(Overload(), _NO_LIMIT)
         self.assertLess(without.earned_over_ceiling, 0.75)
         self.assertGreater(without.turned_away_share, 0.3)
-        figures = played(Overload(), FleetPolicies())
+        figures = run_moment(Overload(), FleetPolicies())
         self.assertGreater(figures.earned_over_ceiling, 0.88)
         self.assertLess(figures.turned_away_share, 0.02)
 
@@ -54,8 +54,8 @@
         Sequence: urgent requests open a flow each, feeds have open ones.
         Cause: refusing new flows alone, whatever comes on the open ones.
         """
-        blind = played(Overload(), FleetPolicies(order_of=PriorityBlind))
-        figures = played(Overload(), FleetPolicies())
+        blind = run_moment(Overload(), FleetPolicies(order_of=PriorityBlind))
+        figures = run_moment(Overload(), FleetPolicies())
         self.assertGreater(figures.urgent_share, blind.urgent_share + 0.03)
         self.assertGreater(figures.urgent_share, figures.earned_share)
         self.assertGreater(figures.urgent_share, 0.93)
@@ -66,8 +66,8 @@
         Sequence: more comes than can be served, and all of it waits in one queue.
         Cause: serving the oldest first: what is served has waited the longest.
         """
-        oldest = played(Overload(), FleetPolicies(order_of=OldestFirst))
-        figures = played(Overload(), FleetPolicies())
+        oldest = run_moment(Overload(), FleetPolicies(order_of=OldestFirst))
+        figures = run_moment(Overload(), FleetPolicies())
         self.assertGreater(figures.earned_over_ceiling, oldest.earned_over_ceiling + 0.05)
 
     def test_no_slot_is_idle_while_requests_wait(self) -> None:
@@ -77,7 +77,7 @@
         Cause: limits that leave no request behind the one that is worked on.
         """
         idle = _IdleSlots(Overload4())
-        self.assertGreater(idle.looks, 100)
+        self.assertGreater(idle.sample_count, 100)
         self.assertLess(idle.share, 0.01)
 
     def test_the_end_of_a_burst_is_the_end_of_it(self) -> None:
@@ -86,8 +86,8 @@
         Sequence: a burst ends; what has waited is worked off.
         Cause: limits or queues that swing.
         """
-        load = _played(Overload())
-        after = _begun_after(load, Overload.ends_s + _AFTER_S)
+        load = _run_to_end(Overload())
+        after = _latencies_after(load, Overload.ends_s + _AFTER_S)
         self.assertGreater(len(after), 100)
         self.assertLess(max(after), 0.25)
 
@@ -101,7 +101,7 @@
         }
         for moment, least in least_by_moment.items():
             with self.subTest(moment=moment.name):
-                figures = played(moment(), FleetPolicies())
+                figures = run_moment(moment(), FleetPolicies())
                 self.assertGreater(figures.earned_over_ceiling, least)
 
 
@@ -117,7 +117,7 @@
         """
         for moment in (Calm, Uneven, Release, SlowUpstream, GreyUpstream, HighLoad):
             with self.subTest(moment=moment.name):
-                load = _played(moment())
+                load = _run_to_end(moment())
                 states = [node.state for node in load.fleet.running]
                 refused = sum(
                     pool.refused
@@ -132,15 +132,15 @@
 
     def __init__(self, moment: Overload) -> None:
         self._shares: list[float] = []
-        self._load = load_of_moment(moment, FleetPolicies())
+        self._load = build_moment_load(moment, FleetPolicies())
         at_s = moment.begins_s + 0.5
         while at_s < moment.ends_s:
-            self._load.fleet.at(at_s, self._look)
-            at_s += _LOOK_S
+            self._load.fleet.at(at_s, self._sample)
+            at_s += _SAMPLE_INTERVAL_S
         self._load.fleet.run(moment.ends_s)
 
     @property
-    def looks(self) -> int:
+    def sample_count(self) -> int:
         """How often requests waited in a data centre."""
         return len(self._shares)
 
@@ -149,7 +149,7 @@
         """Mean share of slots that were idle then."""
         return fmean(self._shares)
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         waiting = {
             node.me.data_centre for node in self._load.fleet.running if len(node.state.waiting)
         }
@@ -163,14 +163,14 @@
             self._shares.append(idle / sum(server.kind.slots for server in servers))
 
 
-def _played(moment: Moment) -> FlowLoad:
+def _run_to_end(moment: Moment) -> FlowLoad:
     """Return the load of a moment that was played to its end."""
-    load = load_of_moment(moment, FleetPolicies())
+    load = build_moment_load(moment, FleetPolicies())
     load.fleet.run(moment.lasting_s + 6)
     return load
 
 
-def _begun_after(load: FlowLoad, at_s: float) -> list[float]:
+def _latencies_after(load: FlowLoad, at_s: float) -> list[float]:
     """Return the latencies of the requests that were begun after a time of the moment."""
     began_at = load.fleet.now - load.elapsed_s
     return [
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -14,8 +14,8 @@
     Uneven,
 )
 from bronzekeel.bench.load_policies import POLICIES
-from bronzekeel.bench.placement import played
-from bronzekeel.bench.placement_policies import OwnSight, Summed
+from bronzekeel.bench.placement import run_moment
+from bronzekeel.bench.placement_policies import OwnCountsOnly, SummedCounts
 from bronzekeel.core.routing.balance import Balance, shares_of
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.messages import FlowShare
@@ -36,7 +36,7 @@
     lasting_s: float = 12,
 ) -> PlacementFigures:
     moment.lasting_s = lasting_s
-    return played(moment, FleetPolicies(placement_of=policy), 1, hosts, upstreams)
+    return run_moment(moment, FleetPolicies(placement_of=policy), 1, hosts, upstreams)
 
 
 class WorstMomentsTest(TestCase):
@@ -49,7 +49,7 @@
         Cause: adding up what peers saw a heartbeat ago: all take the same upstream
         for the least busy.
         """
-        added_up = _played(Burst(), Summed, _MANY_HOSTS, 8)
+        added_up = _played(Burst(), SummedCounts, _MANY_HOSTS, 8)
         self.assertGreater(added_up.late_share, 0.05)
         product = _played(Burst(), hosts=_MANY_HOSTS, upstreams=8)
         self.assertLess(product.late_share, 0.005)
@@ -61,7 +61,7 @@
         Sequence: one of nine upstreams turns slow for six seconds.
         Cause: a balancer that sees a twelfth of the flows can't tell by itself.
         """
-        alone = _played(SlowUpstream(), OwnSight, _MANY_HOSTS)
+        alone = _played(SlowUpstream(), OwnCountsOnly, _MANY_HOSTS)
         product = _played(SlowUpstream(), hosts=_MANY_HOSTS)
         self.assertLess(product.late_share, alone.late_share)
 
@@ -102,7 +102,7 @@
                 with self.subTest(moment=kind.name, policy=name):
                     moment = kind()
                     moment.lasting_s = 6 if kind in DEMAND_MOMENTS else moment.lasting_s
-                    small = played(moment, policies, hosts=1, upstreams=1)
+                    small = run_moment(moment, policies, hosts=1, upstreams=1)
                     self.assertGreater(small.requests, 0)
 
     def test_a_seed_gives_the_same_figures(self) -> None:
@@ -153,8 +153,8 @@
         return [upstream.shared_load for upstream in directory.by_name.values()]
 
 
-def _shares(home: str, rate_by_centre: dict[str, float]) -> dict[str, float]:
-    return shares_of(home, {'a': 6, 'b': 6, 'c': 9}, rate_by_centre, EqualWork.tolerated)
+def _shares(local_centre: str, rate_by_centre: dict[str, float]) -> dict[str, float]:
+    return shares_of(local_centre, {'a': 6, 'b': 6, 'c': 9}, rate_by_centre, EqualWork.tolerated)
 
 
 class SharesTest(TestCase):
