--- a/src/bronzekeel/bench/__init__.py
+++ b/src/bronzekeel/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the product against baselines and floors in one run."""
+"""Benchmarks that measure the load balancer against baselines and lower bounds."""
--- a/src/bronzekeel/bench/admission_policies.py
+++ b/src/bronzekeel/bench/admission_policies.py
@@ -1,53 +1,53 @@
-"""Give the placement benchmark the limits of requests in progress that were weighed."""
+"""Alternative limits on requests in progress that the placement benchmark compares."""
 
 from bronzekeel.core.routing.admission import Admission, RequestsPerSlot
 from bronzekeel.core.routing.pools import NO_LIMIT, Pool
 
 
-#: What `FixedLimit` lets be in progress, whatever there is: right for three slots an
-#: upstream, three upstreams and three balancers a data centre.
+#: Requests in progress per pool that `FixedLimit` allows regardless of capacity.  It fits data
+#: centres of three balancers and three upstreams with three slots each.
 _FIXED_LIMIT = 6
 
-#: How `LearnedLimit` changes its limit at each tick, and how much slower than at best
-#: answers may be.
+#: Additive increase and multiplicative decrease of `LearnedLimit` at each tick, the ratio of the
+#: latency to the minimum latency above which it decreases, and its lower bound and initial value.
 _INCREMENT = 0.5
 _DECREASE_FACTOR = 0.8
 _MAX_LATENCY_RATIO = 2.0
 _MIN_LIMIT = 2.0
 _INITIAL_LIMIT = 10.0
 
-#: Seconds of waiting that `WaitTarget` tolerates, and for how long more than that.
+#: Queueing delay that `WaitTarget` tolerates, and for how long the delay may exceed it, in seconds.
 _TARGET_WAIT_S = 0.02
 _INTERVAL_S = 0.1
 
 
 class AdmitAll(Admission):
-    """Let every request go on at once."""
+    """Admit every request at once."""
 
     def reckon(self, now: float) -> None:
-        """Leave all pools without a limit."""
+        """Leave all pools unlimited."""
 
 
 class FixedLimit(Admission):
-    """Let a fixed number be in progress."""
+    """Limit every pool to the same fixed number of requests in progress."""
 
     def reckon(self, now: float) -> None:
-        """Set the same limit for all pools of the data centre."""
+        """Set the fixed limit for all pools of the data centre."""
         for pool in self._directory.pools_of(self._data_centre):
             pool.limit = _FIXED_LIMIT
 
 
 class ShareWithoutBorrowing(RequestsPerSlot):
-    """Let a balancer have its share of the slots and borrow nothing from neighbours."""
+    """Limit a balancer to its share of the slots, without borrowing from neighbours."""
 
     borrowed_share = 0
 
 
 class _LatencyAdmission(Admission):
-    """Follow how long answers take, by Little's law: requests in progress by answers a second."""
+    """Estimate latency by Little's law: requests in progress divided by answers per second."""
 
     def __init__(self, *args: object) -> None:
-        """Start with nothing known."""
+        """Start without any estimates."""
         super().__init__(*args)  # type: ignore[arg-type]
         self._answered_by_pool: dict[Pool, int] = {}
         self._min_latency_s_by_pool: dict[Pool, float] = {}
@@ -56,7 +56,7 @@
         self._updated_at: float = 0
 
     def reckon(self, now: float) -> None:
-        """Adjust the limits of the pools of the data centre."""
+        """Update the estimates of the pools of the data centre and adjust their limits."""
         elapsed_s = max(now - self._updated_at, 0.01)
         self._updated_at = now
         for pool in self._directory.pools_of(self._data_centre):
@@ -77,14 +77,14 @@
         return by_pool[pool]
 
     def _adjust(self, pool: Pool, latency_s: float, min_latency_s: float, now: float) -> None:
-        """Adjust the limit of a pool whose answers took `took_s`, at best `least_s`."""
+        """Adjust the limit of a pool from its latency and the lowest latency seen so far."""
 
 
 class LearnedLimit(_LatencyAdmission):
-    """Learn the limit: add while answers are quick, take a fifth away when they are slow.
+    """Adapt the limit: add while latency is low, multiply by 0.8 when it is high.
 
     Additive increase and multiplicative decrease as in "Congestion Avoidance and Control"
-    (Jacobson, SIGCOMM 1988), with the times of answers as the sign, as in "TCP Vegas"
+    (Jacobson, SIGCOMM 1988), with latency as the congestion signal, as in "TCP Vegas"
     (Brakmo and Peterson, IEEE JSAC 13(8), 1995).
     """
 
@@ -98,13 +98,13 @@
 
 
 class WaitTarget(_LatencyAdmission):
-    """Let nothing more go on while requests have waited too long at upstreams for an interval.
+    """Shrink the limit when the queueing delay at upstreams stays high for an interval.
 
-    As in "Controlling Queue Delay" (Nichols and Jacobson, ACM Queue 10(5), 2012).
+    The control law follows "Controlling Queue Delay" (Nichols and Jacobson, ACM Queue 10(5), 2012).
     """
 
     def __init__(self, *args: object) -> None:
-        """Start with nothing known."""
+        """Start without any estimates."""
         super().__init__(*args)
         self._above_since: dict[Pool, float] = {}
 
--- a/src/bronzekeel/bench/base.py
+++ b/src/bronzekeel/bench/base.py
@@ -1,4 +1,4 @@
-"""Define what every benchmark has."""
+"""Base class of the benchmarks."""
 
 from abc import ABC, abstractmethod
 from argparse import ArgumentParser, Namespace
@@ -8,7 +8,7 @@
 
 
 class Benchmark(ABC):
-    """Hold one benchmark: its name, options and run."""
+    """One benchmark: a subcommand of `bench` with its options."""
 
     name: ClassVar[str]
     summary: ClassVar[str]
@@ -18,4 +18,4 @@
 
     @abstractmethod
     def run(self, options: Namespace) -> Struct:
-        """Measure; return figures with a field `ok`."""
+        """Run the benchmark and return its report, whose field `ok` is false on a failed target."""
--- a/src/bronzekeel/bench/baselines.py
+++ b/src/bronzekeel/bench/baselines.py
@@ -1,7 +1,7 @@
-"""Steer by the two ways that the keeper is weighed against.
+"""Baseline steering policies that the keeper is compared with.
 
-Both decide by the view a balancer has of the text, without a word from any
-other balancer: the consistent hash alone, and the hash with a flow table.
+Both use only a balancer's own view of the text and no messages from other
+balancers: consistent hashing alone, and hashing with a local flow table.
 """
 
 from abc import ABC, abstractmethod
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class IndependentBalancer:
-    """Hold a balancer that decides by itself."""
+    """A balancer that steers without exchanging state with others."""
 
     name: str
     view_lag_s: float = 0
@@ -29,15 +29,15 @@
 
 
 class SteeringPolicy(ABC):
-    """Choose the upstream of a packet from one balancer's view."""
+    """Chooses the upstream of a packet from one balancer's view."""
 
     @abstractmethod
     def choose(self, balancer: IndependentBalancer, packet: Packet) -> str:
-        """Return the endpoint that the packet goes to."""
+        """Return the endpoint that the packet is forwarded to."""
 
 
 class HashPolicy(SteeringPolicy):
-    """Use the consistent hash alone."""
+    """Steers by consistent hash alone."""
 
     def choose(self, balancer: IndependentBalancer, packet: Packet) -> str:
         """Return the bucket's target in this balancer's view."""
@@ -45,10 +45,10 @@
 
 
 class FlowTablePolicy(HashPolicy):
-    """Use a table of the flows that this balancer has seen, else the hash."""
+    """Steers by a table of the flows that the balancer has seen, and new flows by hash."""
 
     def choose(self, balancer: IndependentBalancer, packet: Packet) -> str:
-        """Return the upstream that the flow had here before."""
+        """Return the upstream recorded for the flow, or choose and record one by hash."""
         upstream = balancer.upstream_by_flow.get(packet.hashed)
         if upstream is None or packet.opens:
             upstream = super().choose(balancer, packet)
@@ -57,7 +57,7 @@
 
 
 class BaselineFleet(Sprayed):
-    """Run lone balancers in virtual time, with the operations of ``Fleet``."""
+    """Simulates independent balancers in virtual time, with the operations of ``Fleet``."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         sink: Sink,
         policy: SteeringPolicy,
     ) -> None:
-        """Start a lone balancer for each of `hosts`."""
+        """Start a balancer on each of `hosts`."""
         super().__init__(seed)
         self.sink = sink
         self.by_name: dict[str, IndependentBalancer] = {}
@@ -78,16 +78,16 @@
 
     @property
     def running(self) -> list[IndependentBalancer]:
-        """Balancers that are not dead."""
+        """Balancers that have not been terminated."""
         return [balancer for balancer in self.by_name.values() if not balancer.dead]
 
     @property
     def sprayed_names(self) -> list[str]:
-        """Names of the running balancers that are not being stopped."""
+        """Names of the running balancers that are not stopping."""
         return [balancer.name for balancer in self.running if balancer.name not in self._stopping]
 
     def start(self, host: HostEntry) -> None:
-        """Start a balancer that knows the newest text."""
+        """Start a balancer with the latest text."""
         self._stopping.discard(host.name)
         balancer = IndependentBalancer(host.name)
         if self._latest_spec is not None:
@@ -95,36 +95,36 @@
         self.by_name[host.name] = balancer
 
     def submit(self, catalogue: Catalogue) -> None:
-        """Let the text reach each balancer after its lag."""
+        """Deliver the text to each balancer after that balancer's view lag."""
         self._latest_spec = next(iter(catalogue.services_by_name.values()))
         targets = assign(self._latest_spec)
         for balancer in self.running:
             self.at(balancer.view_lag_s, partial(self._adopt, balancer, targets))
 
     def stop(self, name: str) -> None:
-        """Stop a balancer; it has nothing to hand over."""
+        """Stop routing packets to a balancer; it has no state to hand over."""
         self._stopping.add(name)
 
     def unlist(self, name: str) -> None:
-        """End a stopped balancer."""
+        """Terminate a stopped balancer."""
         self.by_name[name].dead = True
 
     def kill(self, name: str) -> None:
-        """End a balancer without warning."""
+        """Terminate a balancer abruptly."""
         self.by_name[name].dead = True
 
     def pause(self, name: str, duration_s: float) -> None:
-        """Stop a balancer's process for a while."""
+        """Suspend a balancer's process for `duration_s` seconds."""
         self.by_name[name].paused_until = self.now + duration_s
 
     def cut(self, left: Iterable[str], right: Iterable[str]) -> None:
-        """Cut links that these ways do not use."""
+        """Do nothing: the baselines use no links between balancers."""
 
     def heal(self) -> None:
-        """Restore links that these ways do not use."""
+        """Do nothing: the baselines use no links between balancers."""
 
     def arrive(self, name: str, packet: Packet) -> None:
-        """Forward a packet as the way says."""
+        """Forward a packet, after any pause; drop it if the balancer is dead."""
         balancer = self.by_name[name]
         if balancer.dead:
             self.sink.dropped(packet, 'dead_balancer')
--- a/src/bronzekeel/bench/calls.py
+++ b/src/bronzekeel/bench/calls.py
@@ -1,4 +1,4 @@
-"""Measure real gRPC calls through one balancer against direct calls."""
+"""Compare gRPC calls through one balancer with direct calls to an upstream."""
 
 from argparse import ArgumentParser, Namespace
 from asyncio import gather, run, sleep
@@ -23,7 +23,7 @@
 
 
 class CallReport(Struct, frozen=True):
-    """Hold latencies in milliseconds and the share of direct throughput."""
+    """Latencies in milliseconds, and throughput as a share of that of direct calls."""
 
     calls: int
     direct_p50_ms: float
@@ -38,17 +38,17 @@
 
 
 class CallBenchmark(Benchmark):
-    """Interleave direct calls with calls through a balancer."""
+    """Interleaves direct calls with calls through a balancer."""
 
     name = 'calls'
-    summary = 'gRPC calls through one balancer against direct calls'
+    summary = 'gRPC calls through one balancer compared with direct calls'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the number of calls."""
+        """Add the number of calls."""
         parser.add_argument('--calls', type=int, default=400)
 
     def run(self, options: Namespace) -> CallReport:
-        """Measure on a site with one balancer."""
+        """Measure calls on a site with one balancer."""
         return run(_measure(options.calls))
 
 
@@ -94,7 +94,7 @@
 
 
 class _LatencySamples:
-    """Make calls over two channels and hold their times in seconds."""
+    """Makes calls over two channels and records their latencies in seconds."""
 
     def __init__(self, direct_channel: Channel, through_channel: Channel) -> None:
         self.direct: list[float] = []
@@ -104,7 +104,7 @@
         self._through_channel = through_channel
 
     async def measure(self, calls: int) -> None:
-        """Make calls of both kinds in turn, one at a time."""
+        """Make calls of both kinds alternately, one at a time."""
         for number in range(calls):
             self.direct.append(await _call_upstream(self._direct_channel, f'd{number}'))
             reserve_s, run_s = await _call_through_balancer(self._through_channel)
@@ -112,7 +112,7 @@
             self.through.append(run_s)
 
     async def rate(self, calls: int, *, through: bool) -> float:
-        """Return calls a second with several at once."""
+        """Return the throughput in calls per second of concurrent workers."""
         started_at = perf_counter()
         share = calls // _CONCURRENCY
         await gather(*(self._repeat_calls(share, through=through) for _ in range(_CONCURRENCY)))
@@ -147,7 +147,7 @@
 
 
 async def _call_through_balancer(channel: Channel) -> tuple[float, float]:
-    """Return the time to reserve an id and the time to run it."""
+    """Return the seconds to reserve a request id and the seconds to run the request."""
     stub = RequestsStub(channel)
     started_at = perf_counter()
     reserved = await stub.Reserve(proto.ReserveRequest(service=REPLIES, deadline_ms=5000))
--- a/src/bronzekeel/bench/connection_id_path.py
+++ b/src/bronzekeel/bench/connection_id_path.py
@@ -1,4 +1,4 @@
-"""Set up the packet path of the lean balancer for the forward benchmark."""
+"""Packet path of the balancer that routes by connection id, for the forward benchmark."""
 
 from selectors import EVENT_READ
 
@@ -26,10 +26,10 @@
 
 
 class ConnectionIdPath:
-    """Hold a socket, a state with one upstream, and a batch of its flows' packets."""
+    """A packet socket, a routing state with one upstream, and a batch of packets of its flows."""
 
     def __init__(self, sink: tuple[str, int]) -> None:
-        """Let all flows have the upstream at `sink`."""
+        """Route all flows to an upstream at `sink`."""
         own_address = PeerAddress('a1', 'dc-a', (_LOOPBACK, 0))
         state = RoutingState(PeerTable(own_address, ()), 1)
         seal = seal_of(_KEY)
@@ -73,14 +73,14 @@
         ]
 
     def receive_batch(self) -> None:
-        """Take the packets that wait."""
+        """Receive and forward the packets queued at the socket."""
         self._socket.receive_batch(EVENT_READ)
 
     def close(self) -> None:
-        """Free the socket."""
+        """Close the socket and the event loop."""
         self._socket.close()
         self._loop.close()
 
 
 def _raise_fault(kind: str, raw: bytes) -> None:
-    raise ValueError(f'{kind}: the benchmark sends good packets only')
+    raise ValueError(f'{kind}: the benchmark sends only well-formed packets')
--- a/src/bronzekeel/bench/demand_moments.py
+++ b/src/bronzekeel/bench/demand_moments.py
@@ -1,7 +1,7 @@
-"""Define moments of uneven demand: upstreams of unequal speed, crowds, callers that move.
+"""Benchmark moments of uneven demand: upstreams of unequal speed, surges, callers that move.
 
-Requests on flows that are kept open do most of the work, and their answers may take half a
-second: a request can only be placed when its flow opens, and there is time to wait.
+Most of the work is requests on persistent flows, with a latency objective of about half a
+second: a request can only be placed when its flow opens, and there is time for it to queue.
 """
 
 from abc import abstractmethod
@@ -22,7 +22,7 @@
 _TIMEOUT_S = 4.4
 _FLOW_REQUESTS = 20
 
-#: A feed, requests that change something and are worth more, and downloads.
+#: Feeds, updates (which have a higher value), and downloads on a flow each.
 WATCH = RequestKind(
     'watch',
     FEED.key,
@@ -46,20 +46,20 @@
 )
 FETCH = replace(WATCH, name='fetch', key=SINGLE.key, keeps_flow=False, flow_requests=0)
 
-#: Share of the work that each kind asks for.
+#: Share of the total work by kind of request.
 _WORK_SHARE_BY_KIND = MappingProxyType({WATCH.name: 0.65, AMEND.name: 0.25, FETCH.name: 0.1})
 
 _CLIENTS = 60
 
-#: Requests of the long tail, and how much longer they take.
+#: Share of requests in the long tail, and the factor by which they take longer.
 _TAIL_SHARE = 0.03
 _TAIL_FACTOR = 7
 
 
 class DemandMoment(Moment):
-    """Hold a moment in which callers ask for `base_load` of what all slots can do.
+    """A moment whose demand is `base_load` of the capacity of all slots.
 
-    Some of the `clients` may be a crowd.
+    Some of the `clients` may cause a surge.
     """
 
     name = 'demand'
@@ -71,7 +71,7 @@
     clients: ClassVar[int] = _CLIENTS
 
     def plan_requests(self, load: FlowLoad) -> None:
-        """Plan requests of all kinds."""
+        """Schedule requests of all kinds."""
         clients = load.add_clients(self.clients)
         work_s = self.base_load * load.capacity
         for kind in self.kinds:
@@ -85,7 +85,7 @@
         clients: list[Client],
         base_rate: float,
     ) -> None:
-        """Plan the requests of one kind, `usual` a second."""
+        """Schedule the requests of one kind, `base_rate` per second."""
         rate_of = partial(self.rate_of, base_rate=base_rate)
         if kind.keeps_flow:
             load.ask_from(clients, rate_of, self.lasting_s, kind)
@@ -93,38 +93,38 @@
         load.arrive(rate_of, self.lasting_s, kind)
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Plan nothing."""
+        """Schedule no faults."""
 
 
 class Unequal(DemandMoment):
-    """One of four upstreams does less than half of what the others do."""
+    """One of four upstreams works at less than half the speed of the others."""
 
     name = 'unequal'
     server_kind = ServerKind(slots=2, queue=8, cold_s=2, speeds=(0.55, 1.2, 1.2, 1.2))
 
 
 class UnequalHigh(Unequal):
-    """The same at nine tenths of what all can do."""
+    """Upstreams of unequal speed at 0.9 of their capacity."""
 
     name = 'unequal_0.9'
     base_load = 0.9
 
 
 class ChangingSpeed(DemandMoment):
-    """A third of the upstreams work three times slower for six seconds."""
+    """A third of the upstreams run at a third of their speed for six seconds."""
 
     name = 'changing_speed'
     base_load = 0.6
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Slow every third one down."""
+        """Slow down every third upstream, then restore its speed."""
         for server in list(load.server_by_name.values())[::3]:
             load.fleet.at(4, partial(server.work_at, 1 / 3))
             load.fleet.at(10, partial(server.work_at, 1))
 
 
 class LongTail(DemandMoment):
-    """Three in a hundred requests take seven times as long, at high load."""
+    """Three percent of the requests take seven times as long, at high load."""
 
     name = 'long_tail'
     base_load = 0.9
@@ -135,7 +135,7 @@
 
 
 class SingleCallerSurge(DemandMoment):
-    """One of twelve callers sends ten times its share for four seconds, through all hosts."""
+    """One of twelve callers sends ten times its share through all hosts for four seconds."""
 
     name = 'crowd_of_one_caller'
     clients = 12
@@ -150,7 +150,7 @@
         clients: list[Client],
         base_rate: float,
     ) -> None:
-        """Plan the usual requests, and what the first client asks for beyond its share."""
+        """Schedule the regular requests, and the surge of the first client."""
         super().plan_kind(load, kind, clients, base_rate)
         if not kind.keeps_flow:
             return
@@ -163,7 +163,7 @@
 
 
 class _PerCentreDemand(DemandMoment):
-    """Let the callers of each data centre ask at a rate of their own."""
+    """A moment with a separate request rate for each data centre."""
 
     clients = _CLIENTS
 
@@ -174,7 +174,7 @@
         clients: list[Client],
         base_rate: float,
     ) -> None:
-        """Plan the requests of each data centre's callers."""
+        """Schedule the requests of each data centre's callers."""
         for index, centre in enumerate(CENTRES):
             rate_of = self.rate_in_centre(index, base_rate / len(CENTRES))
             if kind.keeps_flow:
@@ -185,11 +185,11 @@
 
     @abstractmethod
     def rate_in_centre(self, index: int, base_rate: float) -> Callable[[float], float]:
-        """Return the requests a second by time in one data centre."""
+        """Return a function from time to requests per second in one data centre."""
 
 
 class Waves(_PerCentreDemand):
-    """Demand swings by half up and down in each data centre, a little later in each."""
+    """Demand oscillates by 0.55 of its mean, with a phase shift between data centres."""
 
     name = 'waves'
     lasting_s = 30
@@ -199,7 +199,7 @@
     _period_s: ClassVar[float] = 15
 
     def rate_in_centre(self, index: int, base_rate: float) -> Callable[[float], float]:
-        """Return a wave with a phase of its own."""
+        """Return a sinusoidal rate, shifted by the index of the data centre."""
         phase = index * self._phase_step
         return lambda at_s: (
             base_rate * (1 + self._swing * cos(tau * (at_s / self._period_s - phase)))
@@ -207,17 +207,17 @@
 
 
 class MovedCallers(_PerCentreDemand):
-    """Four fifths of one data centre's callers send to another one for six seconds."""
+    """Four fifths of the callers of one data centre use another one for six seconds."""
 
     name = 'moved_callers'
     base_load = 0.9
 
     def rate_in_centre(self, index: int, base_rate: float) -> Callable[[float], float]:
-        """Return the usual rate."""
+        """Return a constant rate."""
         return lambda at_s: base_rate
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Move callers, and let them return."""
+        """Move callers to another data centre, and back six seconds later."""
         origin, destination = CENTRES[:2]
         load.fleet.at(4, partial(load.caller_list.move, origin, 0.8, destination))
         load.fleet.at(10, partial(load.caller_list.move, origin, 1, origin))
--- a/src/bronzekeel/bench/flow_trials.py
+++ b/src/bronzekeel/bench/flow_trials.py
@@ -1,4 +1,4 @@
-"""Play the scenarios of the flow benchmark on one way of steering."""
+"""Scenarios of the flow benchmark, each run with one steering policy."""
 
 from abc import ABC, abstractmethod
 from collections import Counter
@@ -21,7 +21,7 @@
 
 
 class FlowFigures(Struct, frozen=True):
-    """Hold what one way did in one scenario."""
+    """Results of one steering policy in one scenario."""
 
     flows: int
     broken: int
@@ -43,7 +43,7 @@
 
 
 def portal(numbers: range | list[int], draining: tuple[int, ...] = ()) -> ServiceSpec:
-    """Return the Stichting's portal with numbered upstreams."""
+    """Return the spec of a flow service with numbered upstreams."""
     return ServiceSpec(
         'summons-portal',
         ServiceKind.FLOW,
@@ -58,10 +58,10 @@
 
 
 class Trial:
-    """Hold one fleet with its traffic while a scenario plays."""
+    """A fleet and its traffic during one scenario."""
 
     def __init__(self, policy: str, seed: int, flows: int) -> None:
-        """Start nine balancers that steer by `way`."""
+        """Start nine balancers that use the steering policy `policy`."""
         self.flows = flows
         self.generation = 0
         self.traffic = FlowTraffic(portal(range(7)))
@@ -75,17 +75,17 @@
         self._started_at = self.fleet.now
 
     def submit(self, spec: ServiceSpec) -> None:
-        """Accept the next text."""
+        """Submit `spec` as the next generation of the text."""
         self.generation += 1
         self.fleet.submit(Catalogue(self.generation, {spec.name: spec}))
 
     def open(self, over_s: float, lasting_s: float, every_s: float = 2.0) -> None:
-        """Open the trial's flows."""
+        """Open the trial's flows during the first `over_s` seconds."""
         packets = int(lasting_s / every_s)
         self.traffic.open(self.flows, over_s, packets, every_s)
 
     def replace(self, name: str) -> None:
-        """Stop one balancer in the planned way and start a fresh one."""
+        """Shut one balancer down gracefully and start a new one on its host."""
         host = next(entry for entry in bench_hosts() if entry.name == name)
         self.fleet.stop(name)
         self.fleet.run(_STOP_S)
@@ -94,7 +94,7 @@
         self.fleet.run(_START_UP_S)
 
     def figures(self) -> FlowFigures:
-        """Return what was counted."""
+        """Return the results of the trial."""
         verdicts: Counter[str] = Counter()
         unsettled = 0
         if isinstance(self.fleet, Fleet):
@@ -140,34 +140,34 @@
 
 
 class Scenario(ABC):
-    """Play one course of events on a trial."""
+    """A sequence of changes and faults that is applied to a trial."""
 
     name: ClassVar[str]
     planned: ClassVar[bool] = True
 
     @abstractmethod
     def play(self, trial: Trial) -> None:
-        """Open flows and let things happen."""
+        """Open flows and apply the scenario's events."""
 
 
 class Steady(Scenario):
-    """Change nothing."""
+    """No changes."""
 
     name = 'steady'
 
     def play(self, trial: Trial) -> None:
-        """Open flows and wait."""
+        """Open flows and let them finish."""
         trial.open(5, 20)
         trial.fleet.run(30)
 
 
 class OneText(Scenario):
-    """Submit one text while flows are open."""
+    """One new text while flows are open."""
 
     new_spec: ClassVar[ServiceSpec]
 
     def play(self, trial: Trial) -> None:
-        """Open flows, change the text, and wait until the change has settled."""
+        """Open flows, submit the new text, and wait until the change has settled."""
         trial.open(10, 30)
         trial.fleet.run(5)
         trial.submit(self.new_spec)
@@ -175,33 +175,33 @@
 
 
 class Join(OneText):
-    """Let an upstream join."""
+    """An upstream joins."""
 
     name = 'join'
     new_spec = portal(range(8))
 
 
 class Drain(OneText):
-    """Drain an upstream."""
+    """An upstream drains."""
 
     name = 'drain'
     new_spec = portal(range(7), draining=(3,))
 
 
 class Removal(OneText):
-    """Take an upstream out of the text."""
+    """An upstream is removed from the text."""
 
     name = 'removal'
     new_spec = portal([0, 1, 2, 4, 5, 6])
 
 
 class Several(Scenario):
-    """Change several upstreams, twice within the views' lag."""
+    """Several upstreams change, twice within the lag of the views."""
 
     name = 'several'
 
     def play(self, trial: Trial) -> None:
-        """Submit two texts a second apart."""
+        """Submit two texts one second apart."""
         trial.open(10, 30)
         trial.fleet.run(5)
         trial.submit(portal([0, 1, 2, 4, 5, 6, 7, 8], draining=(0,)))
@@ -211,12 +211,12 @@
 
 
 class Rolling(Scenario):
-    """Replace the whole fleet host by host while upstreams change."""
+    """All balancers are replaced one by one while upstreams change."""
 
     name = 'rolling'
 
     def play(self, trial: Trial) -> None:
-        """Change upstreams at every second replacement."""
+        """Replace each host, and change the upstreams before every second one."""
         trial.open(20, 170, every_s=4)
         trial.fleet.run(5)
         for number, host in enumerate(bench_hosts()):
@@ -228,13 +228,13 @@
 
 
 class Deaths(Scenario):
-    """Let keepers die while a change is under way."""
+    """Keepers crash during a change of the text."""
 
     planned = False
     victims: ClassVar[tuple[str, ...]]
 
     def play(self, trial: Trial) -> None:
-        """Kill balancers some seconds into a join."""
+        """Kill balancers eight seconds after an upstream has joined."""
         trial.open(10, 40)
         trial.fleet.run(3)
         trial.submit(portal(range(8)))
@@ -245,27 +245,27 @@
 
 
 class Death(Deaths):
-    """Let one keeper die."""
+    """One keeper crashes."""
 
     name = 'death'
     victims = ('a1',)
 
 
 class TwoDeaths(Deaths):
-    """Let two keepers die at once."""
+    """Two keepers crash at once."""
 
     name = 'two_deaths'
     victims = ('a1', 'b2')
 
 
 class Pause(Scenario):
-    """Pause a keeper past its lease, and wake it after a change."""
+    """A keeper is paused beyond its lease and resumes after a change."""
 
     name = 'pause'
     planned = False
 
     def play(self, trial: Trial) -> None:
-        """Pause one balancer right before a join."""
+        """Pause one balancer right before an upstream joins."""
         trial.open(15, 40)
         trial.fleet.run(4)
         trial.fleet.pause('a1', 12)
@@ -275,13 +275,13 @@
 
 
 class HostCut(Scenario):
-    """Cut one balancer off from its peers while the fabric still feeds it."""
+    """One balancer loses its peers while the network still routes packets to it."""
 
     name = 'host_cut'
     planned = False
 
     def play(self, trial: Trial) -> None:
-        """Cut, change, heal."""
+        """Partition the host, change the text, and heal the partition."""
         trial.open(15, 60)
         trial.fleet.run(4)
         others = [host.name for host in bench_hosts() if host.name != 'a1']
@@ -294,13 +294,13 @@
 
 
 class CentreCut(Scenario):
-    """Cut one data centre off, change the text for the rest, and heal."""
+    """One data centre is partitioned while the text changes for the rest."""
 
     name = 'centre_cut'
     planned = False
 
     def play(self, trial: Trial) -> None:
-        """Keep clients on the side they reach while the cut lasts."""
+        """Partition the data centre, submit a text, and heal the partition."""
         trial.open(15, 60)
         trial.fleet.run(4)
         inside = [host.name for host in bench_hosts() if host.data_centre == 'dc-a']
@@ -314,12 +314,12 @@
 
 
 class ManyChanges(Scenario):
-    """Change upstreams 200 times while feeds from the start stay open."""
+    """Upstreams change 200 times while flows from the start stay open."""
 
     name = 'season'
 
     def play(self, trial: Trial) -> None:
-        """Drain and return upstreams in turn, one change each ten seconds."""
+        """Drain and restore upstreams in turn, one change every ten seconds."""
         changes = 200
         interval_s = 10.0
         trial.open(20, (changes + 8) * interval_s, every_s=8)
--- a/src/bronzekeel/bench/flows.py
+++ b/src/bronzekeel/bench/flows.py
@@ -1,4 +1,4 @@
-"""Replay planned changes and failures on all ways of steering weighed."""
+"""Count the flows that planned changes and failures break, by steering policy."""
 
 from argparse import ArgumentParser, Namespace
 
@@ -11,7 +11,7 @@
 
 
 class FlowReport(Struct, frozen=True):
-    """Hold the figures by scenario and way."""
+    """Results by scenario and steering policy."""
 
     flows: int
     seed: int
@@ -20,20 +20,20 @@
 
 
 class FlowBenchmark(Benchmark):
-    """Count broken flows per scenario and way."""
+    """Counts broken flows for each scenario and steering policy."""
 
     name = 'flows'
-    summary = 'broken flows under change and failure, on all ways weighed'
+    summary = 'broken flows under changes and failures, by steering policy'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer size, seed and choice."""
+        """Add the number of flows, the seed, and the choice of scenarios and policies."""
         parser.add_argument('--flows', type=int, default=3000)
         parser.add_argument('--seed', type=int, default=1)
         parser.add_argument('--scenario', action='append', default=[])
         parser.add_argument('--way', action='append', default=[], choices=STEERING_POLICIES)
 
     def run(self, options: Namespace) -> FlowReport:
-        """Play every scenario on every way."""
+        """Run every selected scenario with every selected policy."""
         policies = tuple(options.way) or STEERING_POLICIES
         figures: dict[str, dict[str, FlowFigures]] = {}
         passed = True
@@ -56,7 +56,10 @@
 
 
 def _passes(scenario: Scenario, by_policy: dict[str, FlowFigures]) -> bool:
-    """Return whether the keeper kept the promises in a scenario."""
+    """Return whether the keeper met its guarantees in a scenario.
+
+    It never delivers a packet to the wrong upstream, and planned changes break no flow.
+    """
     figures = by_policy.get('keeper')
     if figures is None:
         return True
--- a/src/bronzekeel/bench/forward.py
+++ b/src/bronzekeel/bench/forward.py
@@ -1,4 +1,4 @@
-"""Measure the real packet path against the bare receive-hash-send floor."""
+"""Compare the packet paths with a minimal loop of receive, hash and send."""
 
 from argparse import ArgumentParser, Namespace
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 
 class ForwardReport(Struct, frozen=True):
-    """Hold processor time a packet, in microseconds, and shares of the floor."""
+    """Time per packet in microseconds, and the floor's time as a share of each path's."""
 
     rounds: int
     floor_us: float
@@ -53,17 +53,17 @@
 
 
 class ForwardBenchmark(Benchmark):
-    """Time batches of packets through each path, interleaved."""
+    """Times batches of packets through each path, interleaved."""
 
     name = 'forward'
-    summary = 'the packet path on loopback against a bare receive-hash-send floor'
+    summary = 'the packet path on loopback compared with a bare receive-hash-send loop'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the number of rounds."""
+        """Add the number of rounds."""
         parser.add_argument('--rounds', type=int, default=600)
 
     def run(self, options: Namespace) -> ForwardReport:
-        """Measure."""
+        """Time all paths."""
         packet_paths = _PacketPaths()
         try:
             return packet_paths.measure(options.rounds)
@@ -73,7 +73,7 @@
 
 
 class _PacketPaths:
-    """Hold the sockets and a balancer's state that packets pass through."""
+    """Sockets and balancer state for each measured packet path."""
 
     def __init__(self) -> None:
         self._sink = _udp()
@@ -89,7 +89,7 @@
         self._handed = self._packets(Stage.ANNOUNCED)
 
     def measure(self, rounds: int) -> ForwardReport:
-        """Time `rounds` batches of each path in turn."""
+        """Time `rounds` batches of each path, alternating between the paths."""
         times: dict[str, list[float]] = {
             'floor': [],
             'settled': [],
@@ -134,7 +134,7 @@
         )
 
     def close(self) -> None:
-        """Free the sockets."""
+        """Close the sockets."""
         for open_socket in (self._sink, self._source, self._floor_in):
             open_socket.close()
         self._path.close()
@@ -146,7 +146,7 @@
         port: int,
         packets: list[bytes],
     ) -> float:
-        """Send a batch to a port, time how it is taken, and empty the sink."""
+        """Send a batch to `port`, time `receive` in seconds, and empty the sink."""
         for raw in packets:
             self._source.sendto(raw, (_LOOPBACK, port))
         started_at = perf_counter()
@@ -167,9 +167,9 @@
         return self._sink.getsockname()
 
     def _packets(self, stage: Stage) -> list[bytes]:
-        """Return a batch of packets whose buckets are at a stage.
+        """Return a batch of packets whose buckets are at `stage`.
 
-        ANNOUNCED stands for the buckets of other keepers that are unsettled.
+        ANNOUNCED selects unsettled buckets of other keepers, whose packets are handed over.
         """
         steering = self._state.steering
         table = steering.tables_by_key[service_key(*_SERVICE)]
@@ -205,7 +205,7 @@
 
 
 def _time_observable() -> float:
-    """Return the microseconds that one element through a bare subject takes."""
+    """Return the microseconds that one element takes through a plain ``Subject``."""
     subject: Subject[int] = Subject()
     subject.subscribe(lambda element: None)
     started_at = perf_counter()
@@ -221,7 +221,7 @@
 
 
 def _discard_effect(effect: Effect) -> None:
-    """Leave out effects beside verdicts: they are not timed."""
+    """Discard effects other than verdicts, which are not part of the measurement."""
 
 
 def _udp() -> socket:
@@ -232,10 +232,10 @@
 
 
 def _ready_state(sink: tuple[str, int]) -> BalancerState:
-    """Return a ready balancer of nine whose upstreams all are the sink.
+    """Return the state of a ready balancer in a fleet of nine, with the sink as every upstream.
 
-    Its own odd buckets are acting on a change, other keepers' odd buckets are
-    announced, all others are settled.
+    Of the odd buckets, its own are at stage ACTING and those of other keepers at
+    ANNOUNCED; the even buckets are settled.
     """
     fleet = Fleet(bench_hosts(), 1)
     spec = portal(range(7))
--- a/src/bronzekeel/bench/load_ceiling.py
+++ b/src/bronzekeel/bench/load_ceiling.py
@@ -1,4 +1,4 @@
-"""Reckon what a policy with perfect sight would earn: one queue that sees every slot at once."""
+"""Estimates the value an omniscient scheduler would earn from the same requests."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -7,12 +7,12 @@
 from bronzekeel.replay.load_servers import Slot
 
 
-#: Place of a request that any server may work on.
+#: Stands for the server of a request that any server may run.
 _ANY_SERVER = ''
 
 
 class _OracleRequest:
-    """Hold one request of a replay."""
+    """One request of a replay."""
 
     __slots__ = ('at_s', 'kind', 'server', 'work_s')
 
@@ -24,16 +24,16 @@
 
     @property
     def value_per_s(self) -> float:
-        """Worth for each second of work."""
+        """Value per second of work."""
         return self.kind.worth / self.work_s
 
     def is_unexpired(self, now: float) -> bool:
-        """Whether its caller has not given it up."""
+        """Return whether the request's timeout has not passed."""
         return now <= self.at_s + self.kind.timeout_s
 
 
 class _OracleSlot:
-    """Hold when a slot is free again."""
+    """A slot and the time at which it becomes free."""
 
     __slots__ = ('_slot', 'ends_s', 'free_at', 'server')
 
@@ -65,7 +65,7 @@
         *,
         flow_affinity: bool = False,
     ) -> None:
-        """Start with nothing asked."""
+        """Start with an empty queue."""
         self._slots = [_OracleSlot(slot) for slot in slots]
         self._round_trip_s = round_trip_s
         self._outage_interval = outage_interval
@@ -74,7 +74,7 @@
         self._waiting: list[_OracleRequest] = []
 
     def earned_value(self, tallies: Iterable[Tally]) -> float:
-        """Return the worth that is earned of all that was asked."""
+        """Return the total value earned from the requests of `tallies`."""
         upcoming = deque(sorted(_requests_of(tallies), key=self._arrives_at))
         earned: float = 0
         now: float = 0
@@ -93,13 +93,13 @@
         return earned
 
     def _drop_ended_slots(self, now: float) -> None:
-        """Forget slots that do nothing any more; flows stay at servers that have others."""
+        """Remove slots that have ended; with flow affinity, update the set of servers."""
         self._slots = [slot for slot in self._slots if max(now, slot.free_at) < slot.ends_s]
         if self._flow_affinity:
             self._servers = {slot.server for slot in self._slots}
 
     def _next_assignment(self, now: float) -> tuple[_OracleSlot | None, _OracleRequest | None]:
-        """Return the fastest free slot that has something to do, and what it does."""
+        """Return the fastest free slot that has an eligible request, and that request."""
         free = [slot for slot in self._slots if slot.free_at <= now]
         free.sort(key=lambda slot: slot.speed_at(now), reverse=True)
         servers = {self._server_for(request) for request in self._waiting}
@@ -114,16 +114,16 @@
         return None, None
 
     def _server_for(self, request: _OracleRequest) -> str:
-        """Return the server that a request must go to."""
+        """Return the server that a request must run on."""
         return request.server if request.server in self._servers else _ANY_SERVER
 
     def _eligible_for(self, slot: _OracleSlot) -> list[_OracleRequest]:
-        """Return the requests that a slot may work on."""
+        """Return the waiting requests that a slot may run."""
         servers = {_ANY_SERVER, slot.server}
         return [request for request in self._waiting if self._server_for(request) in servers]
 
     def _advance(self, upcoming: deque[_OracleRequest], now: float) -> float:
-        """Forget what was given up; return when there may be something to do again."""
+        """Remove expired requests; return the time of the next arrival or freed slot."""
         self._waiting = [request for request in self._waiting if request.is_unexpired(now)]
         next_times = [slot.free_at for slot in self._slots if slot.free_at > now]
         if upcoming:
@@ -133,7 +133,7 @@
         return min(next_times, default=now)
 
     def _admit_arrivals(self, upcoming: deque[_OracleRequest], now: float) -> float:
-        """Let all wait that come by `now`, or the next one; return when the last of them came."""
+        """Queue the requests that arrive by `now`, or else the next one; return the new time."""
         while upcoming and (self._arrives_at(upcoming[0]) <= now or not self._waiting):
             now = max(now, self._arrives_at(upcoming[0]))
             self._waiting.append(upcoming.popleft())
@@ -156,7 +156,7 @@
 def _choose_request(
     waiting: list[_OracleRequest], now: float, speed: float, round_trip_s: float
 ) -> _OracleRequest | None:
-    """Return the request to work on next, None if all were given up."""
+    """Return the request to run next, None if all have expired."""
     in_time = [
         request
         for request in waiting
--- a/src/bronzekeel/bench/load_figures.py
+++ b/src/bronzekeel/bench/load_figures.py
@@ -1,4 +1,4 @@
-"""Hold what callers felt in one play of a moment, and take means of several."""
+"""Results of the placement benchmark for one run of a moment, and means of several runs."""
 
 from statistics import fmean
 
@@ -7,15 +7,16 @@
 
 
 class PlacementFigures(Struct, frozen=True):
-    """Hold what callers felt under one policy; times are seconds.
-
-    `late_share` counts late answers and requests without one, `crowd_late_share` those of
-    callers that ask for many times their share, `others_late_share` those of all others.
-    `earned_share` is of the worth of all requests, `urgent_share` of that of the most urgent
-    kind; `earned_over_ceiling` compares with perfect sight, `earned_over_kept_ceiling` with one
-    that keeps open flows where the play had them.  Both of these choose step by step and may be
-    beaten a little.  `turned_away_share` is what upstreams turned away, for each request that
-    they ran.  `heartbeats_s` is how many one balancer sends in a second.
+    """Results of one policy, as callers see them; times are in seconds.
+
+    `late_share` counts late answers and unanswered requests, `crowd_late_share` only those of
+    callers that send many times their share, `others_late_share` those of all other callers.
+    `earned_share` is the value earned as a share of the value of all requests, `urgent_share`
+    the same for the most urgent kind.  `earned_over_ceiling` is relative to an omniscient
+    scheduler, `earned_over_kept_ceiling` to one that also keeps each open flow on the server
+    that it had in the run.  Both schedulers are greedy, so a policy may exceed them slightly.
+    `turned_away_share` is the number of requests that upstreams rejected per request that they
+    ran.  `heartbeats_s` is the number of heartbeats that a balancer sends per second.
     """
 
     requests: float
@@ -37,7 +38,7 @@
 
 
 def mean_figures(runs: list[PlacementFigures]) -> PlacementFigures:
-    """Return the means of some plays' figures."""
+    """Return the mean of each figure over several runs."""
     figures_by_run = [asdict(figures) for figures in runs]
     means = {name: fmean(figures[name] for figures in figures_by_run) for name in figures_by_run[0]}
     return PlacementFigures(**{name: round(mean, 4) for name, mean in means.items()})
--- a/src/bronzekeel/bench/load_moments.py
+++ b/src/bronzekeel/bench/load_moments.py
@@ -1,4 +1,4 @@
-"""Define the worst moments of a day: how load comes, and what goes wrong meanwhile."""
+"""Benchmark moments: patterns of load, and the faults that occur in the meantime."""
 
 from abc import ABC, abstractmethod
 from functools import partial
@@ -9,14 +9,14 @@
 from bronzekeel.replay.load_servers import Server, ServerKind
 
 
-#: Share of all slots that single requests and long flows fill on a usual day.
+#: Base load: the share of all slots that single requests occupy, and long flows per upstream.
 _SINGLE_SHARE = 0.25
 _USERS_PER_UPSTREAM = 4
 
-#: Seconds between an upstream's silence and the lapse of its entry.
+#: Seconds after which the entry of an unresponsive upstream lapses.
 _ENTRY_LAPSE_S = 2.4
 
-#: Single requests that are worth more and are more urgent than feeds.
+#: Single requests that have a higher value and are more urgent than feeds.
 URGENT = RequestKind(
     'urgent',
     SINGLE.key,
@@ -26,7 +26,7 @@
     late_worth=0.6,
 )
 
-#: Clients that ask for feeds, for each upstream.
+#: Clients per upstream that request feeds.
 _CLIENTS_PER_UPSTREAM = 7
 
 
@@ -46,112 +46,112 @@
     lasting_s: float = 12
 
     def plan_requests(self, load: FlowLoad) -> None:
-        """Plan what callers ask for: usual load, unless a moment says otherwise."""
+        """Schedule the requests of callers: the base load, unless overridden."""
         servers = len(load.server_by_name)
         base_rate = _SINGLE_SHARE * servers * load.server_kind.slots / SINGLE.work_s
         load.arrive(lambda at_s: self.rate_of(at_s, base_rate), self.lasting_s)
         load.hold_flows(_USERS_PER_UPSTREAM * servers, self.lasting_s)
 
     def rate_of(self, at_s: float, base_rate: float) -> float:
-        """Return the requests a second at a time of the moment."""
+        """Return the requests per second at `at_s` seconds into the moment."""
         return base_rate
 
     @abstractmethod
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Plan what goes wrong."""
+        """Schedule the faults of the moment."""
 
 
 class Calm(Moment):
-    """Nothing goes wrong."""
+    """Base load without faults."""
 
     name = 'calm'
     equal_upstreams = True
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Plan nothing."""
+        """Schedule no faults."""
 
 
 class Uneven(Calm):
-    """The callers of one data centre ask for half of everything."""
+    """The callers of one data centre send half of all requests."""
 
     name = 'uneven'
     weights = (2, 1, 1)
 
 
 class Burst(Calm):
-    """Three times the single requests for three seconds."""
+    """The rate of single requests triples for three seconds."""
 
     name = 'burst'
 
     def rate_of(self, at_s: float, base_rate: float) -> float:
-        """Return three times the usual rate in the middle."""
+        """Return the base rate, tripled between 4 s and 7 s."""
         return base_rate * 3 if 4 <= at_s < 7 else base_rate
 
 
 class SlowUpstream(Moment):
-    """One upstream works five times slower for six seconds."""
+    """One upstream is five times slower for six seconds."""
 
     name = 'slow_upstream'
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Slow the first one down."""
+        """Slow down the first upstream, then restore its speed."""
         server = next(iter(load.server_by_name.values()))
         load.fleet.at(3, partial(setattr, server, 'slow', 5))
         load.fleet.at(9, partial(setattr, server, 'slow', 1))
 
 
 class GreyUpstream(Moment):
-    """One upstream opens every flow and answers no request for two seconds."""
+    """One upstream accepts flows but answers no requests for two seconds."""
 
     name = 'grey_upstream'
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Turn the first one grey."""
+        """Make the first upstream stop answering requests for two seconds."""
         server = next(iter(load.server_by_name.values()))
         load.fleet.at(3, partial(setattr, server, 'grey', True))
         load.fleet.at(5, partial(setattr, server, 'grey', False))
 
 
 class UnresponsiveUpstream(Moment):
-    """One upstream falls silent; its entry lapses later."""
+    """One upstream becomes unresponsive, and its entry lapses later."""
 
     name = 'silent_upstream'
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Silence the first one."""
+        """Make the first upstream unresponsive."""
         first = next(iter(load.server_by_name))
         load.fleet.at(3, partial(load.silence_server, first, _ENTRY_LAPSE_S))
 
 
 class Release(Moment):
-    """Each upstream is replaced by a cold one, one a second."""
+    """Each upstream is replaced by a cold one, one per second."""
 
     name = 'release'
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Replace them in turn."""
+        """Replace the upstreams in turn."""
         for index, server in enumerate(list(load.server_by_name.values())):
             load.fleet.at(1 + index, partial(_replace_server, load, server.name))
 
 
 class CentreShort(Moment):
-    """All upstreams of one data centre but one leave."""
+    """All but one of the upstreams of one data centre drain."""
 
     name = 'centre_short'
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Drain those of the first data centre but the last."""
+        """Drain all upstreams of the first data centre except the last."""
         for server in _servers_in(load, CENTRES[0])[:-1]:
             load.fleet.at(3, partial(load.drain_server, server.name))
 
 
 class CentreWithoutUpstreams(Moment):
-    """All upstreams of one data centre leave."""
+    """All upstreams of one data centre drain."""
 
     name = 'centre_without_upstreams'
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Drain those of the first data centre."""
+        """Drain all upstreams of the first data centre."""
         for server in _servers_in(load, CENTRES[0]):
             load.fleet.at(3, partial(load.drain_server, server.name))
 
@@ -172,7 +172,7 @@
     rate_factor: float = 3
 
     def plan_requests(self, load: FlowLoad) -> None:
-        """Plan requests of both kinds."""
+        """Schedule requests of both kinds."""
         servers = len(load.server_by_name)
         work_s = self.base_load * servers * load.server_kind.slots
         feed_rate = work_s * self.feed_share / FEED.work_s
@@ -185,73 +185,73 @@
         )
 
     def rate_of(self, at_s: float, base_rate: float) -> float:
-        """Return the rate of the burst in the middle."""
+        """Return the base rate, multiplied by `rate_factor` during the burst."""
         return base_rate * self.rate_factor if self.begins_s <= at_s < self.ends_s else base_rate
 
 
 class Overload15(Overload):
-    """One and a half times the usual: high, but possible."""
+    """1.5 times the base demand: high, but within capacity."""
 
     name = 'overload_1.5'
     rate_factor = 1.5
 
 
 class Overload2(Overload):
-    """Twice the usual: four fifths of what all can do."""
+    """Twice the base demand, which is 0.8 of the capacity."""
 
     name = 'overload_2'
     rate_factor = 2
 
 
 class Overload4(Overload):
-    """Four times the usual."""
+    """Four times the base demand."""
 
     name = 'overload_4'
     rate_factor = 4
 
 
 class OverloadTwoSlots(Overload):
-    """Upstreams of two slots that turn away all but two that wait."""
+    """Upstreams have two slots and a queue of two requests, and reject any more."""
 
     name = 'overload_short_queue'
     server_kind = ServerKind(slots=2, queue=2)
 
 
 class OverloadOneSlot(Overload):
-    """Upstreams of one slot with a long queue."""
+    """Upstreams have one slot and a long queue."""
 
     name = 'overload_one_slot'
     server_kind = ServerKind(slots=1, queue=16)
 
 
 class OverloadThirdLost(Overload):
-    """A third of the upstreams fall silent two seconds before."""
+    """A third of the upstreams become unresponsive two seconds before the burst."""
 
     name = 'overload_third_lost'
     rate_factor = 2.5
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Silence every third one."""
+        """Make every third upstream unresponsive."""
         for name in list(load.server_by_name)[::3]:
             load.fleet.at(2, partial(load.silence_server, name, _ENTRY_LAPSE_S))
 
 
 class OverloadRestart(Overload):
-    """All balancers are dark for a second in the middle of it."""
+    """All balancers are down for one second during the burst."""
 
     name = 'overload_restart'
     rate_factor = 2.5
     outage_interval = (5, 6)
 
     def schedule_faults(self, load: FlowLoad) -> None:
-        """Kill all, and start them again."""
+        """Kill all balancers, and restart them at the end of the outage."""
         for name in load.fleet.node_by_name:
             load.fleet.at(self.outage_interval[0], partial(load.fleet.kill, name))
             load.fleet.at(self.outage_interval[1], partial(load.fleet.restart, name))
 
 
 class HighLoad(Overload):
-    """Callers ask for four fifths of what all slots can do, all the time."""
+    """Constant demand of 0.8 of the capacity."""
 
     name = 'high_load'
     base_load = 0.8
--- a/src/bronzekeel/bench/load_picture.py
+++ b/src/bronzekeel/bench/load_picture.py
@@ -1,4 +1,4 @@
-"""Draw what policies earn at each moment, as a share of what perfect sight earns."""
+"""Plots the value that policies earn in each moment, relative to an omniscient scheduler."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -18,7 +18,7 @@
     figures_by_moment: Mapping[str, Mapping[str, PlacementFigures]],
     path: Path,
 ) -> None:
-    """Write a picture: a row for each moment, a mark for each policy."""
+    """Write a plot to `path`: a row for each moment, a marker for each policy."""
     figure = Figure(figsize=_INCHES, layout='constrained')
     FigureCanvasAgg(figure)
     axes = figure.add_subplot()
@@ -31,6 +31,6 @@
     axes.set_yticks(range(len(moments)), moments)
     axes.invert_yaxis()
     axes.grid(axis='y', alpha=0.3)
-    axes.set_xlabel('worth earned, as a share of what perfect sight earns')
+    axes.set_xlabel('value earned, as a share of what an omniscient scheduler earns')
     axes.legend(loc='lower left')
     figure.savefig(path, dpi=_DOTS_PER_INCH)
--- a/src/bronzekeel/bench/load_policies.py
+++ b/src/bronzekeel/bench/load_policies.py
@@ -1,4 +1,4 @@
-"""Name the policies that the placement benchmark weighs, the product's among them."""
+"""Policies that the placement benchmark compares, by name, including the product's own."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
--- a/src/bronzekeel/bench/membership.py
+++ b/src/bronzekeel/bench/membership.py
@@ -1,4 +1,4 @@
-"""Measure how soon the dead are found, and that the living are kept."""
+"""Measure how soon dead balancers are detected, and whether live ones are removed."""
 
 from argparse import ArgumentParser, Namespace
 
@@ -23,7 +23,7 @@
 
 
 class MembershipFigures(Struct, frozen=True):
-    """Hold one size's figures, per balancer."""
+    """Results for one fleet size; bytes are per balancer."""
 
     detect_p99_s: float
     false_removals: int
@@ -31,7 +31,7 @@
 
 
 class MembershipReport(Struct, frozen=True):
-    """Hold the figures by number of members; `ok` is judged at today's size."""
+    """Results by number of members; detection time and bytes decide `ok` at the smallest size."""
 
     figures: dict[str, MembershipFigures]
     within_budget_to: int
@@ -39,7 +39,7 @@
 
 
 def fleet_of(size: int, seed: int) -> Fleet:
-    """Return a settled fleet of `size` balancers over three data centres."""
+    """Return a fleet of `size` balancers in three data centres, after start-up."""
     hosts = [
         HostEntry(f'h{number}', f'dc-{number % 3}', '127.0.0.1', 1, 2, 3) for number in range(size)
     ]
@@ -51,7 +51,7 @@
 
 
 def bytes_per_second(fleet: Fleet, lasting_s: float) -> float:
-    """Return what a balancer sends a second while nothing happens."""
+    """Return the bytes per second that an idle balancer sends, averaged over the fleet."""
     before = sum(sum(node.bytes_by_kind.values()) for node in fleet.running)
     fleet.run(lasting_s)
     after = sum(sum(node.bytes_by_kind.values()) for node in fleet.running)
@@ -59,17 +59,17 @@
 
 
 class MembershipBenchmark(Benchmark):
-    """Kill, lose and pause at several sizes."""
+    """Kills and pauses balancers and loses messages, at several fleet sizes."""
 
     name = 'membership'
-    summary = 'time to find the dead, false removals and bytes, by size'
+    summary = 'time to detect dead balancers, false removals and bytes, by fleet size'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the seed."""
+        """Add the seed."""
         parser.add_argument('--seed', type=int, default=1)
 
     def run(self, options: Namespace) -> MembershipReport:
-        """Measure every size."""
+        """Measure every fleet size."""
         figures = {str(size): _measure(size, options.seed) for size in _SIZES}
         largest_within_budget = max(
             size for size in _SIZES if figures[str(size)].bytes_per_s <= _BUDGET_BYTES
@@ -99,7 +99,7 @@
 
 
 def _count_dead(fleet: Fleet, name: str) -> int:
-    """Return how many consider a member dead."""
+    """Return how many balancers consider a member dead."""
     return sum(
         node.state.members.by_name[name].dead
         for node in fleet.running
@@ -108,7 +108,10 @@
 
 
 def _kill(fleet: Fleet, name: str) -> list[float]:
-    """Kill a balancer; return after how long each of the others knows."""
+    """Kill a balancer; return the seconds until each other balancer considers it dead.
+
+    A balancer that doesn't detect it in time counts with the timeout.
+    """
     fleet.kill(name)
     killed_at = fleet.now
     detected_after_s: dict[str, float] = {}
--- a/src/bronzekeel/bench/peer_bytes.py
+++ b/src/bronzekeel/bench/peer_bytes.py
@@ -1,4 +1,4 @@
-"""Count the bytes that one message between balancers takes as a gRPC call."""
+"""Counts the bytes of one message between balancers, sent as a gRPC call."""
 
 from asyncio import StreamReader, StreamWriter, gather, open_connection, sleep, start_server
 from contextlib import suppress
@@ -12,15 +12,15 @@
 
 
 class _CountingRelay:
-    """Pass a connection's bytes on and count them, both ways."""
+    """Forwards the bytes of a connection in both directions and counts them."""
 
     def __init__(self, port: int) -> None:
-        """Pass on to `port`."""
+        """Forward connections to `port`."""
         self.byte_count = 0
         self._port = port
 
     async def serve(self, reader: StreamReader, writer: StreamWriter) -> None:
-        """Pass one connection on until both sides end it."""
+        """Forward one connection until both sides close it."""
         target_reader, target_writer = await open_connection(_LOOPBACK, self._port)
         await gather(
             self._copy(reader, target_writer),
@@ -37,9 +37,9 @@
 
 
 async def peer_call_bytes() -> float:
-    """Return the bytes of a call with a message of a few bytes, both ways.
+    """Return the bytes of a call with a short message, both directions together.
 
-    Without the headers of TCP and IP.
+    Headers of TCP and IP are not included.
     """
     received: list[Message] = []
     receiver = Peers(received.append)
--- a/src/bronzekeel/bench/placement.py
+++ b/src/bronzekeel/bench/placement.py
@@ -1,4 +1,4 @@
-"""Weigh policies of placement and admission on the worst moments of a day, in virtual time."""
+"""Compare placement and admission policies in adverse moments, in virtual time."""
 
 from argparse import ArgumentParser, Namespace
 from collections.abc import Mapping
@@ -28,20 +28,21 @@
 _P50 = 0.5
 _P99 = 0.99
 
-#: How much more late requests than the best policy the product may have in one moment.
-#: Source: twice the difference between two seeds.
+#: By how much the product's share of late requests may exceed that of the best policy in a
+#: moment.  It is twice the difference between two seeds.
 _LATE_SLACK = 0.01
 
-#: How much more than the least of all policies the product's imbalance may be where
-#: upstreams are equal.  Source: the difference between two seeds.
+#: By how much the product's imbalance may exceed the lowest of all policies in moments with
+#: equal upstreams.  It is the difference between two seeds.
 _IMBALANCE_SLACK = 0.1
 
-#: Share of what perfect sight earns that the product must earn in every moment.
+#: Minimum value that the product must earn in every moment, as a share of what an omniscient
+#: scheduler earns.
 _MIN_CEILING_SHARE = 0.85
 
 
 class PlacementReport(Struct, frozen=True):
-    """Hold the mean figures of all seeds by moment and policy, and what failed."""
+    """Means over all seeds by moment and policy, and the names of failed checks."""
 
     seeds: list[int]
     figures: dict[str, dict[str, PlacementFigures]]
@@ -50,7 +51,7 @@
 
 
 class Trial(Struct, frozen=True):
-    """Name one play: a moment, a policy, a seed, and the size of the fleet."""
+    """Parameters of one run: a moment, a policy, a seed, and the size of the fleet."""
 
     moment: str
     policy: str
@@ -60,15 +61,15 @@
 
 
 class PlacementBenchmark(Benchmark):
-    """Play every moment under every policy."""
+    """Runs every selected moment with every selected policy."""
 
     name = 'placement'
-    summary = 'what callers feel at the worst moments, by policy, beside perfect sight'
+    summary = 'latency and value in adverse moments, by policy, relative to an omniscient scheduler'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer seeds, the size of a data centre, what to play, and a picture."""
-        parser.add_argument('--seed', type=int, default=1, help='the first one')
-        parser.add_argument('--seeds', type=int, default=1, help='how many')
+        """Add seeds, the size of a data centre, the choice of moments and policies, and a plot."""
+        parser.add_argument('--seed', type=int, default=1, help='first seed')
+        parser.add_argument('--seeds', type=int, default=1, help='number of seeds')
         parser.add_argument('--hosts', type=int, default=3)
         parser.add_argument('--upstreams', type=int, default=3)
         parser.add_argument('--moment', action='append', choices=sorted(_MOMENT_BY_NAME))
@@ -76,7 +77,7 @@
         parser.add_argument('--png', type=Path, metavar='FILE')
 
     def run(self, options: Namespace) -> PlacementReport:
-        """Play; the product must be nearly as good as the best, and near perfect sight."""
+        """Run all trials and check the product against the other policies and the oracle."""
         seeds = list(range(options.seed, options.seed + options.seeds))
         figures_by_moment = _run_trials(_selected_trials(options, seeds))
         if options.png is not None:
@@ -101,7 +102,7 @@
 
 
 def _run_trials(trials: list[Trial]) -> dict[str, dict[str, PlacementFigures]]:
-    """Play trials side by side; return their mean figures by moment and policy."""
+    """Run trials in parallel; return their mean figures by moment and policy."""
     runs: dict[str, dict[str, list[PlacementFigures]]] = {}
     with ProcessPoolExecutor() as executor:
         figures_by_trial = zip(trials, executor.map(run_trial, trials), strict=True)
@@ -116,7 +117,7 @@
 
 
 def run_trial(trial: Trial) -> PlacementFigures:
-    """Play one trial."""
+    """Run one trial."""
     moment = _MOMENT_BY_NAME[trial.moment]()
     policies = POLICIES[trial.policy]
     return run_moment(moment, policies, trial.seed, trial.hosts, trial.upstreams)
@@ -129,7 +130,7 @@
     hosts: int = 3,
     upstreams: int = 3,
 ) -> PlacementFigures:
-    """Play one moment under some policies."""
+    """Run one moment with the given policies."""
     load = build_moment_load(moment, policies, seed, hosts, upstreams)
     duration_s = moment.lasting_s + _SETTLING_S
     load.fleet.run(duration_s)
@@ -143,7 +144,7 @@
     hosts: int = 3,
     upstreams: int = 3,
 ) -> FlowLoad:
-    """Return the load of a moment, planned and not yet played."""
+    """Return the load of a moment, scheduled but not yet run."""
     load = FlowLoad(
         hosts,
         upstreams,
@@ -159,7 +160,7 @@
 
 
 def _figures_of(load: FlowLoad, moment: Moment, duration_s: float) -> PlacementFigures:
-    """Return what was felt, beside perfect sight."""
+    """Return the figures of a finished run, relative to the omniscient schedulers."""
     oracle = OracleScheduler(load.slots, 2 * CALLER_S, moment.outage_interval)
     affinity_oracle = OracleScheduler(
         load.slots, 2 * CALLER_S, moment.outage_interval, flow_affinity=True
@@ -193,18 +194,18 @@
 
 
 def _mean_heartbeats(load: FlowLoad) -> float:
-    """Return how many heartbeats a balancer sent, in the mean."""
+    """Return the mean number of heartbeats sent per running balancer."""
     nodes = load.fleet.running
     return sum(node.heartbeats for node in nodes) / len(nodes)
 
 
 def _total_turned_away(load: FlowLoad) -> int:
-    """Return how many requests upstreams turned away."""
+    """Return the number of requests that upstreams rejected."""
     return sum(server.turned_away for server in load.server_by_name.values())
 
 
 def _failures(kind: type[Moment], by_policy: dict[str, PlacementFigures]) -> list[str]:
-    """Return where the product's policies are worse than they may be."""
+    """Return the names of the checks that the product's policies fail in a moment."""
     min_late_share = min(figures.late_share for figures in by_policy.values())
     failed = []
     for name in (PRODUCT, EQUAL_WORK):
--- a/src/bronzekeel/bench/placement_policies.py
+++ b/src/bronzekeel/bench/placement_policies.py
@@ -1,4 +1,4 @@
-"""Give the placement benchmark the policies that were weighed beside the product's."""
+"""Alternative placement policies that the placement benchmark compares."""
 
 from collections.abc import Sequence
 from random import Random
@@ -9,7 +9,7 @@
 
 
 class RandomLocal(Placement):
-    """Choose at random among the upstreams of the own data centre, if there are any."""
+    """Chooses at random among the local upstreams, or among all if there are none."""
 
     def __init__(self, data_centre: str, balance: Balance) -> None:
         """Prefer upstreams of `data_centre`."""
@@ -18,7 +18,7 @@
         self._random = Random(data_centre)
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
-        """Return any upstream that takes flows."""
+        """Return a random upstream that accepts flows."""
         accepting = [upstream for upstream in candidates if upstream.takes_flows(now)]
         local = [
             upstream for upstream in accepting if upstream.entry.data_centre == self._data_centre
@@ -28,10 +28,10 @@
 
 
 class OwnCountsOnly(LeastBusy):
-    """Choose the least busy upstream by own sight alone."""
+    """Chooses the least busy upstream by the balancer's own counts alone."""
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
-        """Return the least busy without what peers tell."""
+        """Return the least busy upstream, ignoring the load that peers report."""
         listed = list(candidates)
         for upstream in listed:
             upstream.shared_load = 0
@@ -39,10 +39,10 @@
 
 
 class SummedCounts(LeastBusy):
-    """Choose the least busy upstream with all that peers see in progress added up."""
+    """Chooses the least busy upstream by the sum of its own and its peers' counts."""
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
-        """Return the least busy by the sum of all sights."""
+        """Return the least busy upstream by the sum of all balancers' counts."""
         listed = list(candidates)
         for upstream in listed:
             upstream.shared_load = upstream.busy_elsewhere / upstream.entry.slots
@@ -50,7 +50,7 @@
 
 
 class TwoChoices(LeastBusy):
-    """Choose the less busy of two random upstreams of the own data centre."""
+    """Chooses the less busy of two random local upstreams."""
 
     def __init__(self, data_centre: str, balance: Balance) -> None:
         """Prefer upstreams of `data_centre`."""
@@ -59,7 +59,7 @@
         self._random = Random(data_centre)
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
-        """Return the better of two; other data centres only when the own has none."""
+        """Return the less busy of two; they are remote only if no local one accepts flows."""
         accepting = [upstream for upstream in candidates if upstream.takes_flows(now)]
         local = [
             upstream for upstream in accepting if upstream.entry.data_centre == self._local_centre
--- a/src/bronzekeel/bench/quantiles.py
+++ b/src/bronzekeel/bench/quantiles.py
@@ -1,8 +1,8 @@
-"""Take quantiles of measured figures."""
+"""Quantiles of samples."""
 
 
 def quantile(figures: list[float], share: float) -> float:
-    """Return the figure that `share` of all do not exceed, zero of none."""
+    """Return the quantile of `figures` at `share`, from 0 to 1; zero if there are none."""
     if not figures:
         return 0
     ordered = sorted(figures)
