--- a/src/bronzekeel/bench/load_ceiling.py
+++ b/src/bronzekeel/bench/load_ceiling.py
@@ -48,13 +48,17 @@
 
 
 class OracleScheduler:
-    """Serve all requests from one queue that sees every slot at once.
+    """Serves all requests from one queue that knows the state of every slot.
 
-    It knows how long each request takes: of those that can still be in time the one with the
-    most worth a second of work goes first, late ones when there is no other.  Of the slots that
-    are free the fastest takes it.  `way_s` is the time from a caller to an upstream and back.
-    What is asked while balancers are `dark` waits for their return.  With `flow_affinity` a
-    request on an open flow goes to the server of that flow for as long as it is there.
+    The duration of each request is known in advance.  Among the requests that can still meet
+    their latency objective, the one with the highest value per second of work runs first, on the
+    fastest free slot; late requests run only when there is no other.  The choice is greedy, so
+    the result estimates the optimum and is not a strict upper bound.
+
+    `round_trip_s` is the network time between caller and upstream, both ways.  Requests that
+    arrive during `outage_interval`, when no balancer runs, wait until it ends.  With
+    `flow_affinity` a request on an open flow runs on the server of that flow while the server
+    exists.
     """
 
     def __init__(
--- a/src/bronzekeel/bench/load_moments.py
+++ b/src/bronzekeel/bench/load_moments.py
@@ -31,9 +31,10 @@
 
 
 class Moment(ABC):
-    """Hold one worst moment of `lasting_s` seconds, in which balancers may be `dark`.
+    """A load pattern of `lasting_s` seconds, with faults.
 
-    Answers after `late_after_s` count as late.
+    All balancers are down during `outage_interval`, if it isn't empty.  Answers that take
+    longer than `late_after_s` count as late.
     """
 
     name: ClassVar[str]
@@ -157,9 +158,9 @@
 
 
 class Overload(Calm):
-    """Callers ask for `times` the usual for four seconds, feeds and urgent requests alike.
+    """Demand rises by `rate_factor` for four seconds, for feeds and urgent requests alike.
 
-    Usually they ask for `base_load` of what all slots can do.
+    The base demand is `base_load` of the capacity of all slots.
     """
 
     name = 'overload'
--- a/src/bronzekeel/bench/membership.py
+++ b/src/bronzekeel/bench/membership.py
@@ -31,7 +31,10 @@
 
 
 class MembershipReport(Struct, frozen=True):
-    """Results by number of members; detection time and bytes decide `ok` at the smallest size."""
+    """Results by number of members.
+
+    `ok` depends on detection time and bytes at the smallest size, and on false removals at all.
+    """
 
     figures: dict[str, MembershipFigures]
     within_budget_to: int
--- a/src/bronzekeel/bench/request_policies.py
+++ b/src/bronzekeel/bench/request_policies.py
@@ -1,4 +1,4 @@
-"""Give the requests benchmark its baselines: lone balancers and one ideal queue."""
+"""Baselines of the requests benchmark: independent balancers, and one ideal queue."""
 
 from abc import ABC, abstractmethod
 from collections import Counter, deque
@@ -9,13 +9,13 @@
 
 from bronzekeel.replay.virtual_time import VirtualTime
 
-#: Pairs of arrival and work, in seconds from the start.
+#: Pairs of arrival time (from the start) and work, in seconds.
 Arrivals = list[tuple[float, float]]
 
 
 @dataclass(slots=True)
 class PolicyResult:
-    """Hold what a baseline did: latencies, waits, attempts, runs by upstream."""
+    """Results of a baseline; `runs` counts requests by index of the upstream."""
 
     latencies: list[float] = field(default_factory=list)
     waits: list[float] = field(default_factory=list)
@@ -24,7 +24,7 @@
 
 
 class Choice(ABC):
-    """Choose an upstream from one balancer's own counts."""
+    """Chooses an upstream by one balancer's own counts of outstanding requests."""
 
     @abstractmethod
     def choose(self, counts: Sequence[int], random: Random) -> int:
@@ -32,34 +32,34 @@
 
 
 class RandomChoice(Choice):
-    """Choose at random."""
+    """Chooses at random."""
 
     def choose(self, counts: Sequence[int], random: Random) -> int:
-        """Return any index."""
+        """Return a random index."""
         return random.randrange(len(counts))
 
 
 class TwoChoices(Choice):
-    """Choose the less used of two random upstreams."""
+    """Chooses the less used of two random upstreams."""
 
     def choose(self, counts: Sequence[int], random: Random) -> int:
-        """Return the better of two indices."""
+        """Return the one of two random indices with the lower count."""
         first, second = random.sample(range(len(counts)), 2)
         return first if counts[first] <= counts[second] else second
 
 
 class LeastOutstanding(Choice):
-    """Choose the upstream with the fewest own requests outstanding."""
+    """Chooses the upstream with the fewest outstanding requests of this balancer."""
 
     def choose(self, counts: Sequence[int], random: Random) -> int:
-        """Return an index with the least count, at random among equals."""
+        """Return an index with the lowest count, at random among ties."""
         min_count = min(counts)
         tied = [index for index, count in enumerate(counts) if count == min_count]
         return random.choice(tied)
 
 
 class BaselineSimulation(VirtualTime):
-    """Run balancers that choose alone; a shed request is tried elsewhere."""
+    """Simulates balancers that choose independently and retry shed requests."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         balancers: int,
         hop_s: float,
     ) -> None:
-        """Prepare balancers and upstreams."""
+        """Set up idle balancers and upstreams."""
         super().__init__(seed)
         self._choice = choice
         self._slots = slots
@@ -80,7 +80,7 @@
         self._result = PolicyResult()
 
     def play(self, arrivals: Arrivals) -> PolicyResult:
-        """Play all arrivals to their end."""
+        """Run until 60 seconds after the last arrival and return the result."""
         for delay_s, work_s in arrivals:
             self.at(delay_s, partial(self._begin, work_s))
         self.run(arrivals[-1][0] + 60)
@@ -126,7 +126,7 @@
 
 
 def ideal_queue(arrivals: Arrivals, servers: int, hop_s: float) -> PolicyResult:
-    """Serve all arrivals from one queue that sees every slot at once."""
+    """Return the result of serving all arrivals in order from one shared queue."""
     result = PolicyResult()
     free_at = deque([float(0) for _ in range(servers)])
     for arrived_s, work_s in arrivals:
--- a/src/bronzekeel/bench/request_trials.py
+++ b/src/bronzekeel/bench/request_trials.py
@@ -1,4 +1,4 @@
-"""Play the scenarios of the requests benchmark on the slot keeper."""
+"""Scenarios of the requests benchmark, run on the slot keeper."""
 
 from abc import ABC, abstractmethod
 from functools import partial
@@ -26,7 +26,7 @@
     draining: tuple[int, ...] = (),
     weighs: Weighing = Weighing.IMBALANCE,
 ) -> ServiceSpec:
-    """Return the replies service with numbered upstreams of three slots."""
+    """Return the spec of a request service with numbered upstreams of three slots."""
     return ServiceSpec(
         SERVICE,
         ServiceKind.REQUEST,
@@ -47,7 +47,7 @@
 
 
 def arrivals_at(load: float, upstreams: int, lasting_s: float, seed: int) -> Arrivals:
-    """Return Poisson arrivals with exponential work at a share of capacity."""
+    """Return Poisson arrivals with exponential work, at `load` of the capacity."""
     random = Random(seed)
     rate = load * upstreams * SLOTS / MEAN_WORK_S
     arrivals = []
@@ -59,7 +59,7 @@
 
 
 class RequestTrial:
-    """Hold a fleet with callers and upstreams while a scenario plays."""
+    """A fleet with callers and upstreams during one scenario."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         upstreams: int = 7,
         weighs: Weighing = Weighing.IMBALANCE,
     ) -> None:
-        """Start nine balancers; upstreams are warm."""
+        """Start nine balancers, with upstreams that are past their cold start."""
         self.seed = seed
         self.upstreams = upstreams
         self.spec = replies(upstreams, weighs=weighs)
@@ -83,7 +83,7 @@
 
     @property
     def endpoints(self) -> list[str]:
-        """Endpoints of the service in the text's order."""
+        """Endpoints of the service, in the order of the text."""
         return [upstream.endpoint for upstream in self.spec.upstreams]
 
     def keeper(self) -> str:
@@ -93,18 +93,18 @@
         return state.steering.owners[shard].owner
 
     def load(self, share: float, lasting_s: float, group: str = '') -> None:
-        """Plan calls at a share of the capacity."""
+        """Schedule calls at `share` of the capacity."""
         planned = arrivals_at(share, self.upstreams, lasting_s, self.seed)
         self.arrivals.extend(planned)
         self.traffic.plan(planned, group)
 
     def run(self, lasting_s: float) -> None:
-        """Let time pass."""
+        """Advance the simulation by `lasting_s` seconds."""
         self.fleet.run(lasting_s)
 
 
 class RequestScenario(ABC):
-    """Play one course of events."""
+    """A load with a sequence of changes and faults."""
 
     name: ClassVar[str]
     upstreams: ClassVar[int] = 7
@@ -116,11 +116,11 @@
 
     @abstractmethod
     def play(self, trial: RequestTrial) -> None:
-        """Plan calls and let things happen."""
+        """Schedule calls and apply the scenario's events."""
 
 
 class CleanLoad(RequestScenario):
-    """Load without faults."""
+    """Constant load without faults."""
 
     faulty = False
     compares_latency = True
@@ -128,7 +128,7 @@
     share: ClassVar[float]
 
     def play(self, trial: RequestTrial) -> None:
-        """Load and wait."""
+        """Run the load to its end."""
         trial.load(self.share, self.lasting_s)
         trial.run(self.lasting_s + SETTLE_S)
 
@@ -156,13 +156,13 @@
 
 
 class WrongHealthHints(RequestScenario):
-    """Let endpoints call the living dead and one dead one healthy."""
+    """Health endpoints report three live upstreams as not serving."""
 
     name = 'lying_health'
     compares_latency = True
 
     def play(self, trial: RequestTrial) -> None:
-        """Keep the lies up all the time."""
+        """Send the wrong hints every second."""
         trial.load(0.7, self.lasting_s)
         for tick in range(int(self.lasting_s)):
             trial.fleet.at(tick, partial(self._send_wrong_hints, trial))
@@ -174,12 +174,12 @@
 
 
 class DeadButHealthy(RequestScenario):
-    """Let one upstream die while its endpoint stays stuck on healthy."""
+    """One upstream fails while its health endpoint keeps reporting healthy."""
 
     name = 'dead_but_healthy'
 
     def play(self, trial: RequestTrial) -> None:
-        """Kill it a third into the load, bring it back cold later."""
+        """Fail it after a third of the load, and restore it cold after another third."""
         trial.load(0.6, self.lasting_s)
         trial.run(self.lasting_s / 3)
         victim = trial.traffic.upstream_by_endpoint[trial.endpoints[0]]
@@ -191,13 +191,13 @@
 
 
 class MostDead(RequestScenario):
-    """Let most upstreams fail for a while."""
+    """Most upstreams fail for some time."""
 
     name = 'most_dead'
     compares_balance = False
 
     def play(self, trial: RequestTrial) -> None:
-        """Kill five of seven for ten seconds."""
+        """Fail five of seven upstreams for ten seconds."""
         trial.load(0.6, self.lasting_s)
         trial.run(self.lasting_s / 3)
         victims = [trial.traffic.upstream_by_endpoint[endpoint] for endpoint in trial.endpoints[:5]]
@@ -210,23 +210,23 @@
 
 
 class Overload(RequestScenario):
-    """Ask for three times the capacity."""
+    """Demand of three times the capacity."""
 
     name = 'overload_3x'
 
     def play(self, trial: RequestTrial) -> None:
-        """Load and wait."""
+        """Run the load to its end."""
         trial.load(3, self.lasting_s)
         trial.run(self.lasting_s + SETTLE_S)
 
 
 class LostAnswers(RequestScenario):
-    """Lose one answer in twenty, and let callers repeat their ids."""
+    """One answer in twenty is lost, and callers repeat their request ids."""
 
     name = 'lost_and_repeated'
 
     def play(self, trial: RequestTrial) -> None:
-        """Repeat through other balancers."""
+        """Repeat calls through other balancers and lose answers."""
         trial.traffic.repeat_share = 0.3
         for upstream in trial.traffic.upstream_by_endpoint.values():
             upstream.lost_share = 0.05
@@ -235,12 +235,12 @@
 
 
 class Flaky(RequestScenario):
-    """Let one upstream lose a third of its answers, weighing balance most."""
+    """One upstream loses a third of its answers; the service prefers balance."""
 
     name = 'flaky_imbalance'
 
     def play(self, trial: RequestTrial) -> None:
-        """Load while it is flaky all the time."""
+        """Run the load while the upstream loses answers."""
         victim = trial.traffic.upstream_by_endpoint[trial.endpoints[0]]
         victim.lost_share = 1 / 3
         trial.load(0.6, self.lasting_s)
@@ -248,7 +248,7 @@
 
 
 class FlakyBroken(Flaky):
-    """The same, weighing broken flows most."""
+    """One upstream loses a third of its answers; the service prefers unbroken flows."""
 
     name = 'flaky_broken_flows'
     weighs = Weighing.BROKEN_FLOWS
@@ -256,12 +256,12 @@
 
 
 class KeeperKilled(RequestScenario):
-    """Kill the slot keeper under load, with repeats."""
+    """The slot keeper crashes under load, with repeated calls."""
 
     name = 'keeper_killed'
 
     def play(self, trial: RequestTrial) -> None:
-        """Kill it a third into the load."""
+        """Kill the slot keeper after a third of the load."""
         trial.traffic.repeat_share = 0.3
         trial.load(0.6, self.lasting_s)
         trial.run(self.lasting_s / 3)
@@ -271,12 +271,12 @@
 
 
 class KeeperPaused(RequestScenario):
-    """Pause the slot keeper past its lease, so that two serve at once."""
+    """The slot keeper is paused beyond its lease, so that two keepers serve at once."""
 
     name = 'keeper_paused'
 
     def play(self, trial: RequestTrial) -> None:
-        """Pause it and let clocks differ by half a second."""
+        """Pause the slot keeper, with clocks that differ by half a second."""
         trial.traffic.repeat_share = 0.3
         for number, node in enumerate(trial.fleet.running):
             node.clock_skew = 0.25 if number % 2 else -0.25
@@ -287,12 +287,12 @@
 
 
 class CentresCut(RequestScenario):
-    """Cut one data centre off, with ids repeated across the cut."""
+    """One data centre is partitioned, with ids repeated on both sides."""
 
     name = 'centre_cut'
 
     def play(self, trial: RequestTrial) -> None:
-        """Cut for ten seconds, then heal."""
+        """Partition the data centre for ten seconds, then heal."""
         trial.traffic.repeat_share = 0.5
         trial.load(0.5, self.lasting_s)
         trial.run(self.lasting_s / 3)
@@ -304,12 +304,12 @@
 
 
 class PlannedStops(RequestScenario):
-    """Stop balancers in turn and drain an upstream."""
+    """Balancers are stopped in turn and an upstream drains."""
 
     name = 'planned_stops'
 
     def play(self, trial: RequestTrial) -> None:
-        """Stop two balancers and drain one upstream under load."""
+        """Stop two balancers and drain one upstream, under load."""
         trial.load(0.5, self.lasting_s)
         trial.run(5)
         trial.fleet.stop('a1')
--- a/src/bronzekeel/bench/requests.py
+++ b/src/bronzekeel/bench/requests.py
@@ -1,4 +1,4 @@
-"""Weigh policies for requests: whole, at most once, evenly, without waiting."""
+"""Compare request policies by completeness, at-most-once execution, balance and waiting."""
 
 from argparse import ArgumentParser, Namespace
 from collections import Counter
@@ -35,7 +35,7 @@
 
 
 class RequestFigures(Struct, frozen=True):
-    """Hold what one policy did in one scenario; times are seconds."""
+    """Results of one policy in one scenario; times are in seconds."""
 
     requests: int
     answered: int
@@ -57,7 +57,7 @@
 
 
 class RequestReport(Struct, frozen=True):
-    """Hold the figures by scenario and policy, and what failed."""
+    """Results by scenario and policy, and the names of failed checks."""
 
     seed: int
     figures: dict[str, dict[str, RequestFigures]]
@@ -66,18 +66,18 @@
 
 
 class RequestBenchmark(Benchmark):
-    """Count outcomes and waiting per scenario and policy."""
+    """Measures outcomes and waiting times by scenario and policy."""
 
     name = 'requests'
-    summary = 'outcomes, waiting and balance of requests, on all policies weighed'
+    summary = 'outcomes, waiting and balance of requests, by policy'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer seed and choice."""
+        """Add the seed and the choice of scenarios."""
         parser.add_argument('--seed', type=int, default=1)
         parser.add_argument('--scenario', action='append', default=[])
 
     def run(self, options: Namespace) -> RequestReport:
-        """Play every scenario."""
+        """Run every selected scenario."""
         figures = {}
         failed = []
         for kind in REQUEST_SCENARIOS:
@@ -140,7 +140,7 @@
 
 
 def _member_imbalance(trial: RequestTrial) -> float:
-    """Return the most requests per upstream over the mean, by member firm."""
+    """Return the highest rate of requests per upstream of a member firm, over the mean."""
     ran: Counter[str] = Counter()
     sizes: Counter[str] = Counter()
     for upstream in trial.spec.upstreams:
@@ -186,7 +186,7 @@
 
 
 def _failures(scenario: RequestScenario, figures: RequestFigures) -> list[str]:
-    """Return what the slot keeper did not hold in a scenario."""
+    """Return the names of the checks that the slot keeper failed in a scenario."""
     imbalance = _MAX_IMBALANCE_FAULTY if scenario.faulty else _MAX_IMBALANCE_CLEAN
     ratio = _MAX_RATIO_FAULTY if scenario.faulty else _MAX_RATIO_CLEAN
     checks = {
--- a/src/bronzekeel/bench/rollout.py
+++ b/src/bronzekeel/bench/rollout.py
@@ -1,4 +1,4 @@
-"""Measure how soon a text is in force everywhere, and that none comes back."""
+"""Measure how soon a text is in force everywhere, and whether any balancer reverts."""
 
 from argparse import ArgumentParser, Namespace
 from collections.abc import Callable
@@ -19,12 +19,12 @@
 _MAX_P99_S = 3.0
 _MAX_DELAY_S = 9.0
 
-#: Calls a watcher makes for a change: a watch's answer, a part, the next watch.
+#: Platform calls of a watcher per change: the answer of its watch, a part, and the next watch.
 _CALLS_PER_WATCHER = 3
 
 
 class RolloutFigures(Struct, frozen=True):
-    """Hold one scenario's figures; times count from what a balancer can reach."""
+    """Results of one scenario; times count from when a text was available to a started balancer."""
 
     changes: int
     in_force_p99_s: float
@@ -36,14 +36,14 @@
 
 
 class RolloutReport(Struct, frozen=True):
-    """Hold the figures by scenario."""
+    """Results by scenario."""
 
     figures: dict[str, RolloutFigures]
     ok: bool
 
 
 class _Trial:
-    """Hold a fleet whose generations are watched all the time."""
+    """A fleet whose generations are checked continuously."""
 
     def __init__(self, seed: int) -> None:
         self.fleet = Fleet(bench_hosts(), seed)
@@ -58,7 +58,7 @@
         self.steady_bytes_per_s = self._measure_steady()
 
     def submit(self) -> None:
-        """Accept the next text and let the fleet take it."""
+        """Submit the next generation of the text to the fleet."""
         self.generation += 1
         spec = portal(range(6 + self.generation % 3))
         self.submitted_at[self.generation] = self.fleet.now
@@ -67,7 +67,7 @@
         self.fleet.submit(Catalogue(self.generation, {spec.name: spec}))
 
     def bytes_sent(self) -> int:
-        """Return the bytes that all balancers have sent to each other."""
+        """Return the bytes that all balancers have sent to one another."""
         return sum(sum(node.bytes_by_kind.values()) for node in self.fleet.by_name.values())
 
     def _measure_steady(self) -> float:
@@ -76,7 +76,7 @@
         return (self.bytes_sent() - before) / 20
 
     def _check_generations(self) -> None:
-        """Note every host whose generation is lower than it was."""
+        """Count each balancer whose generation has decreased since the last check."""
         for node in self.fleet.running:
             key = (node.name, node.state.members.incarnation)
             generation = node.state.rollout.generation
@@ -87,30 +87,30 @@
 
 
 def _healthy(trial: _Trial, number: int) -> None:
-    """Change nothing but the text."""
+    """Inject no fault."""
 
 
 def _watch_lost(trial: _Trial, number: int) -> None:
-    """Let one watcher lose its watch for each change."""
+    """Delay the view of one watcher at each change, as if its watch were lost."""
     watchers = [node for node in trial.fleet.running if node.state.rollout.watching]
     watchers[number % len(watchers)].view_lag_s = 2
 
 
 def _outage(trial: _Trial, number: int) -> None:
-    """Take the platform away after each change; a host is replaced meanwhile."""
+    """Make the platform unavailable shortly after each change until before the next one."""
     trial.fleet.at(0.06, partial(setattr, trial.fleet, 'platform_up', False))
     trial.fleet.at(_INTERVAL_S - 1, trial.fleet.platform_back)
 
 
 def _partition(trial: _Trial, number: int) -> None:
-    """Cut one data centre off from the others, and heal in time."""
+    """Partition one data centre from the others for four seconds."""
     names = [host.name for host in bench_hosts()]
     trial.fleet.cut(names[:3], names[3:])
     trial.fleet.at(4, trial.fleet.heal)
 
 
 def _restart(trial: _Trial, number: int) -> None:
-    """Kill one balancer at each change and start it again."""
+    """Kill one balancer at each change and restart it three seconds later."""
     host = bench_hosts()[number % 9]
     trial.fleet.kill(host.name)
     trial.fleet.at(3, lambda: _restart_host(trial, host))
@@ -130,17 +130,17 @@
 
 
 class RolloutBenchmark(Benchmark):
-    """Bring twenty texts into force in each scenario."""
+    """Brings twenty texts into force in each scenario."""
 
     name = 'rollout'
     summary = 'time until a text is in force everywhere, under faults'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the seed."""
+        """Add the seed."""
         parser.add_argument('--seed', type=int, default=1)
 
     def run(self, options: Namespace) -> RolloutReport:
-        """Play every scenario."""
+        """Run every scenario."""
         figures = {}
         for name, inject_fault in _SCENARIOS:
             figures[name] = _measure(inject_fault, options.seed)
@@ -178,9 +178,9 @@
 
 
 def _delays(trial: _Trial) -> tuple[list[float], int]:
-    """Return the time from submission to force on every host, and misses.
+    """Return the seconds until each text is in force on each host, and the number of misses.
 
-    A host that started after the submission counts from its start.
+    For a host that started after the submission, the time counts from its start.
     """
     delays = []
     missed = 0
--- a/src/bronzekeel/bench/slopes.py
+++ b/src/bronzekeel/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Measure slopes for docs/CAPACITY.md: cost against size, with a linear fit."""
+"""Measure how costs grow with size, with linear fits for docs/CAPACITY.md."""
 
 from argparse import ArgumentParser, Namespace
 from collections.abc import Callable, Sequence
@@ -34,10 +34,10 @@
 
 
 class Slope(Struct, frozen=True):
-    """Hold measured points and their least-squares line.
+    """Measured points and their least-squares line.
 
-    `residual` is the largest distance of a point from the line, as a share of
-    the largest measured figure.
+    `residual` is the largest vertical distance of a point from the line, as a
+    share of the largest measured value.
     """
 
     unit: str
@@ -50,24 +50,24 @@
 
 
 class SlopeReport(Struct, frozen=True):
-    """Hold all slopes by name."""
+    """All slopes by name."""
 
     slopes: dict[str, Slope]
     ok: bool
 
 
 class SlopeBenchmark(Benchmark):
-    """Measure every slope at three sizes or more."""
+    """Measures every slope at three or more sizes."""
 
     name = 'slopes'
-    summary = 'slopes of state, messages and processor time, for CAPACITY'
+    summary = 'growth of state, messages and processor time with size, for docs/CAPACITY.md'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer a plot."""
+        """Add the file of a plot."""
         parser.add_argument('--png', type=Path, metavar='FILE')
 
     def run(self, options: Namespace) -> SlopeReport:
-        """Measure, fit and plot."""
+        """Measure and fit all slopes, and plot them on request."""
         slopes = {}
         for name, unit, per, sizes, measure in _MEASURES:
             measured = [measure(size) for size in sizes]
@@ -98,12 +98,12 @@
 
 
 def heartbeat_bytes(members: int) -> float:
-    """Return the bytes a second that a balancer of `members` sends when idle."""
+    """Return the bytes per second that an idle balancer sends in a fleet of `members`."""
     return bytes_per_second(fleet_of(members, 1), 5)
 
 
 def heartbeat_core(members: int) -> float:
-    """Return the processor microseconds a second a balancer of `members` needs."""
+    """Return the processor microseconds per second of an idle balancer among `members`."""
     fleet = fleet_of(members, 1)
     started_s = process_time()
     fleet.run(5)
@@ -111,7 +111,7 @@
 
 
 def _traced(build: Callable[[], object]) -> float:
-    """Return the bytes that what `build` returns takes."""
+    """Return the bytes allocated for the object that `build` returns."""
     allocated: list[object] = []
     collect()
     start()
@@ -143,7 +143,7 @@
 
 
 def _keeper_state(services: int) -> BalancerState:
-    """Return a lone balancer that keeps all buckets of `services`."""
+    """Return the state of a single balancer that keeps all buckets of `services`."""
     state = BalancerState.fresh(HostEntry('a1', 'dc-a', '127.0.0.1', 1, 2), 1, 0)
     reduce(state, TextAccepted(_catalogue(services), from_platform=True), 1)
     claim_orphans(state.steering, state.members, ['a1'], 10)
@@ -152,7 +152,7 @@
 
 
 def state_bytes(services: int) -> float:
-    """Return the bytes of all registers and text of `services`."""
+    """Return the bytes of the registers and the text of `services`."""
     return _traced(lambda: _keeper_state(services))
 
 
@@ -167,7 +167,7 @@
 
 
 def text_core(services: int) -> float:
-    """Return the processor microseconds of a text of `services` that changes one."""
+    """Return the processor microseconds to adopt a text of `services` that changes one."""
     state = _keeper_state(services)
     changed = _catalogue(services).services_by_name
     first = changed['service-0']
@@ -179,14 +179,14 @@
 
 
 def exception_bytes(flows: int) -> float:
-    """Return the bytes of published exceptions."""
+    """Return the bytes of a set of `flows` published exceptions."""
     return _traced(
         lambda: FlowSet((number * 7919, f'10.0.0.{number % 7}:5555') for number in range(flows)),
     )
 
 
 def record_bytes(flows: int) -> float:
-    """Return the bytes of records at a keeper."""
+    """Return the bytes of `flows` flow records at a keeper."""
     upstream = '10.0.0.1:5555'
     return _traced(
         lambda: {number * 7919: FlowRecord(upstream, 1.5, 2.5) for number in range(flows)},
@@ -194,10 +194,10 @@
 
 
 def flow_state_bytes(flows: int) -> float:
-    """Return the bytes of steering state that holds `flows` in 512 buckets.
+    """Return the bytes of the steering state for `flows` in 512 buckets.
 
-    The worst case: one bucket in eight is unsettled, and every flow of the
-    others is an exception.
+    This is the worst case: one bucket in eight is unsettled, and every flow of
+    the other buckets is an exception.
     """
     return _traced(lambda: [_bucket_state(flows // 512, bucket) for bucket in range(512)])
 
@@ -210,7 +210,7 @@
 
 
 def replica_wire_bytes(flows: int) -> float:
-    """Return the bytes that copying new records to a standby takes."""
+    """Return the bytes on the wire to replicate `flows` new records to a standby."""
     entries = tuple(
         RecordEntry('summons-portal', number % 512, number * 7919, '10.0.0.1:5555')
         for number in range(flows)
@@ -219,10 +219,10 @@
 
 
 def copy_bytes(rate: int) -> float:
-    """Return the bytes a second that a balancer sends for control.
+    """Return the bytes of control messages per second that a balancer sends.
 
-    Each balancer gets `rate` new flows a second and about one bucket in seven
-    is unsettled, as after a join.
+    Each balancer receives `rate` new flows per second, and about one bucket in
+    seven is unsettled, as after an upstream has joined.
     """
     traffic = FlowTraffic(portal(range(8)))
     fleet = fleet_of(9, 1)
@@ -236,7 +236,7 @@
 
 
 def journal_core(buckets: int) -> float:
-    """Return the processor microseconds of decoding and applying register entries."""
+    """Return the processor microseconds to decode and apply `buckets` register entries."""
     fleet = fleet_of(9, 1)
     steering = fleet.running[0].state.steering
     table = steering.tables_by_name['summons-portal']
@@ -272,7 +272,7 @@
 
 
 def _plot(slopes: dict[str, Slope], path: Path) -> None:
-    """Draw measured points and lines, one panel a slope."""
+    """Plot the measured points and fitted lines, one panel per slope."""
     figure = Figure(figsize=(12, 12), layout='constrained')
     FigureCanvasAgg(figure)
     panels = figure.subplots(4, 3).flatten()
--- a/src/bronzekeel/bench/start.py
+++ b/src/bronzekeel/bench/start.py
@@ -1,4 +1,4 @@
-"""Measure what a lean balancer needs from its start to its first packet."""
+"""Measure the cost of starting a balancer on the platform, up to its first packet."""
 
 from argparse import ArgumentParser, Namespace
 from asyncio import run
@@ -37,10 +37,11 @@
 
 
 class StartReport(Struct, frozen=True):
-    """Hold medians from exec to the first forwarded packet.
+    """Medians from exec to the first forwarded packet.
 
-    Processor time and memory of the balancer's process, and of a bare
-    interpreter started in turn with it; `until_forwarded_s` is time on the clock.
+    Processor time and memory are those of the balancer's process, and of a bare
+    interpreter that is started alternately with it; `until_forwarded_s` is
+    wall-clock time.
     """
 
     rounds: int
@@ -54,23 +55,23 @@
 
 
 class StartBenchmark(Benchmark):
-    """Start balancers and bare interpreters in turn."""
+    """Starts balancers and bare interpreters alternately."""
 
     name = 'start'
     summary = 'processor time and memory from exec to the first forwarded packet'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the number of rounds."""
+        """Add the number of rounds."""
         parser.add_argument('--rounds', type=int, default=10)
 
     def run(self, options: Namespace) -> StartReport:
-        """Measure."""
+        """Measure all rounds in a temporary directory."""
         with TemporaryDirectory() as folder:
             return run(_measure(Path(folder), options.rounds))
 
 
 class _Usage(Struct, frozen=True):
-    """Hold what one process used; `until_forwarded_s` is zero for a bare interpreter."""
+    """Resource usage of one process; `until_forwarded_s` is zero for a bare interpreter."""
 
     processor_s: float
     memory_mb: float
@@ -78,7 +79,7 @@
 
 
 class _Site:
-    """Hold the store, an upstream and a caller around the balancers."""
+    """The store, an upstream and a caller that the measured balancers use."""
 
     def __init__(self) -> None:
         self.store = PlatformStandIn()
@@ -88,14 +89,15 @@
         self.upstream.settimeout(_RETRY_S)
 
     def fill_store(self) -> None:
-        """Write a text with one route and its upstream."""
+        """Store a text with one route, and the entry of its upstream."""
         self.store.put_upstream(1, 'portal', self.upstream.getsockname(), 'dc-a')
         self.store.put_text(1, {_SERVICE: 'portal'})
 
     def start_and_forward(self, settings: Path, packets: int) -> _Usage:
-        """Start a balancer; return what it used until its first packet.
+        """Start a balancer; return its resource usage until its first forwarded packet.
 
-        Packets that an earlier one held and forwarded together are left out.
+        Packets left over from the previous balancer, which forwards what it had queued at
+        once, are discarded first.
         """
         is_left_over = True
         while is_left_over:
@@ -110,7 +112,7 @@
         return _usage_of(process, perf_counter() - started_at)
 
     async def close(self) -> None:
-        """Free all sockets."""
+        """Close the sockets and the store."""
         self.upstream.close()
         self.caller.close()
         await self.store.close()
@@ -156,10 +158,10 @@
 
 
 def _usage_of(process: Popen[bytes], until_forwarded_s: float = 0) -> _Usage:
-    """Return what a process has used, and end it.
+    """Return the resource usage of a process, and kill it.
 
-    Its memory is read while it runs: what is accounted at its end counts the
-    parent's memory too, which it had until its exec.
+    The peak memory is read while the process runs: the accounting at its end also
+    covers the parent's memory, which the process shared until its exec.
     """
     status = Path(f'/proc/{process.pid}/status').read_text(encoding='utf-8')
     peak = next(line for line in status.splitlines() if line.startswith('VmHWM'))
@@ -177,7 +179,7 @@
 
 
 def _start_interpreter(arguments: tuple[str, ...]) -> Popen[bytes]:
-    """Start an interpreter as the platform does: without ``site``, modules on its path."""
+    """Start an interpreter as the platform does: without ``site``, with PYTHONPATH set."""
     packages = ':'.join(folder for folder in module_path if folder)
     return Popen(
         (executable, '-S', *arguments),
--- a/src/bronzekeel/bench/views.py
+++ b/src/bronzekeel/bench/views.py
@@ -1,4 +1,4 @@
-"""Measure what text, entries, flows and heartbeats cost a lean balancer."""
+"""Measure memory and processor time of texts, entries, flows and heartbeats."""
 
 from argparse import Namespace
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 
 class ViewReport(Struct, frozen=True):
-    """Hold costs by size, and of one heartbeat with the most that it may hold."""
+    """Costs by size, and those of a heartbeat of maximum size."""
 
     sizes: tuple[int, ...]
     bytes_a_flow: list[float]
@@ -46,13 +46,13 @@
 
 
 class ViewBenchmark(Benchmark):
-    """Build the largest states and read them from the wire."""
+    """Builds large states and decodes them from the wire format."""
 
     name = 'views'
     summary = 'memory and processor time of text, entries, flows and heartbeats'
 
     def run(self, options: Namespace) -> ViewReport:
-        """Measure."""
+        """Measure every size."""
         texts = [encode_view(_view(size)) for size in _SIZES]
         raw = encode_heartbeat(_heartbeat())
         return ViewReport(
@@ -76,7 +76,7 @@
 
 
 def _allocated_bytes(build: Callable[..., object], argument: object) -> int:
-    """Return the bytes that what `build` returns holds."""
+    """Return the bytes allocated for the object that `build` returns."""
     start()
     before, _ = get_traced_memory()
     built = build(argument)
@@ -86,7 +86,7 @@
 
 
 def _min_processor_s(call: Callable[..., object], argument: object) -> float:
-    """Return the least processor time of a few calls, in seconds."""
+    """Return the lowest processor time of several calls, in seconds."""
     times = []
     for _ in range(_RUNS):
         started_at = process_time()
--- a/src/bronzekeel/bench/waiting_policies.py
+++ b/src/bronzekeel/bench/waiting_policies.py
@@ -1,4 +1,4 @@
-"""Give the placement benchmark the orders of waiting requests that were weighed."""
+"""Alternative orders of waiting requests that the placement benchmark compares."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -17,28 +17,28 @@
 
 _Ranked = tuple[tuple[int, int], WaitingRequest]
 
-#: Queues that callers are hashed to.
+#: Number of queues that callers are hashed to.
 _STOCHASTIC_QUEUES = 16
 
 
 class OldestFirst(WaitingOrder):
-    """Let the most urgent go first, and of equals the oldest."""
+    """Serves the most urgent requests first, and the oldest first within a priority."""
 
     def rank(self, request: WaitingRequest, number: int) -> tuple[int, int]:
-        """Rank by priority, then by who came first."""
+        """Rank by priority, then by order of arrival."""
         return request.priority, number
 
 
 class PriorityBlind(WaitingOrder):
-    """Let the newest go first, however urgent."""
+    """Serves the newest requests first, regardless of priority."""
 
     def rank(self, request: WaitingRequest, number: int) -> tuple[int, int]:
-        """Rank by who came last."""
+        """Rank by reverse order of arrival."""
         return 0, -number
 
 
 class _RoundRobinQueue(WaitingQueue):
-    """Let groups of requests have their turns, within a priority; in a group the newest first."""
+    """Serves groups of requests in turn within a priority, and the newest first in a group."""
 
     __slots__ = (
         '_group_of',
@@ -56,12 +56,12 @@
         self._last_returned: tuple[int, WaitingRequest] | None = None
 
     def add(self, request: WaitingRequest, number: int) -> None:
-        """Take the request that came as the `number`th."""
+        """Add the request with arrival number `number`."""
         heap = self._heap_by_group.setdefault(self._group_of(request), [])
         heappush(heap, ((request.priority, -number), request))
 
     def first(self, now: float) -> WaitingRequest | None:
-        """Return the request of the group whose last turn is the longest ago."""
+        """Return the most urgent request, of the least recently served group among equals."""
         self._record_turn()
         best: tuple[tuple[int, int], int, WaitingRequest] | None = None
         for group, heap in list(self._heap_by_group.items()):
@@ -78,14 +78,14 @@
         return best[2] if best else None
 
     def _record_turn(self) -> None:
-        """Note the turn of the group whose request was taken."""
+        """Record the turn of the group if the request returned last has been served."""
         if self._last_returned is not None and self._last_returned[1].ended:
             self._turn_number += 1
             self._last_turn_by_group[self._last_returned[0]] = self._turn_number
 
 
 class _BelowShareFirstQueue(WaitingQueue):
-    """Let callers below their shares go first, by a look at all that wait."""
+    """Serves callers below their shares first, by scanning all waiting requests."""
 
     __slots__ = ('_shares', '_waiting')
 
@@ -94,11 +94,11 @@
         self._waiting: list[tuple[int, WaitingRequest]] = []
 
     def add(self, request: WaitingRequest, number: int) -> None:
-        """Take the request that came as the `number`th."""
+        """Add the request with arrival number `number`."""
         self._waiting.append((-number, request))
 
     def first(self, now: float) -> WaitingRequest | None:
-        """Return the newest of the callers that are below their shares."""
+        """Return the most urgent request, callers below their shares and newest ones first."""
         self._waiting = [waiting for waiting in self._waiting if not waiting[1].ended]
         selected = min(self._waiting, key=lambda waiting: self._key(waiting, now), default=None)
         return selected[1] if selected else None
@@ -110,7 +110,7 @@
 
 
 class RoundRobin(NewestFirst):
-    """Let callers go in turn (deficit round robin, one request a turn)."""
+    """Serves callers in turn (deficit round robin with one request per turn)."""
 
     def queue_of(self, pool: Pool) -> WaitingQueue:
         """Return a queue with a group for each caller."""
@@ -118,18 +118,18 @@
 
 
 class StochasticFairness(NewestFirst):
-    """Let a few queues go in turn that callers are hashed to."""
+    """Serves a few queues in turn, to which callers are hashed (stochastic fairness)."""
 
     def queue_of(self, pool: Pool) -> WaitingQueue:
-        """Return a queue with a few groups."""
+        """Return a queue with a group for each hash of callers."""
         return _RoundRobinQueue(_caller_hash)
 
 
 class TokensByShare(NewestFirst):
-    """Let callers go first that were given less than their shares, and then the newest."""
+    """Serves callers that received less than their shares first, then the newest requests."""
 
     def queue_of(self, pool: Pool) -> WaitingQueue:
-        """Return a queue that knows two kinds of callers."""
+        """Return a queue that prefers callers below their shares, if the pool tracks callers."""
         return RankedQueue(self) if pool.callers is None else _BelowShareFirstQueue(pool.callers)
 
 
