--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Test what becomes of callers when they ask for more than upstreams can do."""
+"""Test what callers experience when their demand exceeds the capacity of the upstreams."""
 
 from statistics import fmean
 from unittest import TestCase
@@ -26,65 +26,63 @@
 
 _NO_LIMIT = FleetPolicies(admission_of=AdmitAll)
 
-#: Seconds between two looks at slots, and the look at what comes after a burst.
+#: Seconds between two samples of idle slots, and from the end of a burst to the check of latencies.
 _SAMPLE_INTERVAL_S = 0.02
 _AFTER_S = 2
 
 
 class OverloadTest(TestCase):
-    """Three times the usual for four seconds, feeds and urgent single requests."""
+    """Three times the base demand for four seconds, of feeds and urgent single requests."""
 
-    def test_callers_get_most_of_what_can_be_done(self) -> None:
-        """Symptom: in a burst nearly all answers are late, and a third is turned away.
+    def test_most_of_the_capacity_earns_value(self) -> None:
+        """Guards against bursts in which nearly all answers are late and a third is rejected.
 
-        Sequence: callers ask for a fifth more than all slots can do.
-        Cause: upstreams' queues fill, each answer takes as long as a full queue, and
-        who was turned away asks again at once.
+        Demand exceeds the capacity by a fifth.  Without limits the queues of upstreams fill,
+        every answer takes as long as a full queue, and rejected callers retry at once.
         """
-        without = run_moment(Overload(), _NO_LIMIT)
-        self.assertLess(without.earned_over_ceiling, 0.75)
-        self.assertGreater(without.turned_away_share, 0.3)
+        unlimited = run_moment(Overload(), _NO_LIMIT)
+        self.assertLess(unlimited.earned_over_ceiling, 0.75)
+        self.assertGreater(unlimited.turned_away_share, 0.3)
         figures = run_moment(Overload(), FleetPolicies())
         self.assertGreater(figures.earned_over_ceiling, 0.88)
         self.assertLess(figures.turned_away_share, 0.02)
 
     def test_urgent_requests_go_first(self) -> None:
-        """Symptom: in a burst the requests that matter most are refused, feeds are not.
+        """Guards against bursts in which urgent requests are refused and feeds are not.
 
-        Sequence: urgent requests open a flow each, feeds have open ones.
-        Cause: refusing new flows alone, whatever comes on the open ones.
+        Urgent requests open a flow each, feeds use open flows.  Refusing only new flows would
+        hit the urgent requests alone.
         """
-        blind = run_moment(Overload(), FleetPolicies(order_of=PriorityBlind))
+        without_priority = run_moment(Overload(), FleetPolicies(order_of=PriorityBlind))
         figures = run_moment(Overload(), FleetPolicies())
-        self.assertGreater(figures.urgent_share, blind.urgent_share + 0.03)
+        self.assertGreater(figures.urgent_share, without_priority.urgent_share + 0.03)
         self.assertGreater(figures.urgent_share, figures.earned_share)
         self.assertGreater(figures.urgent_share, 0.93)
 
     def test_the_newest_goes_first(self) -> None:
-        """Symptom: in a burst all answers are late by the same half second.
+        """Guards against bursts in which all answers are late by the same half second.
 
-        Sequence: more comes than can be served, and all of it waits in one queue.
-        Cause: serving the oldest first: what is served has waited the longest.
+        When more requests arrive than can be served, serving the oldest first means that each
+        request served has waited the longest.
         """
         oldest = run_moment(Overload(), FleetPolicies(order_of=OldestFirst))
         figures = run_moment(Overload(), FleetPolicies())
         self.assertGreater(figures.earned_over_ceiling, oldest.earned_over_ceiling + 0.05)
 
     def test_no_slot_is_idle_while_requests_wait(self) -> None:
-        """Symptom: callers are refused though upstreams have free slots.
+        """Guards against refusals while upstreams have free slots.
 
-        Sequence: an overload; requests wait at some balancers of a data centre.
-        Cause: limits that leave no request behind the one that is worked on.
+        It happens in an overload if the limits allow no request to queue behind the one that
+        is running, while requests wait at some balancers of the data centre.
         """
         idle = _IdleSlots(Overload4())
         self.assertGreater(idle.sample_count, 100)
         self.assertLess(idle.share, 0.01)
 
-    def test_the_end_of_a_burst_is_the_end_of_it(self) -> None:
-        """Symptom: answers stay late for seconds after a burst.
+    def test_latency_recovers_after_a_burst(self) -> None:
+        """Guards against answers that stay late for seconds after a burst.
 
-        Sequence: a burst ends; what has waited is worked off.
-        Cause: limits or queues that swing.
+        It happens if limits or queues oscillate while the backlog is processed.
         """
         load = _run_to_end(Overload())
         after = _latencies_after(load, Overload.ends_s + _AFTER_S)
@@ -92,28 +90,28 @@
         self.assertLess(max(after), 0.25)
 
     def test_other_upstreams_and_other_faults(self) -> None:
-        """One slot or two, short and long queues, four times the load, a third lost."""
-        least_by_moment: dict[type[Moment], float] = {
+        """Covers one or two slots, short and long queues, four times the load, and a third lost."""
+        min_share_by_moment: dict[type[Moment], float] = {
             Overload4: 0.82,
             OverloadOneSlot: 0.76,
             OverloadTwoSlots: 0.88,
             OverloadThirdLost: 0.8,
         }
-        for moment, least in least_by_moment.items():
+        for moment, min_share in min_share_by_moment.items():
             with self.subTest(moment=moment.name):
                 figures = run_moment(moment(), FleetPolicies())
-                self.assertGreater(figures.earned_over_ceiling, least)
+                self.assertGreater(figures.earned_over_ceiling, min_share)
 
 
 class NoOverloadTest(TestCase):
-    """Moments at which all can be served."""
+    """Moments in which the capacity suffices."""
 
     def test_nothing_is_refused(self) -> None:
-        """Symptom: callers are refused on a quiet day.
+        """Guards against refusals at loads within capacity.
 
-        Sequence: usual load; upstreams are replaced, one is slow or grey, callers are
-        unevenly spread, or four fifths of all slots are taken.
-        Cause: limits that count cold, slow or silent upstreams as full ones.
+        Upstreams are replaced, one is slow or stops answering, callers are unevenly distributed,
+        or four fifths of all slots are busy.  Limits must not count cold, slow or unresponsive
+        upstreams as full.
         """
         for moment in (Calm, Uneven, Release, SlowUpstream, GreyUpstream, HighLoad):
             with self.subTest(moment=moment.name):
@@ -128,7 +126,7 @@
 
 
 class _IdleSlots:
-    """Play a moment, and look at slots while requests wait in their data centre."""
+    """Runs a moment and samples the idle slots of data centres in which requests wait."""
 
     def __init__(self, moment: Overload) -> None:
         self._shares: list[float] = []
@@ -141,12 +139,12 @@
 
     @property
     def sample_count(self) -> int:
-        """How often requests waited in a data centre."""
+        """Number of samples: times at which requests waited in a data centre."""
         return len(self._shares)
 
     @property
     def share(self) -> float:
-        """Mean share of slots that were idle then."""
+        """Mean share of idle slots in the samples."""
         return fmean(self._shares)
 
     def _sample(self) -> None:
@@ -164,14 +162,14 @@
 
 
 def _run_to_end(moment: Moment) -> FlowLoad:
-    """Return the load of a moment that was played to its end."""
+    """Return the load of a moment that was run to its end."""
     load = build_moment_load(moment, FleetPolicies())
     load.fleet.run(moment.lasting_s + 6)
     return load
 
 
 def _latencies_after(load: FlowLoad, at_s: float) -> list[float]:
-    """Return the latencies of the requests that were begun after a time of the moment."""
+    """Return the latencies of requests that began after `at_s` seconds of the moment."""
     began_at = load.fleet.now - load.elapsed_s
     return [
         latency
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Test where new flows go, by replay of the loads that the rules are made for."""
+"""Test the placement of new flows, by replay of the loads that the policies are designed for."""
 
 from unittest import TestCase
 
@@ -28,7 +28,7 @@
 _MANY_HOSTS = 12
 
 
-def _played(
+def _run(
     moment: Moment,
     policy: type[Placement] = LeastBusy,
     hosts: int = 3,
@@ -39,63 +39,61 @@
     return run_moment(moment, FleetPolicies(placement_of=policy), 1, hosts, upstreams)
 
 
-class WorstMomentsTest(TestCase):
-    """What callers feel while load is at its worst."""
+class AdverseMomentsTest(TestCase):
+    """Latency and balance in adverse moments."""
 
-    def test_many_hosts_do_not_rush_to_one_upstream(self) -> None:
-        """Symptom: in a burst callers wait for seconds while upstreams idle.
+    def test_many_hosts_do_not_overload_one_upstream(self) -> None:
+        """Guards against callers that wait for seconds in a burst while upstreams are idle.
 
-        Sequence: thirty-six balancers; single requests triple for three seconds.
-        Cause: adding up what peers saw a heartbeat ago: all take the same upstream
-        for the least busy.
+        The rate of single requests triples for three seconds at thirty-six balancers.  If each
+        adds up the counts that peers reported one heartbeat ago, all of them choose the same
+        upstream as the least busy.
         """
-        added_up = _played(Burst(), SummedCounts, _MANY_HOSTS, 8)
-        self.assertGreater(added_up.late_share, 0.05)
-        product = _played(Burst(), hosts=_MANY_HOSTS, upstreams=8)
+        summed = _run(Burst(), SummedCounts, _MANY_HOSTS, 8)
+        self.assertGreater(summed.late_share, 0.05)
+        product = _run(Burst(), hosts=_MANY_HOSTS, upstreams=8)
         self.assertLess(product.late_share, 0.005)
         self.assertLess(product.copy_share, 0.003)
 
     def test_a_slow_upstream_gets_less(self) -> None:
-        """Symptom: callers wait for an upstream that works five times slower.
+        """Guards against callers that wait for an upstream that is five times slower.
 
-        Sequence: one of nine upstreams turns slow for six seconds.
-        Cause: a balancer that sees a twelfth of the flows can't tell by itself.
+        One of nine upstreams slows down for six seconds.  A balancer with a twelfth of the
+        flows cannot detect it by its own counts.
         """
-        alone = _played(SlowUpstream(), OwnCountsOnly, _MANY_HOSTS)
-        product = _played(SlowUpstream(), hosts=_MANY_HOSTS)
+        alone = _run(SlowUpstream(), OwnCountsOnly, _MANY_HOSTS)
+        product = _run(SlowUpstream(), hosts=_MANY_HOSTS)
         self.assertLess(product.late_share, alone.late_share)
 
     def test_a_data_centre_that_is_short_uses_others(self) -> None:
-        """Symptom: callers of one data centre wait while others idle.
+        """Guards against callers of one data centre that wait while others are idle.
 
-        Sequence: all upstreams of a data centre but one leave.
-        Cause: staying at home whatever it costs.
+        All but one of the upstreams of a data centre leave; new flows must not all stay local.
         """
-        self.assertLess(_played(CentreShort()).late_share, 0.02)
+        self.assertLess(_run(CentreShort()).late_share, 0.02)
 
     def test_equal_upstreams_get_equal_work(self) -> None:
-        """Symptom: one member firm's upstream works a fifth more than another's.
+        """Guards against one upstream that does a fifth more work than another.
 
-        Sequence: usual load, long feeds beside single requests.
-        Cause: counting open flows, of which some ask much and some little.
+        Long feeds and single requests are mixed at base load.  Counting open flows would
+        ignore that some cause much work and some little.
         """
-        self.assertLess(_played(Calm()).imbalance, 1.15)
+        self.assertLess(_run(Calm()).imbalance, 1.15)
 
-    def test_callers_elsewhere_make_no_unequal_work(self) -> None:
-        """Symptom: upstreams of one data centre work twice as much as all others.
+    def test_work_stays_equal_with_uneven_callers(self) -> None:
+        """Guards against upstreams of one data centre that do twice the work of all others.
 
-        Sequence: its callers ask for half of everything.
-        Cause: keeping all flows at home, where `weighs` puts equal work first.
+        The callers of that data centre send half of all requests.  The flows must not all stay
+        local where `weighs` gives priority to equal work.
         """
-        at_home = _played(Uneven(), lasting_s=40)
-        self.assertGreater(at_home.imbalance, 1.4)
-        self.assertLess(_played(Uneven(), EqualWork, lasting_s=40).imbalance, 1.1)
+        local = _run(Uneven(), lasting_s=40)
+        self.assertGreater(local.imbalance, 1.4)
+        self.assertLess(_run(Uneven(), EqualWork, lasting_s=40).imbalance, 1.1)
 
-    def test_every_policy_can_be_played_at_every_moment(self) -> None:
-        """Symptom: `bench placement` ends with a fault instead of figures.
+    def test_every_policy_runs_in_every_moment(self) -> None:
+        """Guards against a `bench placement` that raises an error instead of printing figures.
 
-        Sequence: a policy that was weighed and not chosen is played.
-        Cause: testing the chosen ones only.
+        Policies that the product does not use must run in every moment, too.
         """
         for kind in (*MOMENTS, *DEMAND_MOMENTS):
             for name, policies in POLICIES.items():
@@ -106,32 +104,32 @@
                     self.assertGreater(small.requests, 0)
 
     def test_a_seed_gives_the_same_figures(self) -> None:
-        """A replay is the same each time."""
-        self.assertEqual(_played(Burst()), _played(Burst()))
+        """A replay is deterministic."""
+        self.assertEqual(_run(Burst()), _run(Burst()))
 
 
 class SharedLoadTest(TestCase):
-    """What peers tell, per slot."""
+    """Load per slot by the counts that peers report."""
 
-    def test_usual_differences_do_not_count(self) -> None:
+    def test_small_differences_do_not_count(self) -> None:
         """Upstreams that are about equally busy have no shared load."""
         self.assertEqual([0, 0, 0], self._loads({1: 2, 2: 3, 3: 4}))
 
-    def test_one_far_beyond_the_others_is_singled_out(self) -> None:
-        """A slow or grey upstream gathers requests; the others have no shared load."""
+    def test_an_outlier_has_shared_load(self) -> None:
+        """Requests accumulate at a slow upstream; the others have no shared load."""
         loads = self._loads({1: 12, 2: 1, 3: 1})
         self.assertGreater(loads[0], loads[1] + 1)
         self.assertEqual([0, 0], loads[1:])
 
-    def test_an_upstream_alone_has_nobody_to_compare_with(self) -> None:
-        """Whether another data centre is better is for admission to say."""
+    def test_a_single_upstream_has_no_shared_load(self) -> None:
+        """Admission decides whether another data centre is better."""
         self.assertEqual([0], self._loads({1: 12}))
 
-    def test_what_peers_no_longer_tell_is_forgotten(self) -> None:
-        """Symptom: an upstream passes for busy for ever.
+    def test_load_that_peers_no_longer_report_is_removed(self) -> None:
+        """Guards against an upstream that counts as busy forever.
 
-        Sequence: peers tell of requests in progress, then of none.
-        Cause: looking only at the upstreams that peers tell of now.
+        Peers report requests in progress and then none.  The update must also cover upstreams
+        that are missing from the latest reports.
         """
         directory = Directory()
         directory.take(entry(1), 0)
@@ -158,54 +156,52 @@
 
 
 class SharesTest(TestCase):
-    """Which share of the flows goes elsewhere."""
+    """Share of the flows that is sent to remote data centres."""
 
-    def test_who_asks_for_its_share_keeps_all(self) -> None:
-        """Differences within the bound on the busiest upstream stay."""
+    def test_demand_within_the_share_stays_local(self) -> None:
+        """Differences within the tolerance for the busiest upstream are not balanced."""
         self.assertEqual({}, _shares('a', {'a': 62, 'b': 58, 'c': 90}))
 
-    def test_who_asks_for_more_sends_the_rest_elsewhere(self) -> None:
-        """The mean is 10 a slot: a is 60 above, b 20 below, c 40."""
+    def test_demand_above_the_share_goes_to_remote_centres(self) -> None:
+        """The mean is 10 per slot: a is 60 above its share, b 20 below and c 40 below."""
         shares = _shares('a', {'a': 120, 'b': 40, 'c': 50})
         self.assertAlmostEqual(1 / 2, sum(shares.values()))
         self.assertAlmostEqual(2, shares['c'] / shares['b'])
         self.assertEqual({}, _shares('b', {'a': 120, 'b': 40, 'c': 50}))
 
     def test_chance_is_not_balanced(self) -> None:
-        """Symptom: flows go to and fro at night.
+        """Guards against flows that move back and forth between data centres at night.
 
-        Sequence: a handful of requests a second.
-        Cause: taking chance for a difference.
+        At a few requests per second, random variation must not count as a difference.
         """
         self.assertEqual({}, _shares('a', {'a': 12, 'b': 1, 'c': 1}))
 
-    def test_a_data_centre_alone_keeps_all(self) -> None:
-        """Symptom: a fault is logged at each tick, and nothing is shared out.
+    def test_a_single_data_centre_keeps_all(self) -> None:
+        """Guards against an error at each tick that stops balancing.
 
-        Sequence: no other data centre has upstreams of a service; the mean of one data
-        centre, times its slots, is a little less than its rate by rounding.
-        Cause: dividing by the room that others have, where nobody has any.
+        Only one data centre has upstreams of the service, and by rounding its rate slightly
+        exceeds the mean times its slots.  The free capacity of the others, which is zero, must
+        not become a divisor.
         """
         for slots in range(1, 50):
             for rate in range(20, 60):
                 shares = shares_of('a', {'a': slots}, {'a': rate / 0.7}, 1)
                 self.assertEqual({}, shares)
 
-    def test_a_data_centre_that_is_not_heard_gets_nothing(self) -> None:
-        """Symptom: flows are sent into a cut.
+    def test_an_unreachable_data_centre_gets_nothing(self) -> None:
+        """Guards against flows that are sent into a network partition.
 
-        Sequence: a data centre with room is cut off.
-        Cause: going by what it told before.
+        A data centre with free capacity is cut off; its earlier reports must not be used.
         """
         shares = _shares('a', {'a': 120, 'c': 50})
         self.assertEqual({'c'}, set(shares))
 
-    def test_a_data_centre_that_bears_its_load_keeps_it(self) -> None:
-        """Symptom: bytes cross data centres though nobody waits.
+    def test_load_within_capacity_stays_local(self) -> None:
+        """Guards against traffic between data centres while no request waits.
 
-        Sequence: a data centre asks for twice its share while upstreams idle; then
-        they are busy; then sharing out has taken the load away.
-        Cause: going by shares of the requests alone, or by the load of the moment.
+        A data centre's demand is twice its share, first with idle upstreams, then with busy
+        ones, then after sharing has reduced their load.  Sharing must begin only when they are
+        busy, and must not end just because it has reduced the load.
         """
         balance = Balance()
         balance.bearable = 0.8
@@ -219,7 +215,7 @@
         balance.settle((), {'portal': 0.9})
         self.assertEqual((), balance.shares)
 
-    def test_flows_go_where_the_shares_say(self) -> None:
+    def test_flows_follow_the_shares(self) -> None:
         """Two of ten flows go to the other data centre."""
         balance = Balance()
         balance.adopt((FlowShare('portal', 'b', 0.2),))
