--- a/src/bronzekeel/bench/admission_policies.py
+++ b/src/bronzekeel/bench/admission_policies.py
@@ -1,62 +1,62 @@
-"""Give the placement benchmark the limits of requests in progress that were weighed."""
+"""Alternative limits on requests in progress that the placement benchmark compares."""
 
 from bronzekeel.core.routing.admission import Admission, RequestsPerSlot
 from bronzekeel.core.routing.pools import NO_LIMIT, Pool
 
 
-#: What `FixedLimit` lets be in progress, whatever there is: right for three slots an
-#: upstream, three upstreams and three balancers a data centre.
-_FIXED = 6
+#: Requests in progress per pool that `FixedLimit` allows regardless of capacity.  It fits data
+#: centres of three balancers and three upstreams with three slots each.
+_FIXED_LIMIT = 6
 
-#: How `LearnedLimit` changes its limit at each tick, and how much slower than at best
-#: answers may be.
-_ADDED = 0.5
-_KEPT_SHARE = 0.8
-_TOLERATED_FACTOR = 2.0
-_LEAST = 2.0
-_FIRST = 10.0
+#: Additive increase and multiplicative decrease of `LearnedLimit` at each tick, the ratio of the
+#: latency to the minimum latency above which it decreases, and its lower bound and initial value.
+_INCREMENT = 0.5
+_DECREASE_FACTOR = 0.8
+_MAX_LATENCY_RATIO = 2.0
+_MIN_LIMIT = 2.0
+_INITIAL_LIMIT = 10.0
 
-#: Seconds of waiting that `WaitTarget` tolerates, and for how long more than that.
-_TARGET_S = 0.02
+#: Queueing delay that `WaitTarget` tolerates, and for how long the delay may exceed it, in seconds.
+_TARGET_WAIT_S = 0.02
 _INTERVAL_S = 0.1
 
 
 class AdmitAll(Admission):
-    """Let every request go on at once."""
+    """Admit every request at once."""
 
     def update_limits(self, now: float) -> None:
-        """Leave all pools without a limit."""
+        """Leave all pools unlimited."""
 
 
 class FixedLimit(Admission):
-    """Let a fixed number be in progress."""
+    """Limit every pool to the same fixed number of requests in progress."""
 
     def update_limits(self, now: float) -> None:
-        """Set the same limit for all pools of the data centre."""
+        """Set the fixed limit for all pools of the data centre."""
         for pool in self._directory.pools_of(self._data_centre):
-            pool.limit = _FIXED
+            pool.limit = _FIXED_LIMIT
 
 
-class ShareAlone(RequestsPerSlot):
-    """Let a balancer have its share of the slots and borrow nothing from neighbours."""
+class ShareWithoutBorrowing(RequestsPerSlot):
+    """Limit a balancer to its share of the slots, without borrowing from neighbours."""
 
     borrowed_share = 0
 
 
-class _AnswerTimes(Admission):
-    """Follow how long answers take, by Little's law: requests in progress by answers a second."""
+class _LatencyAdmission(Admission):
+    """Estimate latency by Little's law: requests in progress divided by answers per second."""
 
     def __init__(self, *args: object) -> None:
-        """Start with nothing known."""
+        """Start without any estimates."""
         super().__init__(*args)  # type: ignore[arg-type]
         self._answered_by_pool: dict[Pool, int] = {}
-        self._least_s_by_pool: dict[Pool, float] = {}
+        self._min_latency_s_by_pool: dict[Pool, float] = {}
         self._busy_by_pool: dict[Pool, float] = {}
         self._rate_by_pool: dict[Pool, float] = {}
         self._updated_at: float = 0
 
     def update_limits(self, now: float) -> None:
-        """Adjust the limits of the pools of the data centre."""
+        """Update the estimates of the pools of the data centre and adjust their limits."""
         elapsed_s = max(now - self._updated_at, 0.01)
         self._updated_at = now
         for pool in self._directory.pools_of(self._data_centre):
@@ -66,53 +66,53 @@
             busy = self._smooth(self._busy_by_pool, pool, pool.busy)
             if rate <= 0:
                 continue
-            took_s = busy / rate
-            least_s = min(self._least_s_by_pool.get(pool, took_s), took_s)
-            self._least_s_by_pool[pool] = least_s
-            self._adjust(pool, took_s, least_s, now)
-
-    def _smooth(self, by_pool: dict[Pool, float], pool: Pool, newest: float) -> float:
-        former = by_pool.get(pool, newest)
-        by_pool[pool] = former + (newest - former) * 0.3
+            latency_s = busy / rate
+            min_latency_s = min(self._min_latency_s_by_pool.get(pool, latency_s), latency_s)
+            self._min_latency_s_by_pool[pool] = min_latency_s
+            self._adjust(pool, latency_s, min_latency_s, now)
+
+    def _smooth(self, by_pool: dict[Pool, float], pool: Pool, latest: float) -> float:
+        previous = by_pool.get(pool, latest)
+        by_pool[pool] = previous + (latest - previous) * 0.3
         return by_pool[pool]
 
-    def _adjust(self, pool: Pool, took_s: float, least_s: float, now: float) -> None:
-        """Adjust the limit of a pool whose answers took `took_s`, at best `least_s`."""
+    def _adjust(self, pool: Pool, latency_s: float, min_latency_s: float, now: float) -> None:
+        """Adjust the limit of a pool from its latency and the lowest latency seen so far."""
 
 
-class LearnedLimit(_AnswerTimes):
-    """Learn the limit: add while answers are quick, take a fifth away when they are slow.
+class LearnedLimit(_LatencyAdmission):
+    """Adapt the limit: add while latency is low, multiply by 0.8 when it is high.
 
     Additive increase and multiplicative decrease as in "Congestion Avoidance and Control"
-    (Jacobson, SIGCOMM 1988), with the times of answers as the sign, as in "TCP Vegas"
+    (Jacobson, SIGCOMM 1988), with latency as the congestion signal, as in "TCP Vegas"
     (Brakmo and Peterson, IEEE JSAC 13(8), 1995).
     """
 
-    def _adjust(self, pool: Pool, took_s: float, least_s: float, now: float) -> None:
-        limit = min(pool.limit, _FIRST) if pool.limit == NO_LIMIT else pool.limit
-        if took_s > least_s * _TOLERATED_FACTOR:
-            pool.limit = max(_LEAST, limit * _KEPT_SHARE)
+    def _adjust(self, pool: Pool, latency_s: float, min_latency_s: float, now: float) -> None:
+        limit = min(pool.limit, _INITIAL_LIMIT) if pool.limit == NO_LIMIT else pool.limit
+        if latency_s > min_latency_s * _MAX_LATENCY_RATIO:
+            pool.limit = max(_MIN_LIMIT, limit * _DECREASE_FACTOR)
             return
-        used = pool.busy > limit / 2
-        pool.limit = limit + _ADDED * used
+        is_limit_used = pool.busy > limit / 2
+        pool.limit = limit + _INCREMENT * is_limit_used
 
 
-class WaitTarget(_AnswerTimes):
-    """Let nothing more go on while requests have waited too long at upstreams for an interval.
+class WaitTarget(_LatencyAdmission):
+    """Shrink the limit when the queueing delay at upstreams stays high for an interval.
 
-    As in "Controlling Queue Delay" (Nichols and Jacobson, ACM Queue 10(5), 2012).
+    The control law follows "Controlling Queue Delay" (Nichols and Jacobson, ACM Queue 10(5), 2012).
     """
 
     def __init__(self, *args: object) -> None:
-        """Start with nothing known."""
+        """Start without any estimates."""
         super().__init__(*args)
         self._above_since: dict[Pool, float] = {}
 
-    def _adjust(self, pool: Pool, took_s: float, least_s: float, now: float) -> None:
-        if took_s < least_s + _TARGET_S:
+    def _adjust(self, pool: Pool, latency_s: float, min_latency_s: float, now: float) -> None:
+        if latency_s < min_latency_s + _TARGET_WAIT_S:
             self._above_since.pop(pool, None)
             pool.limit = NO_LIMIT
             return
         since = self._above_since.setdefault(pool, now)
         if now >= since + _INTERVAL_S:
-            pool.limit = max(1, pool.busy * _KEPT_SHARE)
+            pool.limit = max(1, pool.busy * _DECREASE_FACTOR)
--- a/src/bronzekeel/bench/baselines.py
+++ b/src/bronzekeel/bench/baselines.py
@@ -1,7 +1,7 @@
-"""Steer by the two ways that the keeper is weighed against.
+"""Baseline steering policies that the keeper is compared with.
 
-Both decide by the view a balancer has of the text, without a word from any
-other balancer: the consistent hash alone, and the hash with a flow table.
+Both use only a balancer's own view of the text and no messages from other
+balancers: consistent hashing alone, and hashing with a local flow table.
 """
 
 from abc import ABC, abstractmethod
@@ -17,8 +17,8 @@
 
 
 @dataclass(slots=True)
-class LoneBalancer:
-    """Hold a balancer that decides by itself."""
+class IndependentBalancer:
+    """A balancer that steers without exchanging state with others."""
 
     name: str
     view_lag_s: float = 0
@@ -28,27 +28,27 @@
     upstream_by_flow: dict[int, str] = field(default_factory=dict)
 
 
-class Way(ABC):
-    """Choose the upstream of a packet from one balancer's view."""
+class SteeringPolicy(ABC):
+    """Chooses the upstream of a packet from one balancer's view."""
 
     @abstractmethod
-    def choose(self, balancer: LoneBalancer, packet: Packet) -> str:
-        """Return the endpoint that the packet goes to."""
+    def choose(self, balancer: IndependentBalancer, packet: Packet) -> str:
+        """Return the endpoint that the packet is forwarded to."""
 
 
-class HashWay(Way):
-    """Use the consistent hash alone."""
+class HashPolicy(SteeringPolicy):
+    """Steers by consistent hash alone."""
 
-    def choose(self, balancer: LoneBalancer, packet: Packet) -> str:
+    def choose(self, balancer: IndependentBalancer, packet: Packet) -> str:
         """Return the bucket's target in this balancer's view."""
         return balancer.targets[packet.hashed % len(balancer.targets)]
 
 
-class TableWay(HashWay):
-    """Use a table of the flows that this balancer has seen, else the hash."""
+class FlowTablePolicy(HashPolicy):
+    """Steers by a table of the flows that the balancer has seen, and new flows by hash."""
 
-    def choose(self, balancer: LoneBalancer, packet: Packet) -> str:
-        """Return the upstream that the flow had here before."""
+    def choose(self, balancer: IndependentBalancer, packet: Packet) -> str:
+        """Return the upstream recorded for the flow, or choose and record one by hash."""
         upstream = balancer.upstream_by_flow.get(packet.hashed)
         if upstream is None or packet.opens:
             upstream = super().choose(balancer, packet)
@@ -57,83 +57,83 @@
 
 
 class BaselineFleet(SprayedFleet):
-    """Run lone balancers in virtual time, with the operations of ``Fleet``."""
+    """Simulates independent balancers in virtual time, with the operations of ``Fleet``."""
 
     def __init__(
         self,
         hosts: Iterable[HostEntry],
         seed: int,
         sink: Sink,
-        way: Way,
+        policy: SteeringPolicy,
     ) -> None:
-        """Start a lone balancer for each of `hosts`."""
+        """Start a balancer on each of `hosts`."""
         super().__init__(seed)
         self.sink = sink
-        self.by_name: dict[str, LoneBalancer] = {}
-        self._way = way
-        self._newest: ServiceSpec | None = None
+        self.by_name: dict[str, IndependentBalancer] = {}
+        self._policy = policy
+        self._latest_spec: ServiceSpec | None = None
         self._stopping: set[str] = set()
         for host in hosts:
             self.start(host)
 
     @property
-    def running(self) -> list[LoneBalancer]:
-        """Balancers that are not dead."""
+    def running(self) -> list[IndependentBalancer]:
+        """Balancers that have not been terminated."""
         return [balancer for balancer in self.by_name.values() if not balancer.dead]
 
     @property
     def sprayed_names(self) -> list[str]:
-        """Names of the running balancers that are not being stopped."""
+        """Names of the running balancers that are not stopping."""
         return [balancer.name for balancer in self.running if balancer.name not in self._stopping]
 
     def start(self, host: HostEntry) -> None:
-        """Start a balancer that knows the newest text."""
+        """Start a balancer with the latest text."""
         self._stopping.discard(host.name)
-        balancer = LoneBalancer(host.name)
-        if self._newest is not None:
-            balancer.targets = assign(self._newest)
+        balancer = IndependentBalancer(host.name)
+        if self._latest_spec is not None:
+            balancer.targets = assign(self._latest_spec)
         self.by_name[host.name] = balancer
 
     def submit(self, catalogue: Catalogue) -> None:
-        """Let the text reach each balancer after its lag."""
-        self._newest = next(iter(catalogue.services_by_name.values()))
-        targets = assign(self._newest)
+        """Deliver the text to each balancer after that balancer's view lag."""
+        self._latest_spec = next(iter(catalogue.services_by_name.values()))
+        targets = assign(self._latest_spec)
         for balancer in self.running:
             self.at(balancer.view_lag_s, partial(self._adopt, balancer, targets))
 
     def stop(self, name: str) -> None:
-        """Stop a balancer; it has nothing to hand over."""
+        """Stop routing packets to a balancer; it has no state to hand over."""
         self._stopping.add(name)
 
     def unlist(self, name: str) -> None:
-        """End a stopped balancer."""
+        """Terminate a stopped balancer."""
         self.by_name[name].dead = True
 
     def kill(self, name: str) -> None:
-        """End a balancer without warning."""
+        """Terminate a balancer abruptly."""
         self.by_name[name].dead = True
 
     def pause(self, name: str, duration_s: float) -> None:
-        """Stop a balancer's process for a while."""
+        """Suspend a balancer's process for `duration_s` seconds."""
         self.by_name[name].paused_until = self.now + duration_s
 
     def cut(self, left: Iterable[str], right: Iterable[str]) -> None:
-        """Cut links that these ways do not use."""
+        """Do nothing: the baselines use no links between balancers."""
 
     def heal(self) -> None:
-        """Restore links that these ways do not use."""
+        """Do nothing: the baselines use no links between balancers."""
 
     def arrive(self, name: str, packet: Packet) -> None:
-        """Forward a packet as the way says."""
+        """Forward a packet, after any pause; drop it if the balancer is dead."""
         balancer = self.by_name[name]
         if balancer.dead:
             self.sink.dropped(packet, 'dead_balancer')
         elif self.now < balancer.paused_until:
             self.at(balancer.paused_until - self.now, partial(self.arrive, name, packet))
         else:
-            self.sink.forwarded(packet, self._way.choose(balancer, packet))
+            self.sink.forwarded(packet, self._policy.choose(balancer, packet))
 
-    def _adopt(self, balancer: LoneBalancer, targets: list[str]) -> None:
+    def _adopt(self, balancer: IndependentBalancer, targets: list[str]) -> None:
         if self.now < balancer.paused_until:
             wait_s = balancer.paused_until - self.now
             self.at(wait_s, partial(self._adopt, balancer, targets))
--- a/src/bronzekeel/bench/connection_id_path.py
+++ b/src/bronzekeel/bench/connection_id_path.py
@@ -1,4 +1,4 @@
-"""Set up the packet path of the lean balancer for the forward benchmark."""
+"""Packet path of the balancer that routes by connection id, for the forward benchmark."""
 
 from selectors import EVENT_READ
 
@@ -22,22 +22,22 @@
 _KEY = bytes((198, 51, 100, 10, 1, 187))
 _ACK = 128
 _FLOWS = 64
-_NUMBER = 42
+_UPSTREAM_NUMBER = 42
 
 
 class ConnectionIdPath:
-    """Hold a socket, a state with one upstream, and a batch of its flows' packets."""
+    """A packet socket, a routing state with one upstream, and a batch of packets of its flows."""
 
     def __init__(self, sink: tuple[str, int]) -> None:
-        """Let all flows have the upstream at `sink`."""
-        me = PeerAddress('a1', 'dc-a', (_LOOPBACK, 0))
-        state = RoutingState(PeerTable(me, ()), 1)
+        """Route all flows to an upstream at `sink`."""
+        own_address = PeerAddress('a1', 'dc-a', (_LOOPBACK, 0))
+        state = RoutingState(PeerTable(own_address, ()), 1)
         seal = seal_of(_KEY)
         route = Route(_KEY, (ServiceShare('portal', 1),), seal)
         state.text = RoutingText(1, 1, {_KEY: route}, 15)
         entry = UpstreamEntry(
             name='i-2a',
-            number=_NUMBER,
+            number=_UPSTREAM_NUMBER,
             service='portal',
             address=sink,
             data_centre='dc-a',
@@ -55,7 +55,7 @@
             bind_packet_port((_LOOPBACK, 0)),
             PlatformPackets(0),
             steering,
-            _refuse_fault,
+            _raise_fault,
         )
         self.port = self._socket.port
         self.packets = [
@@ -64,7 +64,7 @@
                     (_LOOPBACK, 1024 + number),
                     _SERVICE,
                     _ACK,
-                    encode_connection_id(_NUMBER, seal),
+                    encode_connection_id(_UPSTREAM_NUMBER, seal),
                     sequence=number,
                     payload=b'x' * 64,
                 ),
@@ -72,15 +72,15 @@
             for number in range(_FLOWS)
         ]
 
-    def take_batch(self) -> None:
-        """Take the packets that wait."""
+    def receive_batch(self) -> None:
+        """Receive and forward the packets queued at the socket."""
         self._socket.receive_batch(EVENT_READ)
 
     def close(self) -> None:
-        """Free the socket."""
+        """Close the socket and the event loop."""
         self._socket.close()
         self._loop.close()
 
 
-def _refuse_fault(kind: str, raw: bytes) -> None:
-    raise ValueError(f'{kind}: the benchmark sends good packets only')
+def _raise_fault(kind: str, raw: bytes) -> None:
+    raise ValueError(f'{kind}: the benchmark sends only well-formed packets')
--- a/src/bronzekeel/bench/forward.py
+++ b/src/bronzekeel/bench/forward.py
@@ -1,4 +1,4 @@
-"""Measure the real packet path against the bare receive-hash-send floor."""
+"""Compare the packet paths with a minimal loop of receive, hash and send."""
 
 from argparse import ArgumentParser, Namespace
 from collections.abc import Callable
@@ -28,16 +28,16 @@
 from bronzekeel.standins.packets import ACK, Segment, build
 
 _BATCH = 64
-_BUFFER = 4 * 1024 * 1024
+_RECEIVE_BUFFER_BYTES = 4 * 1024 * 1024
 _LOOPBACK = '127.0.0.1'
-_AIM_SETTLED = 0.6
-_AIM_UNSETTLED = 0.35
-_AIM_CONNECTION_ID = 0.7
+_MIN_SETTLED_SHARE = 0.6
+_MIN_UNSETTLED_SHARE = 0.35
+_MIN_CONNECTION_ID_SHARE = 0.7
 _SERVICE = ('198.51.100.10', 443)
 
 
 class ForwardReport(Struct, frozen=True):
-    """Hold processor time a packet, in microseconds, and shares of the floor."""
+    """Time per packet in microseconds, and the floor's time as a share of each path's."""
 
     rounds: int
     floor_us: float
@@ -53,43 +53,43 @@
 
 
 class ForwardBenchmark(Benchmark):
-    """Time batches of packets through each path, interleaved."""
+    """Times batches of packets through each path, interleaved."""
 
     name = 'forward'
-    summary = 'the packet path on loopback against a bare receive-hash-send floor'
+    summary = 'the packet path on loopback compared with a bare receive-hash-send loop'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the number of rounds."""
+        """Add the number of rounds."""
         parser.add_argument('--rounds', type=int, default=600)
 
     def run(self, options: Namespace) -> ForwardReport:
-        """Measure."""
-        bench = _Bench()
+        """Time all paths."""
+        packet_paths = _PacketPaths()
         try:
-            return bench.measure(options.rounds)
+            return packet_paths.measure(options.rounds)
         except OSError:
-            bench.close()
+            packet_paths.close()
             raise
 
 
-class _Bench:
-    """Hold the sockets and a balancer's state that packets pass through."""
+class _PacketPaths:
+    """Sockets and balancer state for each measured packet path."""
 
     def __init__(self) -> None:
         self._sink = _udp()
         self._source = _udp()
         self._floor_in = _udp()
         self._state = _ready_state(self._sink.getsockname())
-        self._steering = KeeperSteering(self._state, _ignore)
+        self._steering = KeeperSteering(self._state, _discard_effect)
         self._path = PacketSocket(_LOOPBACK, 0, self._handed_address)
         self._path.steer_by(self._steering.decide)
-        self._by_id = ConnectionIdPath(self._sink.getsockname())
+        self._connection_id_path = ConnectionIdPath(self._sink.getsockname())
         self._settled = self._packets(Stage.SETTLED)
         self._acting = self._packets(Stage.ACTING)
         self._handed = self._packets(Stage.ANNOUNCED)
 
     def measure(self, rounds: int) -> ForwardReport:
-        """Time `rounds` batches of each path in turn."""
+        """Time `rounds` batches of each path, alternating between the paths."""
         times: dict[str, list[float]] = {
             'floor': [],
             'settled': [],
@@ -105,50 +105,56 @@
             for path, packets in paths:
                 times[path].append(self._time(self._path.receive_batch, self._path.port, packets))
             times['connection_id'].append(
-                self._time(self._by_id.take_batch, self._by_id.port, self._by_id.packets),
+                self._time(
+                    self._connection_id_path.receive_batch,
+                    self._connection_id_path.port,
+                    self._connection_id_path.packets,
+                ),
             )
         self.close()
-        each = {name: median(listed) / _BATCH * 1e6 for name, listed in times.items()}
+        us_by_path = {
+            name: median(batch_times) / _BATCH * 1e6 for name, batch_times in times.items()
+        }
         shares = {
-            name: round(each['floor'] / each[name], 3)
+            name: round(us_by_path['floor'] / us_by_path[name], 3)
             for name in ('settled', 'unsettled', 'handed', 'connection_id')
         }
         return ForwardReport(
             rounds=rounds,
-            floor_us=round(each['floor'], 3),
-            settled_us=round(each['settled'], 3),
-            unsettled_us=round(each['unsettled'], 3),
-            handed_us=round(each['handed'], 3),
-            connection_id_us=round(each['connection_id'], 3),
+            floor_us=round(us_by_path['floor'], 3),
+            settled_us=round(us_by_path['settled'], 3),
+            unsettled_us=round(us_by_path['unsettled'], 3),
+            handed_us=round(us_by_path['handed'], 3),
+            connection_id_us=round(us_by_path['connection_id'], 3),
             parse_us=round(self._time_parse(), 3),
             verdict_us=round(self._time_verdict(), 3),
             observable_us=round(_time_observable(), 3),
             floor_share=shares,
-            ok=_is_met(shares),
+            ok=_meets_targets(shares),
         )
 
     def close(self) -> None:
-        """Free the sockets."""
-        for used in (self._sink, self._source, self._floor_in):
-            used.close()
+        """Close the sockets."""
+        for open_socket in (self._sink, self._source, self._floor_in):
+            open_socket.close()
         self._path.close()
-        self._by_id.close()
+        self._connection_id_path.close()
 
     def _time(
         self,
-        take: Callable[[], None],
+        receive: Callable[[], None],
         port: int,
         packets: list[bytes],
     ) -> float:
-        """Send a batch to a port, time how it is taken, and empty the sink."""
+        """Send a batch to `port`, time `receive` in seconds, and empty the sink."""
         for raw in packets:
             self._source.sendto(raw, (_LOOPBACK, port))
-        begun_at = perf_counter()
-        take()
-        passed_s = perf_counter() - begun_at
+        started_at = perf_counter()
+        receive()
+        elapsed_s = perf_counter() - started_at
         for _ in packets:
             self._sink.recv(2048)
-        return passed_s
+        return elapsed_s
 
     def _floor_batch(self) -> None:
         target = self._sink.getsockname()
@@ -161,9 +167,9 @@
         return self._sink.getsockname()
 
     def _packets(self, stage: Stage) -> list[bytes]:
-        """Return a batch of packets whose buckets are at a stage.
+        """Return a batch of packets whose buckets are at `stage`.
 
-        ANNOUNCED stands for the buckets of other keepers that are unsettled.
+        ANNOUNCED selects unsettled buckets of other keepers, whose packets are handed over.
         """
         steering = self._state.steering
         table = steering.tables_by_key[service_key(*_SERVICE)]
@@ -182,54 +188,54 @@
         return found
 
     def _time_parse(self) -> float:
-        begun_at = perf_counter()
+        started_at = perf_counter()
         for _ in range(200):
             for raw in self._settled:
                 read_packet(raw)
-        return (perf_counter() - begun_at) / 200 / _BATCH * 1e6
+        return (perf_counter() - started_at) / 200 / _BATCH * 1e6
 
     def _time_verdict(self) -> float:
         packets = list(map(read_packet, self._settled))
-        begun_at = perf_counter()
+        started_at = perf_counter()
         for _ in range(200):
             for packet in packets:
                 if isinstance(packet, Packet):
                     packet_verdict(self._state, packet, 0)
-        return (perf_counter() - begun_at) / 200 / _BATCH * 1e6
+        return (perf_counter() - started_at) / 200 / _BATCH * 1e6
 
 
 def _time_observable() -> float:
-    """Return the microseconds that one element through a bare subject takes."""
+    """Return the microseconds that one element takes through a plain ``Subject``."""
     subject: Subject[int] = Subject()
     subject.subscribe(lambda element: None)
-    begun_at = perf_counter()
+    started_at = perf_counter()
     for element in range(50_000):
         subject.on_next(element)
-    return (perf_counter() - begun_at) / 50_000 * 1e6
+    return (perf_counter() - started_at) / 50_000 * 1e6
 
 
-def _is_met(shares: dict[str, float]) -> bool:
-    if shares['settled'] < _AIM_SETTLED or shares['unsettled'] < _AIM_UNSETTLED:
+def _meets_targets(shares: dict[str, float]) -> bool:
+    if shares['settled'] < _MIN_SETTLED_SHARE or shares['unsettled'] < _MIN_UNSETTLED_SHARE:
         return False
-    return shares['connection_id'] >= _AIM_CONNECTION_ID
+    return shares['connection_id'] >= _MIN_CONNECTION_ID_SHARE
 
 
-def _ignore(effect: Effect) -> None:
-    """Leave out effects beside verdicts: they are not timed."""
+def _discard_effect(effect: Effect) -> None:
+    """Discard effects other than verdicts, which are not part of the measurement."""
 
 
 def _udp() -> socket:
-    made = socket(AF_INET, SOCK_DGRAM)
-    made.setsockopt(SOL_SOCKET, SO_RCVBUF, _BUFFER)
-    made.bind((_LOOPBACK, 0))
-    return made
+    udp_socket = socket(AF_INET, SOCK_DGRAM)
+    udp_socket.setsockopt(SOL_SOCKET, SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
+    udp_socket.bind((_LOOPBACK, 0))
+    return udp_socket
 
 
 def _ready_state(sink: tuple[str, int]) -> BalancerState:
-    """Return a ready balancer of nine whose upstreams all are the sink.
+    """Return the state of a ready balancer in a fleet of nine, with the sink as every upstream.
 
-    Its own odd buckets are acting on a change, other keepers' odd buckets are
-    announced, all others are settled.
+    Of the odd buckets, its own are at stage ACTING and those of other keepers at
+    ANNOUNCED; the even buckets are settled.
     """
     fleet = Fleet(bench_hosts(), 1)
     spec = portal(range(7))
--- a/src/bronzekeel/bench/membership.py
+++ b/src/bronzekeel/bench/membership.py
@@ -1,4 +1,4 @@
-"""Measure how soon the dead are found, and that the living are kept."""
+"""Measure how soon dead balancers are detected, and whether live ones are removed."""
 
 from argparse import ArgumentParser, Namespace
 
@@ -14,16 +14,16 @@
 _SIZES = (9, 30, 90)
 _KILLS = 3
 _STEP_S = 0.1
-_PATIENCE_S = 12.0
+_DETECTION_TIMEOUT_S = 12.0
 _STEADY_S = 10.0
 _LOST_SHARE = 0.05
 _P99 = 0.99
-_AIM_DETECT_S = 6.0
+_MAX_DETECT_S = 6.0
 _BUDGET_BYTES = 6000
 
 
 class MembershipFigures(Struct, frozen=True):
-    """Hold one size's figures, per balancer."""
+    """Results for one fleet size; bytes are per balancer."""
 
     detect_p99_s: float
     false_removals: int
@@ -31,7 +31,10 @@
 
 
 class MembershipReport(Struct, frozen=True):
-    """Hold the figures by number of members; `ok` is judged at today's size."""
+    """Results by number of members.
+
+    `ok` depends on detection time and bytes at the smallest size, and on false removals at all.
+    """
 
     figures: dict[str, MembershipFigures]
     within_budget_to: int
@@ -39,7 +42,7 @@
 
 
 def fleet_of(size: int, seed: int) -> Fleet:
-    """Return a settled fleet of `size` balancers over three data centres."""
+    """Return a fleet of `size` balancers in three data centres, after start-up."""
     hosts = [
         HostEntry(f'h{number}', f'dc-{number % 3}', '127.0.0.1', 1, 2, 3) for number in range(size)
     ]
@@ -51,7 +54,7 @@
 
 
 def bytes_per_second(fleet: Fleet, lasting_s: float) -> float:
-    """Return what a balancer sends a second while nothing happens."""
+    """Return the bytes per second that an idle balancer sends, averaged over the fleet."""
     before = sum(sum(node.bytes_by_kind.values()) for node in fleet.running)
     fleet.run(lasting_s)
     after = sum(sum(node.bytes_by_kind.values()) for node in fleet.running)
@@ -59,23 +62,25 @@
 
 
 class MembershipBenchmark(Benchmark):
-    """Kill, lose and pause at several sizes."""
+    """Kills and pauses balancers and loses messages, at several fleet sizes."""
 
     name = 'membership'
-    summary = 'time to find the dead, false removals and bytes, by size'
+    summary = 'time to detect dead balancers, false removals and bytes, by fleet size'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the seed."""
+        """Add the seed."""
         parser.add_argument('--seed', type=int, default=1)
 
     def run(self, options: Namespace) -> MembershipReport:
-        """Measure every size."""
+        """Measure every fleet size."""
         figures = {str(size): _measure(size, options.seed) for size in _SIZES}
-        within = max(size for size in _SIZES if figures[str(size)].bytes_per_s <= _BUDGET_BYTES)
-        today = figures[str(_SIZES[0])]
-        kept = today.detect_p99_s <= _AIM_DETECT_S and today.bytes_per_s <= _BUDGET_BYTES
-        kept = kept and not any(measured.false_removals for measured in figures.values())
-        return MembershipReport(figures, within, kept)
+        largest_within_budget = max(
+            size for size in _SIZES if figures[str(size)].bytes_per_s <= _BUDGET_BYTES
+        )
+        smallest = figures[str(_SIZES[0])]
+        passed = smallest.detect_p99_s <= _MAX_DETECT_S and smallest.bytes_per_s <= _BUDGET_BYTES
+        passed = passed and not any(measured.false_removals for measured in figures.values())
+        return MembershipReport(figures, largest_within_budget, passed)
 
 
 def _measure(size: int, seed: int) -> MembershipFigures:
@@ -97,7 +102,7 @@
 
 
 def _count_dead(fleet: Fleet, name: str) -> int:
-    """Return how many consider a member dead."""
+    """Return how many balancers consider a member dead."""
     return sum(
         node.state.members.by_name[name].dead
         for node in fleet.running
@@ -106,14 +111,17 @@
 
 
 def _kill(fleet: Fleet, name: str) -> list[float]:
-    """Kill a balancer; return after how long each of the others knows."""
+    """Kill a balancer; return the seconds until each other balancer considers it dead.
+
+    A balancer that doesn't detect it in time counts with the timeout.
+    """
     fleet.kill(name)
     killed_at = fleet.now
-    found: dict[str, float] = {}
-    while fleet.now < killed_at + _PATIENCE_S:
+    detected_after_s: dict[str, float] = {}
+    while fleet.now < killed_at + _DETECTION_TIMEOUT_S:
         fleet.run(_STEP_S)
         for node in fleet.running:
             if node.state.members.by_name[name].dead:
-                found.setdefault(node.name, fleet.now - killed_at)
-    missing = len(fleet.running) - len(found)
-    return [*found.values(), *(_PATIENCE_S for _ in range(missing))]
+                detected_after_s.setdefault(node.name, fleet.now - killed_at)
+    undetected = len(fleet.running) - len(detected_after_s)
+    return [*detected_after_s.values(), *(_DETECTION_TIMEOUT_S for _ in range(undetected))]
--- a/src/bronzekeel/bench/peer_bytes.py
+++ b/src/bronzekeel/bench/peer_bytes.py
@@ -1,4 +1,4 @@
-"""Count the bytes that one message between balancers takes as a gRPC call."""
+"""Counts the bytes of one message between balancers, sent as a gRPC call."""
 
 from asyncio import StreamReader, StreamWriter, gather, open_connection, sleep, start_server
 from contextlib import suppress
@@ -8,42 +8,42 @@
 
 _LOOPBACK = '127.0.0.1'
 _CALLS = 100
-_CHUNK = 65536
+_CHUNK_BYTES = 65536
 
 
 class _CountingRelay:
-    """Pass a connection's bytes on and count them, both ways."""
+    """Forwards the bytes of a connection in both directions and counts them."""
 
     def __init__(self, port: int) -> None:
-        """Pass on to `port`."""
-        self.counted = 0
+        """Forward connections to `port`."""
+        self.byte_count = 0
         self._port = port
 
     async def serve(self, reader: StreamReader, writer: StreamWriter) -> None:
-        """Pass one connection on until both sides end it."""
-        onward_reader, onward_writer = await open_connection(_LOOPBACK, self._port)
+        """Forward one connection until both sides close it."""
+        target_reader, target_writer = await open_connection(_LOOPBACK, self._port)
         await gather(
-            self._copy(reader, onward_writer),
-            self._copy(onward_reader, writer),
+            self._copy(reader, target_writer),
+            self._copy(target_reader, writer),
         )
 
     async def _copy(self, reader: StreamReader, writer: StreamWriter) -> None:
         with suppress(ConnectionResetError):
             while not reader.at_eof():
-                content = await reader.read(_CHUNK)
-                self.counted += len(content)
-                writer.write(content)
+                chunk = await reader.read(_CHUNK_BYTES)
+                self.byte_count += len(chunk)
+                writer.write(chunk)
         writer.close()
 
 
 async def peer_call_bytes() -> float:
-    """Return the bytes of a call with a message of a few bytes, both ways.
+    """Return the bytes of a call with a short message, both directions together.
 
-    Without the headers of TCP and IP.
+    Headers of TCP and IP are not included.
     """
-    taken: list[Message] = []
-    receiver = Peers(taken.append)
-    sender = Peers(taken.append)
+    received: list[Message] = []
+    receiver = Peers(received.append)
+    sender = Peers(received.append)
     relay = _CountingRelay(await receiver.open(_LOOPBACK, 0))
     await sender.open(_LOOPBACK, 0)
     server = await start_server(relay.serve, _LOOPBACK, 0)
@@ -51,11 +51,11 @@
     host = HostEntry('b1', 'dc-b', _LOOPBACK, 0, relay_port)
     for number in range(_CALLS):
         sender.send(host, JournalAck('a1', 1, number))
-        while len(taken) <= number:
+        while len(received) <= number:
             await sleep(0.001)
-    counted = relay.counted
+    byte_count = relay.byte_count
     await sender.close()
     await sleep(0.05)
     server.close()
     await receiver.close()
-    return round(counted / _CALLS, 1)
+    return round(byte_count / _CALLS, 1)
--- a/src/bronzekeel/bench/placement_policies.py
+++ b/src/bronzekeel/bench/placement_policies.py
@@ -1,4 +1,4 @@
-"""Give the placement benchmark the policies that were weighed beside the product's."""
+"""Alternative placement policies that the placement benchmark compares."""
 
 from collections.abc import Sequence
 from random import Random
@@ -8,8 +8,8 @@
 from bronzekeel.core.routing.placement import LeastBusy, Placement
 
 
-class RandomNear(Placement):
-    """Choose at random among the upstreams of the own data centre, if there are any."""
+class RandomLocal(Placement):
+    """Chooses at random among the local upstreams, or among all if there are none."""
 
     def __init__(self, data_centre: str, balance: Balance) -> None:
         """Prefer upstreams of `data_centre`."""
@@ -18,29 +18,31 @@
         self._random = Random(data_centre)
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
-        """Return any upstream that takes flows."""
-        takers = [upstream for upstream in candidates if upstream.accepts_flows(now)]
-        near = [upstream for upstream in takers if upstream.entry.data_centre == self._data_centre]
-        chosen_from = near or takers
-        return self._random.choice(chosen_from) if chosen_from else None
+        """Return a random upstream that accepts flows."""
+        accepting = [upstream for upstream in candidates if upstream.accepts_flows(now)]
+        local = [
+            upstream for upstream in accepting if upstream.entry.data_centre == self._data_centre
+        ]
+        choices = local or accepting
+        return self._random.choice(choices) if choices else None
 
 
-class OwnSight(LeastBusy):
-    """Choose the least busy upstream by own sight alone."""
+class OwnCountsOnly(LeastBusy):
+    """Chooses the least busy upstream by the balancer's own counts alone."""
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
-        """Return the least busy without what peers tell."""
+        """Return the least busy upstream, ignoring the load that peers report."""
         listed = list(candidates)
         for upstream in listed:
             upstream.shared_load = 0
         return super().choose(listed, now)
 
 
-class Summed(LeastBusy):
-    """Choose the least busy upstream with all that peers see in progress added up."""
+class SummedCounts(LeastBusy):
+    """Chooses the least busy upstream by the sum of its own and its peers' counts."""
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
-        """Return the least busy by the sum of all sights."""
+        """Return the least busy upstream by the sum of all balancers' counts."""
         listed = list(candidates)
         for upstream in listed:
             upstream.shared_load = upstream.busy_at_peers / upstream.entry.slots
@@ -48,18 +50,20 @@
 
 
 class TwoChoices(LeastBusy):
-    """Choose the less busy of two random upstreams of the own data centre."""
+    """Chooses the less busy of two random local upstreams."""
 
     def __init__(self, data_centre: str, balance: Balance) -> None:
         """Prefer upstreams of `data_centre`."""
         super().__init__(data_centre, balance)
-        self._near = data_centre
+        self._local_centre = data_centre
         self._random = Random(data_centre)
 
     def choose(self, candidates: Sequence[Upstream], now: float) -> Upstream | None:
-        """Return the better of two; other data centres only when the own has none."""
-        takers = [upstream for upstream in candidates if upstream.accepts_flows(now)]
-        near = [upstream for upstream in takers if upstream.entry.data_centre == self._near]
-        drawn_from = near or takers
-        drawn = self._random.sample(drawn_from, min(2, len(drawn_from)))
+        """Return the less busy of two; they are remote only if no local one accepts flows."""
+        accepting = [upstream for upstream in candidates if upstream.accepts_flows(now)]
+        local = [
+            upstream for upstream in accepting if upstream.entry.data_centre == self._local_centre
+        ]
+        choices = local or accepting
+        drawn = self._random.sample(choices, min(2, len(choices)))
         return super().choose(drawn, now)
--- a/src/bronzekeel/bench/start.py
+++ b/src/bronzekeel/bench/start.py
@@ -1,4 +1,4 @@
-"""Measure what a lean balancer needs from its start to its first packet."""
+"""Measure the cost of starting a balancer on the platform, up to its first packet."""
 
 from argparse import ArgumentParser, Namespace
 from asyncio import run
@@ -29,18 +29,19 @@
     ' sys.exit(serve_on_platform(sys.argv[1]))'
 )
 _BARE_CODE = 'import sys; sys.stdout.write("."); sys.stdout.flush(); sys.stdin.read()'
-_AIM_S = 0.1
-_AIM_MB = 25
+_MAX_ADDED_PROCESSOR_S = 0.1
+_MAX_MEMORY_MB = 25
 _KILO = 1024
-_TRY_S = 0.01
-_PATIENCE_TRIES = 1000
+_RETRY_S = 0.01
+_MAX_TRIES = 1000
 
 
 class StartReport(Struct, frozen=True):
-    """Hold medians from exec to the first forwarded packet.
+    """Medians from exec to the first forwarded packet.
 
-    Processor time and memory of the balancer's process, and of a bare
-    interpreter started in turn with it; `until_forwarded_s` is time on the clock.
+    Processor time and memory are those of the balancer's process, and of a bare
+    interpreter that is started alternately with it; `until_forwarded_s` is
+    wall-clock time.
     """
 
     rounds: int
@@ -54,23 +55,23 @@
 
 
 class StartBenchmark(Benchmark):
-    """Start balancers and bare interpreters in turn."""
+    """Starts balancers and bare interpreters alternately."""
 
     name = 'start'
     summary = 'processor time and memory from exec to the first forwarded packet'
 
     def add_options(self, parser: ArgumentParser) -> None:
-        """Offer the number of rounds."""
+        """Add the number of rounds."""
         parser.add_argument('--rounds', type=int, default=10)
 
     def run(self, options: Namespace) -> StartReport:
-        """Measure."""
+        """Measure all rounds in a temporary directory."""
         with TemporaryDirectory() as folder:
             return run(_measure(Path(folder), options.rounds))
 
 
 class _Usage(Struct, frozen=True):
-    """Hold what one process used; `until_forwarded_s` is zero for a bare interpreter."""
+    """Resource usage of one process; `until_forwarded_s` is zero for a bare interpreter."""
 
     processor_s: float
     memory_mb: float
@@ -78,39 +79,40 @@
 
 
 class _Site:
-    """Hold the store, an upstream and a caller around the balancers."""
+    """The store, an upstream and a caller that the measured balancers use."""
 
     def __init__(self) -> None:
         self.store = PlatformStandIn()
         self.upstream = _udp()
         self.caller = _udp()
-        self.caller.settimeout(_TRY_S)
-        self.upstream.settimeout(_TRY_S)
+        self.caller.settimeout(_RETRY_S)
+        self.upstream.settimeout(_RETRY_S)
 
     def fill_store(self) -> None:
-        """Write a text with one route and its upstream."""
+        """Store a text with one route, and the entry of its upstream."""
         self.store.put_upstream(1, 'portal', self.upstream.getsockname(), 'dc-a')
         self.store.put_text(1, {_SERVICE: 'portal'})
 
     def start_and_forward(self, settings: Path, packets: int) -> _Usage:
-        """Start a balancer; return what it used until its first packet.
+        """Start a balancer; return its resource usage until its first forwarded packet.
 
-        Packets that an earlier one held and forwarded together are left out.
+        Packets left over from the previous balancer, which forwards what it had queued at
+        once, are discarded first.
         """
-        left_over = True
-        while left_over:
-            left_over = self._is_forwarded()
-        begun_at = perf_counter()
-        process = _started(('-c', _CODE, str(settings)))
+        is_left_over = True
+        while is_left_over:
+            is_left_over = self._is_forwarded()
+        started_at = perf_counter()
+        process = _start_interpreter(('-c', _CODE, str(settings)))
         opening = build_echo(EchoSegment(self.caller.getsockname(), _SERVICE, SYN))
-        for _ in range(_PATIENCE_TRIES):
+        for _ in range(_MAX_TRIES):
             self.caller.sendto(opening, (_LOOPBACK, packets))
             if self._is_forwarded():
                 break
-        return _usage_of(process, perf_counter() - begun_at)
+        return _usage_of(process, perf_counter() - started_at)
 
     async def close(self) -> None:
-        """Free all sockets."""
+        """Close the sockets and the store."""
         self.upstream.close()
         self.caller.close()
         await self.store.close()
@@ -151,33 +153,33 @@
         memory_mb=round(memory_mb, 1),
         bare_memory_mb=round(median(usage.memory_mb for usage in bare), 1),
         until_forwarded_s=round(median(usage.until_forwarded_s for usage in balancers), 3),
-        ok=processor_s - bare_s <= _AIM_S and memory_mb <= _AIM_MB,
+        ok=processor_s - bare_s <= _MAX_ADDED_PROCESSOR_S and memory_mb <= _MAX_MEMORY_MB,
     )
 
 
 def _usage_of(process: Popen[bytes], until_forwarded_s: float = 0) -> _Usage:
-    """Return what a process has used, and end it.
+    """Return the resource usage of a process, and kill it.
 
-    Its memory is read while it runs: what is accounted at its end counts the
-    parent's memory too, which it had until its exec.
+    The peak memory is read while the process runs: the accounting at its end also
+    covers the parent's memory, which the process shared until its exec.
     """
     status = Path(f'/proc/{process.pid}/status').read_text(encoding='utf-8')
     peak = next(line for line in status.splitlines() if line.startswith('VmHWM'))
     process.kill()
-    _, _, used = wait4(process.pid, 0)
-    return _Usage(used.ru_utime + used.ru_stime, int(peak.split()[1]) / _KILO, until_forwarded_s)
+    _, _, usage = wait4(process.pid, 0)
+    return _Usage(usage.ru_utime + usage.ru_stime, int(peak.split()[1]) / _KILO, until_forwarded_s)
 
 
 def _run_bare() -> _Usage:
-    process = _started(('-c', _BARE_CODE))
+    process = _start_interpreter(('-c', _BARE_CODE))
     if process.stdout is not None:
         process.stdout.read(1)
         process.stdout.close()
     return _usage_of(process)
 
 
-def _started(arguments: tuple[str, ...]) -> Popen[bytes]:
-    """Start an interpreter as the platform does: without ``site``, modules on its path."""
+def _start_interpreter(arguments: tuple[str, ...]) -> Popen[bytes]:
+    """Start an interpreter as the platform does: without ``site``, with PYTHONPATH set."""
     packages = ':'.join(folder for folder in module_path if folder)
     return Popen(
         (executable, '-S', *arguments),
@@ -195,6 +197,6 @@
 
 
 def _udp() -> socket:
-    made = socket(AF_INET, SOCK_DGRAM)
-    made.bind((_LOOPBACK, 0))
-    return made
+    udp_socket = socket(AF_INET, SOCK_DGRAM)
+    udp_socket.bind((_LOOPBACK, 0))
+    return udp_socket
--- a/src/bronzekeel/bench/views.py
+++ b/src/bronzekeel/bench/views.py
@@ -1,4 +1,4 @@
-"""Measure what text, entries, flows and heartbeats cost a lean balancer."""
+"""Measure memory and processor time of texts, entries, flows and heartbeats."""
 
 from argparse import Namespace
 from collections.abc import Callable
@@ -23,16 +23,16 @@
 
 
 _SIZES = (1000, 4600, 9200)
-_OTHERS = 6
+_PEERS = 6
 _LOADS = 24
 _REPEATS = 2000
-_TRIES = 5
+_RUNS = 5
 _MICRO = 1_000_000
 _MILLI = 1000
 
 
 class ViewReport(Struct, frozen=True):
-    """Hold costs by size, and of one heartbeat with the most that it may hold."""
+    """Costs by size, and those of a heartbeat of maximum size."""
 
     sizes: tuple[int, ...]
     bytes_a_flow: list[float]
@@ -46,67 +46,67 @@
 
 
 class ViewBenchmark(Benchmark):
-    """Build the largest states and read them from the wire."""
+    """Builds large states and decodes them from the wire format."""
 
     name = 'views'
     summary = 'memory and processor time of text, entries, flows and heartbeats'
 
     def run(self, options: Namespace) -> ViewReport:
-        """Measure."""
+        """Measure every size."""
         texts = [encode_view(_view(size)) for size in _SIZES]
         raw = encode_heartbeat(_heartbeat())
         return ViewReport(
             sizes=_SIZES,
-            bytes_a_flow=[_held(_flows, size) for size in _SIZES],
+            bytes_a_flow=[_bytes_per_item(_flows, size) for size in _SIZES],
             bytes_a_route=[
-                round(_traced(decode_view, body) / size, 1)
+                round(_allocated_bytes(decode_view, body) / size, 1)
                 for size, body in zip(_SIZES, texts, strict=True)
             ],
-            bytes_an_entry=[_held(_directory, size) for size in _SIZES],
+            bytes_an_entry=[_bytes_per_item(_directory, size) for size in _SIZES],
             text_bytes=[len(body) for body in texts],
-            text_read_ms=[round(_timed(decode_view, body) * _MILLI, 1) for body in texts],
+            text_read_ms=[round(_min_processor_s(decode_view, body) * _MILLI, 1) for body in texts],
             heartbeat_bytes=len(raw),
             heartbeat_both_ways_us=round(_heartbeat_s() * _MICRO, 1),
             ok=True,
         )
 
 
-def _held(build: Callable[[int], object], size: int) -> float:
-    return round(_traced(build, size) / size, 1)
+def _bytes_per_item(build: Callable[[int], object], size: int) -> float:
+    return round(_allocated_bytes(build, size) / size, 1)
 
 
-def _traced(build: Callable[..., object], argument: object) -> int:
-    """Return the bytes that what `build` returns holds."""
+def _allocated_bytes(build: Callable[..., object], argument: object) -> int:
+    """Return the bytes allocated for the object that `build` returns."""
     start()
     before, _ = get_traced_memory()
-    held = build(argument)
+    built = build(argument)
     after, _ = get_traced_memory()
     stop()
-    return 0 if held is None else after - before
+    return 0 if built is None else after - before
 
 
-def _timed(call: Callable[..., object], argument: object) -> float:
-    """Return the least processor time of a few calls, in seconds."""
+def _min_processor_s(call: Callable[..., object], argument: object) -> float:
+    """Return the lowest processor time of several calls, in seconds."""
     times = []
-    for _ in range(_TRIES):
-        begun_at = process_time()
+    for _ in range(_RUNS):
+        started_at = process_time()
         call(argument)
-        times.append(process_time() - begun_at)
+        times.append(process_time() - started_at)
     return min(times)
 
 
 def _heartbeat_s() -> float:
     heartbeat = _heartbeat()
-    begun_at = process_time()
+    started_at = process_time()
     for _ in range(_REPEATS):
         decode_heartbeat(encode_heartbeat(heartbeat))
-    return (process_time() - begun_at) / _REPEATS
+    return (process_time() - started_at) / _REPEATS
 
 
 def _heartbeat() -> Heartbeat:
-    peers = [PeerAddress(f'edge-{place}', 'dc-a', ('10.0.0.1', 8166)) for place in range(_OTHERS)]
+    peers = [PeerAddress(f'edge-{index}', 'dc-a', ('10.0.0.1', 8166)) for index in range(_PEERS)]
     loads = {number << 20: 3 for number in range(1, _LOADS + 1)}
-    rates = {f'service-{place}': float(_MICRO) for place in range(MAX_RATES)}
+    rates = {f'service-{index}': float(_MICRO) for index in range(MAX_RATES)}
     shares = tuple(FlowShare(service, 'dc-b', 0.125) for service in rates)
     return Heartbeat(peers[0], _MICRO, _MICRO, loads, tuple(peers), rates, shares)
 
--- a/tests/test_moving_load.py
+++ b/tests/test_moving_load.py
@@ -248,7 +248,9 @@
         evacuated_at = load.elapsed_s + _REACTION_S
         load.fleet.run(12)
         began_at = load.fleet.now - load.elapsed_s
-        moved_at = [at - began_at for at, _, centre in load.callers.remote_opens if centre == 'dc-b']
+        moved_at = [
+            at - began_at for at, _, centre in load.callers.remote_opens if centre == 'dc-b'
+        ]
         self.assertLess(max(moved_at, default=0), evacuated_at)
         tally = load.tally_by_kind[_PATIENT.name]
         self.assertGreater(tally.earned / tally.full_worth, 0.95)
