--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -152,7 +152,9 @@
 
 
 def _shares(local_centre: str, rate_by_centre: dict[str, float]) -> dict[str, float]:
-    return shares_of(local_centre, {'a': 6, 'b': 6, 'c': 9}, rate_by_centre, EqualWork.tolerated_ratio)
+    return shares_of(
+        local_centre, {'a': 6, 'b': 6, 'c': 9}, rate_by_centre, EqualWork.tolerated_ratio
+    )
 
 
 class SharesTest(TestCase):
