--- a/src/bronzekeel/bench/connection_id_path.py
+++ b/src/bronzekeel/bench/connection_id_path.py
@@ -2,7 +2,7 @@
 
 from selectors import EVENT_READ
 
-from bronzekeel.core.routing.connection_ids import encode_connection_id, seal_of
+from bronzekeel.core.routing.connection_ids import encode_connection_id, route_tag_of
 from bronzekeel.core.routing.decisions import NoDecisionLog
 from bronzekeel.core.routing.messages import PeerAddress
 from bronzekeel.core.routing.model import Route, RoutingText, ServiceShare, UpstreamEntry
@@ -32,8 +32,8 @@
         """Let all flows have the upstream at `sink`."""
         me = PeerAddress('a1', 'dc-a', (_LOOPBACK, 0))
         state = RoutingState(PeerTable(me, ()), 1)
-        seal = seal_of(_KEY)
-        route = Route(_KEY, (ServiceShare('portal', 1),), seal)
+        route_tag = route_tag_of(_KEY)
+        route = Route(_KEY, (ServiceShare('portal', 1),), route_tag)
         state.text = RoutingText(1, 1, {_KEY: route}, 15)
         entry = UpstreamEntry(
             name='i-2a',
@@ -64,7 +64,7 @@
                     (_LOOPBACK, 1024 + number),
                     _SERVICE,
                     _ACK,
-                    encode_connection_id(_NUMBER, seal),
+                    encode_connection_id(_NUMBER, route_tag),
                     sequence=number,
                     payload=b'x' * 64,
                 ),
--- a/src/bronzekeel/bench/views.py
+++ b/src/bronzekeel/bench/views.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from bronzekeel.bench.base import Benchmark
-from bronzekeel.core.routing.connection_ids import seal_of
+from bronzekeel.core.routing.connection_ids import route_tag_of
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.flows import FlowTable
 from bronzekeel.core.routing.heartbeats import MAX_RATES
@@ -116,7 +116,7 @@
     for number in range(size):
         key = number.to_bytes(6, 'big')
         shares = (ServiceShare(f'service-{number // 3}', 1),)
-        routes[key] = Route(key, shares, seal_of(key))
+        routes[key] = Route(key, shares, route_tag_of(key))
     return View(RoutingText(1, 1, routes, 15), 1, [], [], 0)
 
 
--- a/src/bronzekeel/core/routing/balancing.py
+++ b/src/bronzekeel/core/routing/balancing.py
@@ -43,14 +43,14 @@
     The few hosts that receive the reports of other data centres compute it; the other hosts adopt
     their results.
     """
-    room = state.room
-    if now < room.reckon_at:
+    remote_capacity = state.remote_capacity
+    if now < remote_capacity.update_at:
         return
-    room.reckon_at = now + ALLOWANCE_INTERVAL_S
+    remote_capacity.update_at = now + ALLOWANCE_INTERVAL_S
     load_by_service_by_centre = state.relays.remote_loads(now)
-    room.reckons = bool(load_by_service_by_centre)
+    remote_capacity.computes_allowances = bool(load_by_service_by_centre)
     local_centre = state.peers.me.data_centre
-    if room.reckons:
+    if remote_capacity.computes_allowances:
         rates_by_centre = state.relays.remote_rates(now)
         rates_by_centre[local_centre] = rates_of_centre(state, now)
         local_allowances = allowances_of(
@@ -59,9 +59,9 @@
             load_by_service_by_centre,
             rates_by_centre,
         )
-        room.allowances = recompute_allowances(state, local_allowances, now)
+        remote_capacity.allowances = recompute_allowances(state, local_allowances, now)
     else:
-        room.allowances = state.peers.local_allowances(now)
+        remote_capacity.allowances = state.peers.local_allowances(now)
     allowances = allowances_in_force(state, now)
     services = {allowance.service for allowance in allowances}
     shares = {service: state.admission.share_of(service, now) for service in services}
--- a/src/bronzekeel/core/routing/caller_reports.py
+++ b/src/bronzekeel/core/routing/caller_reports.py
@@ -20,47 +20,47 @@
 
 
 class HeavyCaller:
-    """Hold one caller's decayed requests at a host: all (`asked`) and those admitted (`given`)."""
+    """Hold one caller's decayed requests at a host: all (`demand`) and those admitted."""
 
-    __slots__ = ('asked', 'caller', 'given')
+    __slots__ = ('admitted', 'caller', 'demand')
 
-    def __init__(self, caller: int, asked: float, given: float) -> None:
+    def __init__(self, caller: int, demand: float, admitted: float) -> None:
         """Store the figures of `caller`."""
         self.caller = caller
-        self.asked = asked
-        self.given = given
+        self.demand = demand
+        self.admitted = admitted
 
 
 class CallersReport:
     """Hold the decayed requests of all callers of a service at one host, and the heaviest callers.
 
-    `asked` counts all requests, `given` those admitted. `short` is set when requests wait there or
-    did so recently. `seen` is the bitmap of the callers that sent requests.
+    `demand` counts all requests, `admitted` those that were admitted. `short` is set when requests
+    wait there or did so recently. `seen` is the bitmap of the callers that sent requests.
     """
 
-    __slots__ = ('asked', 'given', 'heaviest', 'seen', 'short')
+    __slots__ = ('admitted', 'demand', 'heaviest', 'seen', 'short')
 
     def __init__(
         self,
         short: bool,  # noqa: FBT001 (a field of a message)
-        asked: float,
-        given: float,
+        demand: float,
+        admitted: float,
         seen: int,
         heaviest: tuple[HeavyCaller, ...] = (),
     ) -> None:
         """Store the figures."""
         self.short = short
-        self.asked = asked
-        self.given = given
+        self.demand = demand
+        self.admitted = admitted
         self.seen = seen
         self.heaviest = heaviest
 
 
 def pack_callers_report(report: CallersReport) -> bytes:
     """Return a report in its binary form."""
-    head = _HEAD.pack(report.short, _tenths(report.asked), _tenths(report.given), report.seen)
+    head = _HEAD.pack(report.short, _tenths(report.demand), _tenths(report.admitted), report.seen)
     heavy = [
-        _HEAVY.pack(heavy.caller, _tenths(heavy.asked), _tenths(heavy.given))
+        _HEAVY.pack(heavy.caller, _tenths(heavy.demand), _tenths(heavy.admitted))
         for heavy in report.heaviest[:MAX_REPORTED_CALLERS]
     ]
     return b''.join((head, *heavy))
@@ -75,12 +75,12 @@
         or heavy_bytes > MAX_REPORTED_CALLERS * _HEAVY.size
     ):
         raise ValueError(f'a report on callers cannot have {len(raw)} bytes')
-    short, asked, given, seen = _HEAD.unpack_from(raw)
+    short, demand, admitted, seen = _HEAD.unpack_from(raw)
     heaviest = tuple(
-        HeavyCaller(caller, heavy_asked / _TENTHS, heavy_given / _TENTHS)
-        for caller, heavy_asked, heavy_given in _HEAVY.iter_unpack(raw[_HEAD.size :])
+        HeavyCaller(caller, heavy_demand / _TENTHS, heavy_admitted / _TENTHS)
+        for caller, heavy_demand, heavy_admitted in _HEAVY.iter_unpack(raw[_HEAD.size :])
     )
-    return CallersReport(short, asked / _TENTHS, given / _TENTHS, seen, heaviest)
+    return CallersReport(short, demand / _TENTHS, admitted / _TENTHS, seen, heaviest)
 
 
 def _tenths(requests: float) -> int:
--- a/src/bronzekeel/core/routing/caller_shares.py
+++ b/src/bronzekeel/core/routing/caller_shares.py
@@ -177,12 +177,12 @@
         admitted = self._sketch.admitted(now)
         seen = self._sketch.seen
         for weight, report in reports:
-            demand += report.asked * weight
-            admitted += report.given * weight
+            demand += report.demand * weight
+            admitted += report.admitted * weight
             seen |= report.seen
             for heavy in report.heaviest:
-                _add(demand_by_caller, heavy.caller, heavy.asked * weight)
-                _add(self._admitted_at_peers_by_caller, heavy.caller, heavy.given * weight)
+                _add(demand_by_caller, heavy.caller, heavy.demand * weight)
+                _add(self._admitted_at_peers_by_caller, heavy.caller, heavy.admitted * weight)
         self.level = max_min_level(
             _demand_groups(demand_by_caller, demand, estimate_distinct(seen)), admitted
         )
--- a/src/bronzekeel/core/routing/caller_sketch.py
+++ b/src/bronzekeel/core/routing/caller_sketch.py
@@ -40,24 +40,24 @@
 
 
 class CallerCount:
-    """Hold the weighted counts of one caller: requests `asked` for and `given`, that is, admitted.
+    """Hold the weighted counts of one caller: its `demand` and the requests `admitted`.
 
-    `inherited` is the part of `asked` that may belong to the caller whose entry was replaced by
+    `inherited` is the part of `demand` that may belong to the caller whose entry was replaced by
     this one.
     """
 
-    __slots__ = ('asked', 'given', 'inherited')
+    __slots__ = ('admitted', 'demand', 'inherited')
 
     def __init__(self, inherited: float) -> None:
         """Start with the demand of the caller whose entry was replaced."""
-        self.asked = inherited
-        self.given: float = 0
+        self.demand = inherited
+        self.admitted: float = 0
         self.inherited = inherited
 
     def rescale(self, weight: float) -> None:
         """Divide the counts by `weight`."""
-        self.asked /= weight
-        self.given /= weight
+        self.demand /= weight
+        self.admitted /= weight
         self.inherited /= weight
 
 
@@ -99,10 +99,10 @@
         """Count one request, and whether it was admitted."""
         weight = self._weight(now)
         counted = self._by_caller.get(caller) or self._add_entry(caller)
-        counted.asked += weight
+        counted.demand += weight
         self._demand += weight
         if admitted:
-            counted.given += weight
+            counted.admitted += weight
             self._admitted += weight
         self._mark_seen(caller, now)
 
@@ -117,13 +117,13 @@
     def admitted_for(self, caller: int, now: float) -> float:
         """Return the decayed number of admitted requests of one caller."""
         counted = self._by_caller.get(caller)
-        return counted.given / self._weight(now) if counted else 0
+        return counted.admitted / self._weight(now) if counted else 0
 
     def counts(self, now: float) -> dict[int, tuple[float, float]]:
         """Return the least demand and the admitted requests by counted caller, decayed."""
         weight = self._weight(now)
         return {
-            caller: ((counted.asked - counted.inherited) / weight, counted.given / weight)
+            caller: ((counted.demand - counted.inherited) / weight, counted.admitted / weight)
             for caller, counted in self._by_caller.items()
         }
 
@@ -143,17 +143,17 @@
         self._smallest = []
         for caller, counted in list(self._by_caller.items()):
             counted.rescale(weight)
-            if counted.asked < _MIN_COUNT:
+            if counted.demand < _MIN_COUNT:
                 self._by_caller.pop(caller)
                 continue
-            self._smallest.append((counted.asked, caller))
+            self._smallest.append((counted.demand, caller))
         heapify(self._smallest)
 
     def _add_entry(self, caller: int) -> CallerCount:
         """Add an entry for a caller; in a full table it replaces that with the least demand."""
         inherited: float = 0
         if len(self._by_caller) >= MAX_COUNTED:
-            inherited = self._by_caller.pop(self._pop_least()).asked
+            inherited = self._by_caller.pop(self._pop_least()).demand
         counted = CallerCount(inherited)
         self._by_caller[caller] = counted
         heappush(self._smallest, (inherited, caller))
@@ -163,7 +163,7 @@
         """Return the caller with the least demand; counts in the heap may be out of date."""
         while True:
             demand, caller = heappop(self._smallest)
-            newest = self._by_caller[caller].asked
+            newest = self._by_caller[caller].demand
             if newest <= demand:
                 return caller
             heappush(self._smallest, (newest, caller))
--- a/src/bronzekeel/core/routing/cold_starts.py
+++ b/src/bronzekeel/core/routing/cold_starts.py
@@ -9,9 +9,8 @@
 request per 2.5 s, and the rate would still be exceeded when the hosts send at the same time.
 
 Instead a single host of the upstream's data centre sends to it.  Rendezvous hashing of the names
-of host and upstream selects it among all hosts heard from in the last minute.  If the selected
-host is dead, the upstream gets no flows while it is cold; a partitioned host does not replace
-another.
+of host and upstream selects it among all hosts seen in the last minute.  If the selected host is
+dead, the upstream gets no flows while it is cold; a partitioned host does not replace another.
 """
 
 from collections import deque
@@ -126,7 +125,7 @@
         self._prune_above = max(_MAX_RECORDS, 2 * len(self._record_by_name))
 
     def _is_sender(self, upstream: Upstream, now: float) -> bool:
-        """Whether this host is the selected sender among all hosts heard from recently."""
+        """Whether this host is the selected sender among all hosts seen recently."""
         me = self._peers.me
         if upstream.entry.data_centre != me.data_centre or now < self._started_at + SETTLING_S:
             return False
--- a/src/bronzekeel/core/routing/demand_meter.py
+++ b/src/bronzekeel/core/routing/demand_meter.py
@@ -77,10 +77,10 @@
         return True
 
 
-def total_demand(asked: Iterable[Mapping[str, ServiceDemand]]) -> dict[str, ServiceDemand]:
+def total_demand(demands: Iterable[Mapping[str, ServiceDemand]]) -> dict[str, ServiceDemand]:
     """Return the total demand on several balancers."""
     total: dict[str, ServiceDemand] = {}
-    for demand_by_service in asked:
+    for demand_by_service in demands:
         for service, one in demand_by_service.items():
             known = total.get(service, ServiceDemand(0, 0))
             total[service] = ServiceDemand(known.rate + one.rate, known.unserved + one.unserved)
--- a/src/bronzekeel/core/routing/directory.py
+++ b/src/bronzekeel/core/routing/directory.py
@@ -208,7 +208,7 @@
     def forget_old(self, now: float) -> None:
         """Remove upstreams that have been gone for long, and halve the request counts of all."""
         for name, upstream in list(self.by_name.items()):
-            upstream.asked /= 2
+            upstream.recent_requests /= 2
             if upstream.missing_at is None or now < upstream.missing_at + RETENTION_S:
                 continue
             self._remove(name)
--- a/src/bronzekeel/core/routing/flows.py
+++ b/src/bronzekeel/core/routing/flows.py
@@ -287,7 +287,7 @@
         if not flow.busy and flow.upstream is not None:
             flow.busy = True
             flow.upstream.busy_flows += 1
-            flow.upstream.asked += 1
+            flow.upstream.recent_requests += 1
             if flow.upstream.pool.callers is not None:
                 flow.upstream.pool.callers.note(flow.key, now, admitted=True)
             self.lengths.note_request(flow.key)
--- a/src/bronzekeel/core/routing/heartbeats.py
+++ b/src/bronzekeel/core/routing/heartbeats.py
@@ -64,7 +64,7 @@
         },
         evacuated=_announced_evacuated(state),
         demand_by_service=centre_demand(state, now),
-        unheard=tuple(sorted(state.demand.moving.unheard.names)),
+        unheard=tuple(sorted(state.demand.moving.lost_centres.names)),
         direct=state.is_direct(now),
         lost=state.is_lost,
         stopping=state.stopping.is_requested,
@@ -90,7 +90,9 @@
         state.peers.peers_to_name(state.peers.me.data_centre, now),
         _largest(state.balance.meter.by_service, MAX_RATES),
         shares_to_report(state),
-        allowances=state.room.allowances if state.room.reckons else None,
+        allowances=state.remote_capacity.allowances
+        if state.remote_capacity.computes_allowances
+        else None,
         unanswered_by_number=unresponsive_upstreams(state, now),
         callers_by_service=state.demand.callers.reports(
             state.directory.pools_of(state.peers.me.data_centre),
--- a/src/bronzekeel/core/routing/load_moves.py
+++ b/src/bronzekeel/core/routing/load_moves.py
@@ -30,12 +30,12 @@
     if not services:
         return []
     requests_by_service = state.flows.requests_by_service
-    if moving.asked.sample(services, requests_by_service, state.directory, now):
+    if moving.demand_meter.sample(services, requests_by_service, state.directory, now):
         moving.load_by_service = _local_loads(state, services)
         moving.remote_changes.note(moving.full_services(), now)
-        moving.unheard.note(centres_reporting(state, now), now)
+        moving.lost_centres.note(centres_reporting(state, now), now)
     moving.local_changes.note(_levels_for_peers(state, services), now)
-    return moving.departures.poll(now)
+    return moving.remote_flows.poll(now)
 
 
 def expedite_allowances(state: RoutingState, heartbeat: Heartbeat) -> None:
@@ -43,14 +43,14 @@
     has_allowances = heartbeat.allowances is not None
     is_remote = heartbeat.sender.data_centre != state.peers.me.data_centre
     if state.controls_demand and heartbeat.demand_by_service and (has_allowances or is_remote):
-        state.room.reckon_at = 0
+        state.remote_capacity.update_at = 0
 
 
 def needs_frequent_reports(state: RoutingState, now: float) -> bool:
     """Whether other data centres get reports more often than in calm periods."""
     if state.directory.is_queueing(state.peers.me.data_centre, now):
         return True
-    if not state.demand.moving.asked.by_service:
+    if not state.demand.moving.demand_meter.by_service:
         return False
     frequent_until = state.demand.moving.remote_changes.changed_at + QUEUEING_RELAY_S
     return now < frequent_until or has_unserved_demand(state, now)
@@ -187,12 +187,14 @@
     Where demand is not controlled, they are all from one source.
     """
     if not state.controls_demand:
-        return state.room.allowances
+        return state.remote_capacity.allowances
     by_target: dict[tuple[str, str], Allowance] = {}
     for peer in _recent_peers(state, now):
         for reported in (peer.heartbeat and peer.heartbeat.allowances) or ():
             by_target[(reported.service, reported.data_centre)] = reported
-    for own in state.room.allowances if state.room.reckons else ():
+    for own in (
+        state.remote_capacity.allowances if state.remote_capacity.computes_allowances else ()
+    ):
         by_target[(own.service, own.data_centre)] = own
     return tuple(by_target.values())
 
@@ -211,8 +213,8 @@
     }
     own = (centre_demand(state, now) or {}).get(service, _NO_DEMAND)
     capacity_by_centre = state.directory.pool_members.capacity_by_centre(service)
-    room = state.demand.moving.room
-    return room.allowances_of(
+    remote_allowances = state.demand.moving.remote_allowances
+    return remote_allowances.allowances_of(
         service, local_centre, own.rate, report_by_centre, capacity_by_centre, now
     )
 
@@ -221,7 +223,7 @@
     demand = (heartbeat.demand_by_service or {}).get(service, _NO_DEMAND)
     load = heartbeat.load_by_service.get(service, 0)
     return CentreReport(
-        load, demand.rate, demand.unserved, hears=local_centre not in heartbeat.unheard
+        load, demand.rate, demand.unserved, receives_reports=local_centre not in heartbeat.unheard
     )
 
 
@@ -239,8 +241,8 @@
         service: sum(pool.waiting for pool in state.directory.pools_by_service[service].values())
         for service in services
     }
-    if state.room.reckons:
-        for allowance in state.room.allowances:
+    if state.remote_capacity.computes_allowances:
+        for allowance in state.remote_capacity.allowances:
             levels[(allowance.service, allowance.data_centre)] = allowance.requests
     for share in state.demand.moving.computed_shares:
         levels[(share.service, share.data_centre, _SHARE)] = share.share * _SHARE_SCALE
--- a/src/bronzekeel/core/routing/load_reports.py
+++ b/src/bronzekeel/core/routing/load_reports.py
@@ -26,7 +26,7 @@
     """
     if not controlled_services(state):
         return None
-    return _largest(state.demand.moving.asked.by_service or {})
+    return _largest(state.demand.moving.demand_meter.by_service or {})
 
 
 def centre_demand(state: RoutingState, now: float) -> dict[str, ServiceDemand] | None:
--- a/src/bronzekeel/core/routing/model.py
+++ b/src/bronzekeel/core/routing/model.py
@@ -45,22 +45,22 @@
     route without homes may lead to any region.
     """
 
-    __slots__ = ('homes', 'key', 'objective_s', 'priority', 'seal', 'shares', 'timeout_s')
+    __slots__ = ('homes', 'key', 'objective_s', 'priority', 'route_tag', 'shares', 'timeout_s')
 
     def __init__(
         self,
         key: bytes,
         shares: tuple[ServiceShare, ...],
-        seal: int,
+        route_tag: int,
         priority: int = 0,
         timeout_s: float = DEFAULT_TIMEOUT_S,
         homes: frozenset[str] = ANY_REGION,
         objective_s: float = 0,
     ) -> None:
-        """Store the route; `seal` marks its connection ids."""
+        """Store the route; `route_tag` marks its connection ids."""
         self.key = key
         self.shares = shares
-        self.seal = seal
+        self.route_tag = route_tag
         self.priority = priority
         self.timeout_s = timeout_s
         self.homes = homes
@@ -212,16 +212,15 @@
     `busy_at_peers` is what other balancers of the data centre count, and `shared_load` the
     resulting load per slot.  `unanswered` counts consecutive opening packets without an answer,
     after which it gets no new flows before `avoided_until`; `unresponsive_until` is the same from
-    own observations alone.  The last answer was at `answered_at`.  `asked` counts the recent
-    requests that this balancer forwarded, including new flows.  `pool` counts what is in progress
-    at all upstreams of its service in its data centre.  `speed` is its speed relative to the mean
-    of its service, one unless it was learned.  `spare` is the capacity that its open flows leave,
-    None if unknown.
+    own observations alone.  The last answer was at `answered_at`.  `recent_requests` counts the
+    requests that this balancer forwarded recently, including new flows.  `pool` counts what is in
+    progress at all upstreams of its service in its data centre.  `speed` is its speed relative to
+    the mean of its service, one unless it was learned.  `spare` is the capacity that its open flows
+    leave, None if unknown.
     """
 
     __slots__ = (
         'answered_at',
-        'asked',
         'avoided_until',
         'busy_at_peers',
         'busy_flows',
@@ -231,6 +230,7 @@
         'missing_at',
         'open_flows',
         'pool',
+        'recent_requests',
         'removed_revision',
         'shared_load',
         'spare',
@@ -257,7 +257,7 @@
         self.avoided_until: float = 0
         self.unresponsive_until: float = 0
         self.answered_at: float = 0
-        self.asked: float = 0
+        self.recent_requests: float = 0
         self.speed: float = 1
         self.spare: float | None = None
 
--- a/src/bronzekeel/core/routing/moving_load.py
+++ b/src/bronzekeel/core/routing/moving_load.py
@@ -14,7 +14,6 @@
 from bronzekeel.core.routing.balance import MIN_RATE, shares_of
 from bronzekeel.core.routing.change_trigger import ChangeTrigger
 from bronzekeel.core.routing.demand_meter import DemandMeter
-from bronzekeel.core.routing.departures import Departures
 from bronzekeel.core.routing.messages import Allowance, FlowShare
 from bronzekeel.core.routing.overflow import (
     ACCEPTING_LOAD,
@@ -24,6 +23,7 @@
 )
 from bronzekeel.core.routing.peers import FORGET_S
 from bronzekeel.core.routing.pools import REQUESTS_PER_SLOT
+from bronzekeel.core.routing.remote_flows import RemoteFlows
 
 
 #: Seconds for which a report of free capacity from another data centre or a neighbour is valid.
@@ -76,18 +76,18 @@
     """Hold what another data centre reported of one service.
 
     `load` is its local callers' requests in progress a slot, `rate` their demand in requests a
-    second, `unserved` their requests that wait or were refused, and `hears` whether it receives the
-    reports of this data centre.
+    second, `unserved` their requests that wait or were refused, and `receives_reports` whether it
+    receives the reports of this data centre.
     """
 
-    __slots__ = ('hears', 'load', 'rate', 'unserved')
+    __slots__ = ('load', 'rate', 'receives_reports', 'unserved')
 
-    def __init__(self, load: float, rate: float, unserved: int, *, hears: bool) -> None:
+    def __init__(self, load: float, rate: float, unserved: int, *, receives_reports: bool) -> None:
         """Store the reported figures."""
         self.load = load
         self.rate = rate
         self.unserved = unserved
-        self.hears = hears
+        self.receives_reports = receives_reports
 
     def free_capacity_of(self, capacity: float) -> float:
         """Return how many requests upstreams of some `capacity` can accept."""
@@ -97,35 +97,36 @@
 class MovingLoad:
     """Hold the state of load that moves between data centres.
 
-    `load_by_service` has the local requests in progress a slot at the last sample. `asked` measures
-    the demand, `departures` counts the flows sent to other data centres. `local_changes` and
-    `remote_changes` detect what neighbours and other data centres should receive early.
+    `load_by_service` has the local requests in progress a slot at the last sample. `demand_meter`
+    measures the demand, `remote_flows` counts the flows sent to other data centres. `local_changes`
+    and `remote_changes` detect what neighbours and other data centres should receive early.
+    `lost_centres` has the data centres whose reports stopped.
     """
 
     __slots__ = (
         '_full',
-        'asked',
         'computed_shares',
-        'departures',
+        'demand_meter',
         'load_by_service',
         'local_changes',
+        'lost_centres',
+        'remote_allowances',
         'remote_changes',
-        'room',
+        'remote_flows',
         'shares',
-        'unheard',
     )
 
     def __init__(self) -> None:
         """Start with nothing known."""
-        self.asked = DemandMeter()
+        self.demand_meter = DemandMeter()
         self.load_by_service: dict[str, float] = {}
         self._full: dict[str, float] = {}
-        self.departures = Departures()
+        self.remote_flows = RemoteFlows()
         self.local_changes: ChangeTrigger[LevelKey] = ChangeTrigger(MIN_CHANGE, MIN_CHANGE_SHARE)
         self.remote_changes: ChangeTrigger[str] = ChangeTrigger(1, 0)
-        self.room = RemoteAllowances()
+        self.remote_allowances = RemoteAllowances()
         self.shares = SurgeShares()
-        self.unheard = LostCentres()
+        self.lost_centres = LostCentres()
         self.computed_shares: tuple[FlowShare, ...] = ()
 
     def is_full(self, service: str) -> bool:
@@ -242,7 +243,9 @@
         for centre, report in report_by_centre.items():
             free = report.free_capacity_of(capacity_by_centre.get(centre, 0)) / sharers
             due = max(free, claims.get(centre, 0) * REQUESTS_PER_SLOT)
-            requests = self._ramped_up((service, centre), due if report.hears else 0, elapsed_s)
+            requests = self._ramped_up(
+                (service, centre), due if report.receives_reports else 0, elapsed_s
+            )
             allowances.append(Allowance(service, centre, requests))
         return allowances
 
--- a/src/bronzekeel/core/routing/overflow.py
+++ b/src/bronzekeel/core/routing/overflow.py
@@ -40,16 +40,17 @@
 class RemoteCapacity:
     """Hold the allowances in other data centres, as computed here or reported last.
 
-    This balancer computes them itself (`reckons`) when other data centres report their loads to it.
+    This balancer computes them itself (`computes_allowances`) when other data centres report their
+    loads to it.
     """
 
-    __slots__ = ('allowances', 'reckon_at', 'reckons')
+    __slots__ = ('allowances', 'computes_allowances', 'update_at')
 
     def __init__(self) -> None:
         """Start without allowances."""
         self.allowances: tuple[Allowance, ...] = ()
-        self.reckon_at: float = 0
-        self.reckons = False
+        self.update_at: float = 0
+        self.computes_allowances = False
 
 
 def allowances_of(
--- a/src/bronzekeel/core/routing/peer_exchange.py
+++ b/src/bronzekeel/core/routing/peer_exchange.py
@@ -45,7 +45,7 @@
 #: a third of the shortest bound on a change (3 s).
 MAX_BEHIND_S = 1.0
 
-#: Seconds from a start in which the store may answer before another data centre is asked: fifty
+#: Seconds from a start in which the store may answer before another data centre is queried: fifty
 #: times the usual answer time of the users' store. Without this, each of hundreds of starting
 #: hosts fetches a view of all upstreams across data centres although the store is about to list
 #: them.
@@ -232,11 +232,11 @@
         seen = known.removals_revision if withheld else known.upstreams_revision
         if whole or upstream.entry.revision > seen:
             entries.append(upstream.entry)
-    # Doubted entries come last: before the valid ones they would count as newer.
+    # Unconfirmed entries come last: before the valid ones they would count as newer.
     entries.extend(
-        doubted
-        for doubted in state.directory.unconfirmed_entries
-        if doubted.revision > known.upstreams_revision
+        unconfirmed_entry
+        for unconfirmed_entry in state.directory.unconfirmed_entries
+        if unconfirmed_entry.revision > known.upstreams_revision
     )
     return entries
 
@@ -257,8 +257,9 @@
 def _apply_evacuations(state: RoutingState, heartbeat: Heartbeat, now: float) -> list[Effect]:
     """Apply the evacuations that a peer reports.
 
-    The watch of this host has to report the same soon, or it is doubted. Changes that come from
-    another data centre are announced at once, because all hosts of this data centre wait for them.
+    The watch of this host has to report the same soon, or it counts as stalled. Changes that come
+    from another data centre are announced at once, because all hosts of this data centre wait for
+    them.
     """
     known = state.evacuated.centres
     effects = apply_evacuated(state, heartbeat.evacuated, heartbeat.sender.name, now)
@@ -282,9 +283,9 @@
 def _note_changes(state: RoutingState, known: tuple[int, int], now: float) -> list[Effect]:
     """Handle what a view added to the `known` revisions of text and upstreams.
 
-    The watches of this host have to report the same soon, or they are doubted. Changes that come
-    from another data centre are announced at once, because all hosts of this data centre wait for
-    them.
+    The watches of this host have to report the same soon, or they count as stalled. Changes that
+    come from another data centre are announced at once, because all hosts of this data centre wait
+    for them.
     """
     text_order, upstreams_revision = known
     followers = state.follower_by_collection
--- a/src/bronzekeel/core/routing/placement.py
+++ b/src/bronzekeel/core/routing/placement.py
@@ -127,7 +127,7 @@
 
 
 def _recent_requests(upstream: Upstream) -> float:
-    return upstream.asked
+    return upstream.recent_requests
 
 
 def load_of(upstream: Upstream, now: float) -> float:
--- a/src/bronzekeel/core/routing/reducer.py
+++ b/src/bronzekeel/core/routing/reducer.py
@@ -97,7 +97,7 @@
 
 
 def _on_pause(state: RoutingState, event: Paused, now: float) -> list[Effect]:
-    """Doubt what was valid before a pause until it is confirmed again.
+    """Invalidate what was known before a pause until it is confirmed again.
 
     Packets that waited through a long pause are dropped: an opening packet
     among them would open a flow that its caller has given up, and occupy a slot
--- a/src/bronzekeel/core/routing/departures.py
+++ b/src/bronzekeel/core/routing/remote_flows.py
@@ -11,7 +11,7 @@
 SENDING_ENDED_S = 3.0
 
 
-class Departure(StrEnum):
+class RemoteFlowReason(StrEnum):
     """Name why a flow goes to a remote data centre."""
 
     NO_FREE_CAPACITY = 'no_room'
@@ -20,7 +20,7 @@
     NO_UPSTREAM = 'no_upstream'
 
 
-class _RemoteFlows:
+class _OngoingFlows:
     __slots__ = ('flows', 'last_sent_at')
 
     def __init__(self) -> None:
@@ -28,25 +28,25 @@
         self.last_sent_at: float = 0
 
 
-class Departures:
+class RemoteFlows:
     """Count flows to remote data centres by reason, and track which services send some now."""
 
-    __slots__ = ('_begun_by_service', '_sending_by_service', 'flows_by_reason')
+    __slots__ = ('_sending_by_service', '_started_by_service', 'flows_by_reason')
 
     def __init__(self) -> None:
         """Start with none."""
-        self.flows_by_reason: dict[str, int] = dict.fromkeys(Departure, 0)
-        self._sending_by_service: dict[str, _RemoteFlows] = {}
-        self._begun_by_service: dict[str, Departure] = {}
+        self.flows_by_reason: dict[str, int] = dict.fromkeys(RemoteFlowReason, 0)
+        self._sending_by_service: dict[str, _OngoingFlows] = {}
+        self._started_by_service: dict[str, RemoteFlowReason] = {}
 
-    def note(self, service: str, reason: Departure, now: float) -> None:
+    def note(self, service: str, reason: RemoteFlowReason, now: float) -> None:
         """Record that a flow of `service` goes to a remote data centre."""
         self.flows_by_reason[reason] += 1
         sending = self._sending_by_service.get(service)
         if sending is None:
-            sending = _RemoteFlows()
+            sending = _OngoingFlows()
             self._sending_by_service[service] = sending
-            self._begun_by_service[service] = reason
+            self._started_by_service[service] = reason
         sending.flows += 1
         sending.last_sent_at = now
 
@@ -54,9 +54,9 @@
         """Return log lines for services that began or stopped sending flows to remote centres."""
         effects: list[Effect] = [
             WriteLine(LogNumber.SENDING_ELSEWHERE, service=service, by=reason.value)
-            for service, reason in self._begun_by_service.items()
+            for service, reason in self._started_by_service.items()
         ]
-        self._begun_by_service.clear()
+        self._started_by_service.clear()
         for service, sending in list(self._sending_by_service.items()):
             if now < sending.last_sent_at + SENDING_ENDED_S:
                 continue
--- a/src/bronzekeel/core/routing/state.py
+++ b/src/bronzekeel/core/routing/state.py
@@ -58,7 +58,7 @@
         'ready',
         'relays',
         'remote_behind_since',
-        'room',
+        'remote_capacity',
         'shared_loads',
         'started_at',
         'stopping',
@@ -97,7 +97,7 @@
         self.flows = FlowTable(self.demand.capacities.counts)
         self.shared_loads = SharedLoads()
         self.balance = Balance(peers.me.name)
-        self.room = RemoteCapacity()
+        self.remote_capacity = RemoteCapacity()
         self.waiting = WaitingRequests(order_of())
         self.overloads = OverloadWatch()
         self.admission = admission_of(
--- a/src/bronzekeel/core/routing/steering.py
+++ b/src/bronzekeel/core/routing/steering.py
@@ -5,7 +5,6 @@
 
 from bronzekeel.core.routing.connection_ids import decode_connection_id, encode_connection_id
 from bronzekeel.core.routing.decisions import Decision, DecisionLog
-from bronzekeel.core.routing.departures import Departure
 from bronzekeel.core.routing.flows import Flow
 from bronzekeel.core.routing.model import (
     FlowPacket,
@@ -16,6 +15,7 @@
 )
 from bronzekeel.core.routing.placement import Placement
 from bronzekeel.core.routing.pools import Pool
+from bronzekeel.core.routing.remote_flows import RemoteFlowReason
 from bronzekeel.core.routing.siblings import siblings_of, with_free_capacity
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.core.routing.verdicts import Deliver, Discard, Reason, Reset, Verdict, Wait
@@ -183,15 +183,17 @@
         if may_wait and not upstream.pool.has_free_capacity:
             remote = self._remote_instead_of_waiting(upstream, candidates, route, now)
             if remote is not None:
-                return self._place(packet, remote, route, text, now, Departure.NO_FREE_CAPACITY)
+                return self._place(
+                    packet, remote, route, text, now, RemoteFlowReason.NO_FREE_CAPACITY
+                )
             sibling = self._choose_sibling(route, service, text, now)
             verdict = None if sibling else self._refuse_or_queue(packet, upstream.pool, route, now)
             if verdict is not None:
                 return verdict
             upstream = sibling or upstream
         surging = self._state.balance.sends_remote(service)
-        departure = Departure.SURGE if surging else Departure.NO_UPSTREAM
-        return self._place(packet, upstream, route, text, now, departure)
+        reason = RemoteFlowReason.SURGE if surging else RemoteFlowReason.NO_UPSTREAM
+        return self._place(packet, upstream, route, text, now, reason)
 
     def _decide_repeat(self, packet: FlowPacket, route: Route, now: float) -> Verdict | None:
         """Send a repeat to the first packet's upstream, None if it needs to be placed anew."""
@@ -210,13 +212,13 @@
         route: Route,
         text: RoutingText,
         now: float,
-        departure: Departure,
+        reason: RemoteFlowReason,
     ) -> Verdict:
-        """Open a flow at `upstream`; `departure` is the reason if that is in a remote centre."""
+        """Open a flow at `upstream`; `reason` says why, if that is in a remote centre."""
         self._state.flows.place(packet.flow, upstream, now)
         crosses = upstream.entry.data_centre != self._state.peers.me.data_centre
         if crosses and self._state.controls_demand:
-            self._state.demand.moving.departures.note(upstream.entry.service, departure, now)
+            self._state.demand.moving.remote_flows.note(upstream.entry.service, reason, now)
         self._state.eligibility.note_placed(upstream, text, now)
         self._decisions.note(Decision('placed', packet, upstream.entry.name, upstream), now)
         return Deliver(upstream, _connection_id_for(upstream, route))
@@ -256,7 +258,7 @@
         upstream = self._choose_remote(candidates, now)
         if upstream is None:
             return None
-        return self._place(packet, upstream, route, text, now, Departure.ELSE_REFUSED)
+        return self._place(packet, upstream, route, text, now, RemoteFlowReason.ELSE_REFUSED)
 
     def _choose_remote(self, candidates: list[Upstream], now: float) -> Upstream | None:
         """Return a remote upstream with an allowance for further flows, None if there is none."""
@@ -321,7 +323,7 @@
     ) -> Verdict:
         if not packet.connection_id:
             return Discard(Reason.NO_CONNECTION_ID)
-        number = decode_connection_id(packet.connection_id, route.seal)
+        number = decode_connection_id(packet.connection_id, route.route_tag)
         upstream = self._state.directory.by_number.get(number)
         if may_wait and upstream is not None and self._begins_request(packet, upstream):
             if self._enqueue(packet, upstream.pool, route, now):
@@ -394,7 +396,7 @@
 
 
 def _connection_id_for(upstream: Upstream, route: Route) -> int:
-    return encode_connection_id(upstream.entry.short_number, route.seal)
+    return encode_connection_id(upstream.entry.short_number, route.route_tag)
 
 
 def _pick_service(shares: tuple[ServiceShare, ...], flow: bytes) -> str:
--- a/src/bronzekeel/entry/metrics.py
+++ b/src/bronzekeel/entry/metrics.py
@@ -130,7 +130,7 @@
         'bronzekeel_flows_sent_elsewhere_total',
         'counter',
         'Flows of demand-controlled services sent to other data centres, by reason.',
-        {**state.demand.moving.departures.flows_by_reason},
+        {**state.demand.moving.remote_flows.flows_by_reason},
     )
     page.add(
         'bronzekeel_requests_allowed_elsewhere',
--- a/src/bronzekeel/entry/packets.py
+++ b/src/bronzekeel/entry/packets.py
@@ -6,7 +6,7 @@
 from time import monotonic
 
 from bronzekeel.core.routing.flows import MAX_FLOWS, Flow
-from bronzekeel.core.routing.holding import HeldPackets
+from bronzekeel.core.routing.held_packets import HeldPackets
 from bronzekeel.core.routing.link_queue import LinkQueue, QueuedDatagram
 from bronzekeel.core.routing.model import FlowPacket, Upstream
 from bronzekeel.core.routing.steering import ConnectionIdSteering
--- a/src/bronzekeel/entry/peer_messages.py
+++ b/src/bronzekeel/entry/peer_messages.py
@@ -11,7 +11,7 @@
 from zlib import compress, decompressobj
 from zlib import error as CompressionError  # noqa: N812 (it is a class)
 
-from bronzekeel.core.routing.connection_ids import seal_of
+from bronzekeel.core.routing.connection_ids import route_tag_of
 from bronzekeel.core.routing.field_checks import (
     MAX_COLD_S,
     MAX_SLOTS,
@@ -329,7 +329,7 @@
         yield Route(
             key,
             shares,
-            seal_of(key),
+            route_tag_of(key),
             int(priority),
             _decode_number(timeout_s),
             homes,
--- a/src/bronzekeel/platform/client.py
+++ b/src/bronzekeel/platform/client.py
@@ -1,6 +1,6 @@
 """Store the product's own objects in the platform's store.
 
-A key maps to a kind and a name in the store; the bytes are kept in the object's `spec`.
+A key maps to a kind and a name in the store; the bytes are stored in the object's `spec`.
 The version of an object is the store's revision of its last change, combined with the store's
 incarnation (`core.routing.revisions`), since a restored store issues revision numbers again.
 """
--- a/src/bronzekeel/platform/objects.py
+++ b/src/bronzekeel/platform/objects.py
@@ -13,7 +13,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from bronzekeel.core.routing.connection_ids import seal_of
+from bronzekeel.core.routing.connection_ids import route_tag_of
 from bronzekeel.core.routing.effects import ReadPage, WatchChanges
 from bronzekeel.core.routing.events import (
     CallFailed,
@@ -230,7 +230,7 @@
     return Route(
         key,
         shares,
-        seal_of(key),
+        route_tag_of(key),
         int(item.get('priority') or 0),
         timeout_ms / _MS if timeout_ms > 0 else DEFAULT_TIMEOUT_S,
         frozenset(label('allowedRegions', region) for region in item.get('allowedRegions') or ()),
--- a/src/bronzekeel/replay/flow_load.py
+++ b/src/bronzekeel/replay/flow_load.py
@@ -9,7 +9,7 @@
 from functools import partial
 from itertools import cycle
 
-from bronzekeel.core.routing.connection_ids import seal_of
+from bronzekeel.core.routing.connection_ids import route_tag_of
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.model import Route, RoutingText, ServiceShare, UpstreamEntry
 from bronzekeel.replay.load_addresses import Caller, CallerList
@@ -84,7 +84,7 @@
             kind.key: Route(
                 kind.key,
                 (ServiceShare(_SERVICE, 1),),
-                seal_of(kind.key),
+                route_tag_of(kind.key),
                 kind.priority,
                 kind.timeout_s,
                 objective_s=kind.objective_s,
--- a/tests/caller_crowds.py
+++ b/tests/caller_crowds.py
@@ -19,7 +19,7 @@
 _BEGINS_S = 2
 _ENDS_S = 8
 _LASTING_S = 10
-_LOOK_S = 0.05
+_SAMPLE_INTERVAL_S = 0.05
 
 #: Parts of what a caller asks for that go on new flows and on open ones.
 _PARTS = (0.3, 0.7)
@@ -42,15 +42,15 @@
         self._load = FlowLoad(4, 4, policies, 1, kinds=usual + crowding)
         self._usual = [self._load.tally_by_kind[kind.name] for kind in usual]
         self._crowd = [self._load.tally_by_kind[kind.name] for kind in crowding]
-        self.looks = 0
-        self.waited_beside_room = 0
+        self.waiting_samples = 0
+        self.waited_beside_free_slots = 0
         self._ask(times, lasting_s)
         if disturb is not None:
             disturb(self._load)
         at_s = float(_BEGINS_S)
         while at_s < _ENDS_S:
-            self._load.fleet.at(at_s, self._look)
-            at_s += _LOOK_S
+            self._load.fleet.at(at_s, self._sample)
+            at_s += _SAMPLE_INTERVAL_S
         self._load.fleet.run(lasting_s + 6)
 
     @property
@@ -95,11 +95,11 @@
         others = [first.also_in(centre) for centre in CENTRES[1:]]
         return [Client(caller) for caller in (first, *others)]
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         for node in self._load.fleet.running:
             for pool in node.state.directory.pools_of(node.me.data_centre):
-                self.looks += bool(pool.waiting)
-                self.waited_beside_room += pool.waiting > 0 and pool.busy < pool.limit
+                self.waiting_samples += bool(pool.waiting)
+                self.waited_beside_free_slots += pool.waiting > 0 and pool.busy < pool.limit
 
 
 @cache
--- a/tests/routing_cases.py
+++ b/tests/routing_cases.py
@@ -2,7 +2,7 @@
 
 from bronzekeel.bench.admission_policies import AdmitAll
 from bronzekeel.core.routing.admission import Admission, RequestsPerSlot
-from bronzekeel.core.routing.connection_ids import seal_of
+from bronzekeel.core.routing.connection_ids import route_tag_of
 from bronzekeel.core.routing.decisions import NoDecisionLog
 from bronzekeel.core.routing.events import PageRead, StoredObject
 from bronzekeel.core.routing.follower import Collection
@@ -58,7 +58,7 @@
 
 def route(key: bytes, service: str, priority: int = 0, timeout_s: float = 1) -> Route:
     """Return a route from an address to one service."""
-    return Route(key, (ServiceShare(service, 1),), seal_of(key), priority, timeout_s)
+    return Route(key, (ServiceShare(service, 1),), route_tag_of(key), priority, timeout_s)
 
 
 def text(revision: int, *routes: Route, generation: int = 0) -> RoutingText:
--- a/tests/test_caller_shares.py
+++ b/tests/test_caller_shares.py
@@ -160,9 +160,11 @@
     def test_a_report_survives_encoding(self) -> None:
         """Guards against shares that are computed from other figures than were reported."""
         read = unpack_callers_report(pack_callers_report(self.report))
-        self.assertEqual((True, 60, 40, 0xF0F0), (read.short, read.asked, read.given, read.seen))
+        self.assertEqual(
+            (True, 60, 40, 0xF0F0), (read.short, read.demand, read.admitted, read.seen)
+        )
         heavy = read.heaviest[0]
-        self.assertEqual((_HEAVY_CALLER, 30, 20.5), (heavy.caller, heavy.asked, heavy.given))
+        self.assertEqual((_HEAVY_CALLER, 30, 20.5), (heavy.caller, heavy.demand, heavy.admitted))
 
     def test_a_report_of_another_length_is_rejected(self) -> None:
         """Guards against misreading the report of a peer of another version."""
@@ -191,7 +193,7 @@
         report = decode_heartbeat(raw).callers_by_service[PORTAL]
         self.assertEqual(
             (True, 1000, MAX_REPORTED_CALLERS),
-            (report.short, report.given, len(report.heaviest)),
+            (report.short, report.admitted, len(report.heaviest)),
         )
         with self.assertRaises(MessageError):
             decode_heartbeat(raw.replace(b'"callers":[["portal","', b'"callers":[["portal","!'))
@@ -504,8 +506,8 @@
     def test_no_request_waits_beside_free_slots(self) -> None:
         """Guards against shares that leave slots idle."""
         surge = played(20, OBJECTIVE_S)
-        self.assertGreater(surge.looks, 100)
-        self.assertEqual(0, surge.waited_beside_room)
+        self.assertGreater(surge.waiting_samples, 100)
+        self.assertEqual(0, surge.waited_beside_free_slots)
 
     def test_open_flows_do_not_starve(self) -> None:
         """Guards against requests on open flows that wait until their callers give them up."""
@@ -533,7 +535,7 @@
 
 def _patient_route() -> Route:
     plain = route(PORTAL_KEY, PORTAL, 0, TIMEOUT_S)
-    return Route(plain.key, plain.shares, plain.seal, 0, TIMEOUT_S, objective_s=OBJECTIVE_S)
+    return Route(plain.key, plain.shares, plain.route_tag, 0, TIMEOUT_S, objective_s=OBJECTIVE_S)
 
 
 def _resumed(policy: ConnectionIdSteering, now: float) -> list[str]:
@@ -545,7 +547,7 @@
     return Route(
         plain.key,
         plain.shares,
-        plain.seal,
+        plain.route_tag,
         priority,
         plain.timeout_s,
         objective_s=plain.objective_s,
--- a/tests/test_connection_ids.py
+++ b/tests/test_connection_ids.py
@@ -283,7 +283,7 @@
         state = ready_state(entry(1), entry(2))
         balancer = steering(state)
         given = id_given(balancer.decide(opening(1), 0))
-        upstream = state.directory.by_number[given ^ route(PORTAL_KEY, PORTAL).seal]
+        upstream = state.directory.by_number[given ^ route(PORTAL_KEY, PORTAL).route_tag]
         remove(state, upstream.entry, 1)
         for step in range(8):
             verdict = balancer.decide(asking(1, given, sequence=200 + step), 5 + step * 0.2)
@@ -308,7 +308,7 @@
         """An upstream that drained and left is not expected back."""
         state = ready_state(entry(1, draining=True), entry(2))
         balancer = steering(state)
-        given = entry(1).short_number ^ route(PORTAL_KEY, PORTAL).seal
+        given = entry(1).short_number ^ route(PORTAL_KEY, PORTAL).route_tag
         balancer.decide(asking(1, given), 0.5)
         remove(state, entry(1), 1)
         self.assertEqual('Reset upstream_gone', delivered_to(balancer.decide(asking(1, given), 2)))
@@ -320,7 +320,7 @@
         """
         state = ready_state(entry(1), entry(2))
         balancer = steering(state)
-        given = entry(1).short_number ^ route(PORTAL_KEY, PORTAL).seal
+        given = entry(1).short_number ^ route(PORTAL_KEY, PORTAL).route_tag
         balancer.decide(asking(1, given), 0.5)
         remove(state, entry(1), 1)
         late = 1 + WATCH_WAIT_S + ANSWER_TIMEOUT_S + 1
@@ -332,7 +332,7 @@
         """A host that started after an upstream had left resets the flows of that upstream."""
         state = ready_state(entry(2))
         balancer = steering(state)
-        given = entry(1).short_number ^ route(PORTAL_KEY, PORTAL).seal
+        given = entry(1).short_number ^ route(PORTAL_KEY, PORTAL).route_tag
         verdicts = [
             delivered_to(balancer.decide(asking(1, given), moment)) for moment in (3, 3.2, 3.6)
         ]
@@ -348,7 +348,7 @@
         successor.address = entry(1).address
         state = ready_state(entry(1), successor)
         balancer = steering(state)
-        given = entry(1).short_number ^ route(PORTAL_KEY, PORTAL).seal
+        given = entry(1).short_number ^ route(PORTAL_KEY, PORTAL).route_tag
         remove(state, entry(1), 1)
         verdict = balancer.decide(asking(1, given), 2)
         if not isinstance(verdict, Deliver):
--- a/tests/test_demand_control.py
+++ b/tests/test_demand_control.py
@@ -2,7 +2,7 @@
 
 from unittest import TestCase
 
-from bronzekeel.core.routing.connection_ids import seal_of
+from bronzekeel.core.routing.connection_ids import route_tag_of
 from bronzekeel.core.routing.demand_control import (
     MIN_OBJECTIVE_S,
     DemandControl,
@@ -19,7 +19,7 @@
 
 def _route(key: bytes, objective_s: float, *services: str) -> Route:
     shares = tuple(ServiceShare(service, 1) for service in services)
-    return Route(key, shares, seal_of(key), objective_s=objective_s)
+    return Route(key, shares, route_tag_of(key), objective_s=objective_s)
 
 
 def _text(*routes: Route) -> RoutingText:
--- a/tests/test_moving_load.py
+++ b/tests/test_moving_load.py
@@ -7,7 +7,6 @@
 from unittest import TestCase
 
 from bronzekeel.core.routing.demand_control import DemandControlMode
-from bronzekeel.core.routing.departures import Departure
 from bronzekeel.core.routing.events import Evacuation
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.load_reports import centre_demand
@@ -15,6 +14,7 @@
     REPORT_VALID_S,
 )
 from bronzekeel.core.routing.relays import RELAY_S, RELAYS
+from bronzekeel.core.routing.remote_flows import RemoteFlowReason
 from bronzekeel.replay.flow_load import CENTRES, SINGLE, FlowLoad
 from bronzekeel.replay.load_callers import RequestKind
 from bronzekeel.replay.routing_fleet import FleetPolicies, RoutingNode
@@ -253,7 +253,7 @@
         tally = load.tally_by_kind[_PATIENT.name]
         self.assertGreater(tally.earned / tally.owed, 0.95)
         reasons = _reasons(load, 'dc-b')
-        self.assertGreater(reasons[Departure.NO_UPSTREAM], 0)
+        self.assertGreater(reasons[RemoteFlowReason.NO_UPSTREAM], 0)
 
     def test_a_restarted_data_centre_reports_no_early_demand(self) -> None:
         """Guards against restarted hosts that forgot their requests and report no demand."""
@@ -292,8 +292,8 @@
 
 def _reasons(load: FlowLoad, centre: str) -> dict[str, int]:
     """Return the flows that the hosts of a data centre sent to others, by reason."""
-    reasons = dict.fromkeys(Departure, 0)
+    reasons = dict.fromkeys(RemoteFlowReason, 0)
     for node in _nodes(load, centre):
-        for reason, flows in node.state.demand.moving.departures.flows_by_reason.items():
-            reasons[Departure(reason)] += flows
+        for reason, flows in node.state.demand.moving.remote_flows.flows_by_reason.items():
+            reasons[RemoteFlowReason(reason)] += flows
     return {**reasons}
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -77,7 +77,7 @@
         Cause: limits that leave no request behind the one that is worked on.
         """
         idle = _IdleSlots(Overload4())
-        self.assertGreater(idle.looks, 100)
+        self.assertGreater(idle.waiting_samples, 100)
         self.assertLess(idle.share, 0.01)
 
     def test_the_end_of_a_burst_is_the_end_of_it(self) -> None:
@@ -140,7 +140,7 @@
         self._load.fleet.run(moment.ends_s)
 
     @property
-    def looks(self) -> int:
+    def waiting_samples(self) -> int:
         """How often requests waited in a data centre."""
         return len(self._shares)
 
--- a/tests/test_room_elsewhere.py
+++ b/tests/test_remote_capacity.py
@@ -7,7 +7,6 @@
 from bronzekeel.core.routing.change_trigger import MIN_INTERVAL_S, ChangeTrigger
 from bronzekeel.core.routing.demand_control import DemandControl, DemandControlMode
 from bronzekeel.core.routing.demand_meter import WINDOW_S, DemandMeter
-from bronzekeel.core.routing.departures import SENDING_ENDED_S, Departure, Departures
 from bronzekeel.core.routing.directory import Directory
 from bronzekeel.core.routing.effects import Effect, WriteLine
 from bronzekeel.core.routing.flow_lengths import MAX_ROUTES, FlowLengths
@@ -20,6 +19,7 @@
     RemoteAllowances,
     SurgeShares,
 )
+from bronzekeel.core.routing.remote_flows import SENDING_ENDED_S, RemoteFlowReason, RemoteFlows
 from bronzekeel.entry.peer_messages import MessageError, decode_heartbeat, encode_heartbeat
 from tests.routing_cases import (
     PORTAL,
@@ -39,20 +39,24 @@
 
     def setUp(self) -> None:
         """Start with nothing known."""
-        self.room = RemoteAllowances()
+        self.remote_allowances = RemoteAllowances()
 
     def test_allowances_grow_in_a_second_and_end_at_once(self) -> None:
         """Guards against all data centres filling a recovered one at the same moment."""
-        idle = CentreReport(0.75, 50, 0, hears=True)
+        idle = CentreReport(0.75, 50, 0, receives_reports=True)
         self.assertEqual(0, self._allowance(0, idle))
         self.assertAlmostEqual(4.5, self._allowance(RAMP_UP_S / 2, idle))
         self.assertAlmostEqual(9, self._allowance(RAMP_UP_S, idle))
-        self.assertEqual(0, self._allowance(RAMP_UP_S, CentreReport(2, 50, 0, hears=True)))
+        self.assertEqual(
+            0, self._allowance(RAMP_UP_S, CentreReport(2, 50, 0, receives_reports=True))
+        )
 
     def test_a_lost_link_has_no_allowance(self) -> None:
         """Guards against flows to a data centre that does not receive reports of this one."""
-        self._allowance(0, CentreReport(0.75, 50, 0, hears=True))
-        self.assertEqual(0, self._allowance(RAMP_UP_S, CentreReport(0.75, 50, 0, hears=False)))
+        self._allowance(0, CentreReport(0.75, 50, 0, receives_reports=True))
+        self.assertEqual(
+            0, self._allowance(RAMP_UP_S, CentreReport(0.75, 50, 0, receives_reports=False))
+        )
 
     def test_full_data_centres_share_until_they_recover(self) -> None:
         """Guards against parts that double and halve with each report."""
@@ -60,10 +64,10 @@
         parts = []
         for place, load in enumerate(loads):
             reports = {
-                'b': CentreReport(load, 50, 0, hears=True),
-                'c': CentreReport(0.75, 50, 0, hears=True),
+                'b': CentreReport(load, 50, 0, receives_reports=True),
+                'c': CentreReport(0.75, 50, 0, receives_reports=True),
             }
-            allowances = self.room.allowances_of(
+            allowances = self.remote_allowances.allowances_of(
                 PORTAL, 'a', 50, reports, _NINE_EACH, place * 2 * RAMP_UP_S
             )
             parts.append(allowances[1].requests)
@@ -73,17 +77,22 @@
 
     def test_a_claim_lasts_until_half_of_it_is_left(self) -> None:
         """Guards against a claim that comes and goes with the random variation of a second."""
-        full = {'b': CentreReport(2, 100, 5, hears=True), 'c': CentreReport(2, 100, 5, hears=True)}
+        full = {
+            'b': CentreReport(2, 100, 5, receives_reports=True),
+            'c': CentreReport(2, 100, 5, receives_reports=True),
+        }
         has_claim = []
         for place, rate in enumerate((200, 450, 350, 150)):
-            allowances = self.room.allowances_of(
+            allowances = self.remote_allowances.allowances_of(
                 PORTAL, 'a', rate, full, _NINE_EACH, place * 2 * RAMP_UP_S
             )
             has_claim.append(sum(allowance.requests for allowance in allowances) > 0)
         self.assertEqual([False, True, True, False], has_claim)
 
     def _allowance(self, now: float, report: CentreReport) -> float:
-        allowances = self.room.allowances_of(PORTAL, 'a', 50, {'b': report}, _NINE_EACH, now)
+        allowances = self.remote_allowances.allowances_of(
+            PORTAL, 'a', 50, {'b': report}, _NINE_EACH, now
+        )
         return allowances[0].requests
 
 
@@ -217,8 +226,8 @@
             unheard=('dc-c',),
         )
         back = decode_heartbeat(encode_heartbeat(sent))
-        asked = (back.demand_by_service or {})[PORTAL]
-        self.assertEqual((81, 3), (asked.rate, asked.unserved))
+        demand = (back.demand_by_service or {})[PORTAL]
+        self.assertEqual((81, 3), (demand.rate, demand.unserved))
         self.assertEqual((('dc-b',), ('dc-c',)), (back.hears, back.unheard))
         former = decode_heartbeat(encode_heartbeat(Heartbeat(me, 1, 1, {})))
         self.assertIsNone(former.demand_by_service)
@@ -228,8 +237,8 @@
         """Guards against computing with invalid figures of a peer."""
         me = PeerAddress('a1', 'dc-a', ('a1', 9))
         raw = encode_heartbeat(Heartbeat(me, 1, 1, {}, demand_by_service={}))
-        for asked in ('5', '[["portal",-1,0]]', '[["portal",1e999,0]]', '[["portal",1,-1]]'):
-            broken = raw.replace(b'"asked":[]', f'"asked":{asked}'.encode())
+        for demand in ('5', '[["portal",-1,0]]', '[["portal",1e999,0]]', '[["portal",1,-1]]'):
+            broken = raw.replace(b'"asked":[]', f'"asked":{demand}'.encode())
             self.assertNotEqual(raw, broken)
             with self.assertRaises(MessageError):
                 decode_heartbeat(broken)
@@ -278,8 +287,8 @@
         self._open(1)
         resumed = list(self.policy.resume(0.41))
         self.assertEqual([entry(2).name], [delivered_to(verdict) for _, verdict in resumed])
-        departures = self.state.demand.moving.departures
-        self.assertEqual(1, departures.flows_by_reason[Departure.ELSE_REFUSED])
+        remote_flows = self.state.demand.moving.remote_flows
+        self.assertEqual(1, remote_flows.flows_by_reason[RemoteFlowReason.ELSE_REFUSED])
 
     def test_a_flow_without_local_upstreams_finds_capacity(self) -> None:
         """Guards against callers of an evacuated data centre that wait for one that is full."""
@@ -302,7 +311,7 @@
         """Guards against waits of flows whose service's demand is not controlled."""
         self.state.demand.control = DemandControl(DemandControlMode.NEVER)
         self.assertEqual(entry(2).name, self._open(1))
-        self.assertEqual(0, sum(self.state.demand.moving.departures.flows_by_reason.values()))
+        self.assertEqual(0, sum(self.state.demand.moving.remote_flows.flows_by_reason.values()))
 
     def _open(self, number: int) -> str:
         return delivered_to(self.policy.decide(opening(number), 0))
@@ -352,15 +361,15 @@
 
     def test_a_surge_logs_two_lines(self) -> None:
         """Guards against a line for each flow that moves."""
-        departures = Departures()
+        remote_flows = RemoteFlows()
         effects: list[Effect] = []
         for place in range(50):
-            departures.note(PORTAL, Departure.NO_FREE_CAPACITY, place / 10)
-            effects.extend(departures.poll(place / 10))
-        effects.extend(departures.poll(5 + SENDING_ENDED_S))
+            remote_flows.note(PORTAL, RemoteFlowReason.NO_FREE_CAPACITY, place / 10)
+            effects.extend(remote_flows.poll(place / 10))
+        effects.extend(remote_flows.poll(5 + SENDING_ENDED_S))
         lines = [line for line in effects if isinstance(line, WriteLine)]
         numbers = [line.number for line in lines]
         ended = LogNumber.SENDING_ELSEWHERE_ENDED
         self.assertEqual([LogNumber.SENDING_ELSEWHERE, ended], numbers)
         self.assertEqual(50, lines[1].fields['flows'])
-        self.assertEqual(50, departures.flows_by_reason[Departure.NO_FREE_CAPACITY])
+        self.assertEqual(50, remote_flows.flows_by_reason[RemoteFlowReason.NO_FREE_CAPACITY])
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -3,7 +3,7 @@
 from unittest import TestCase
 
 from bronzekeel.core.routing.admission import RequestsPerSlot
-from bronzekeel.core.routing.connection_ids import seal_of
+from bronzekeel.core.routing.connection_ids import route_tag_of
 from bronzekeel.core.routing.events import PageRead
 from bronzekeel.core.routing.follower import Collection
 from bronzekeel.core.routing.model import Route, ServiceShare
@@ -31,7 +31,7 @@
 def _text_page(objective_s: float, intake_weight: int) -> PageRead:
     """Return a text with one route, to the portal and, by `intake_weight`, to the intake."""
     shares = (ServiceShare(PORTAL, 1000), ServiceShare(INTAKE, intake_weight))
-    route = Route(PORTAL_KEY, shares, seal_of(PORTAL_KEY), objective_s=objective_s)
+    route = Route(PORTAL_KEY, shares, route_tag_of(PORTAL_KEY), objective_s=objective_s)
     return page(Collection.TEXT, text(2, route))
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,7 +11,7 @@
 from bronzekeel.core.routing.effects import DropWaiting
 from bronzekeel.core.routing.events import Paused
 from bronzekeel.core.routing.follower import Collection
-from bronzekeel.core.routing.holding import HOLD_S, MAX_HELD_PACKETS, HeldPackets
+from bronzekeel.core.routing.held_packets import HOLD_S, MAX_HELD_PACKETS, HeldPackets
 from bronzekeel.core.routing.reducer import STALE_PAUSE_S, reduce
 from bronzekeel.core.routing.state import RoutingState
 from bronzekeel.entry.early_port import bind_early
--- a/tests/test_silence.py
+++ b/tests/test_unresponsive_upstreams.py
@@ -69,8 +69,8 @@
         self.steering = steering(self.state)
         first, second = (self.state.directory.by_name[entry(number).name] for number in (1, 2))
         _open(self.state, 1, 'i-00000001', answered=True, now=0)
-        second.asked = 0
-        first.asked = 9
+        second.recent_requests = 0
+        first.recent_requests = 9
         self.steering.decide(opening(2), 0.1)
         reduce(self.state, Ticked(), 0.3)
 
@@ -95,13 +95,13 @@
         """A neighbour avoids the upstream for as long as after its own detection."""
         other = ready_state(entry(1), entry(2), now=9)
         _apply_report(other, {entry(2).short_number: 1}, 10)
-        other.directory.by_name['i-00000001'].asked = 9
+        other.directory.by_name['i-00000001'].recent_requests = 9
         deciding = steering(other)
         self.assertEqual('i-00000001', delivered_to(deciding.decide(opening(1), 10.1)))
         later = 10 + AVOID_S
-        other.directory.by_name['i-00000002'].asked = 0
+        other.directory.by_name['i-00000002'].recent_requests = 0
         other.flows.drop(opening(1).flow)
-        other.directory.by_name['i-00000001'].asked = 9
+        other.directory.by_name['i-00000001'].recent_requests = 9
         self.assertEqual('i-00000002', delivered_to(deciding.decide(opening(2), later)))
 
     def test_own_observation_takes_precedence(self) -> None:
@@ -139,7 +139,7 @@
     """Open a flow at an upstream, which answers if `answered`."""
     others = [other for name, other in state.directory.by_name.items() if name != upstream]
     for other in others:
-        other.asked = 99
+        other.recent_requests = 99
     deciding = steering(state)
     connection_id = id_given(deciding.decide(opening(number), now))
     if answered:
