--- a/src/bronzekeel/core/routing/messages.py
+++ b/src/bronzekeel/core/routing/messages.py
@@ -91,8 +91,8 @@
     there, per slot.  `allowances` state the free capacity of other data centres, None if it lacks
     their reports.  `unanswered_by_number` has the number of consecutive unanswered opening packets
     of upstreams, by their short numbers.  `evacuated` has all evacuations that it knows, so that
-    nobody has to ask.  `callers_by_service` has the demand of callers of overloaded services
-    and their admitted requests.  `counts` are the answers that the sender observed since its last
+    they need not be requested.  `callers_by_service` has the demand of callers of overloaded
+    services and their admitted requests.  `counts` are the answers that the sender observed since its last
     heartbeat to neighbours, None if there are none.  `others` are peers that it knows.
     `demand_by_service` has its callers' demand for services whose demand is controlled, or in
     messages to other data centres that of its whole data centre; None if not known yet.
--- a/src/bronzekeel/core/routing/peer_exchange.py
+++ b/src/bronzekeel/core/routing/peer_exchange.py
@@ -51,7 +51,7 @@
 #: them.
 STORE_GRACE_S = 0.2
 
-#: Seconds for which another data centre must have known more before it is asked. The local watch
+#: Seconds for which another data centre must have known more before it is queried. The local watch
 #: reports a change within 0.25 s of a remote one, even if the store is sixty times slower than its
 #: usual 4 ms; this is twice that.
 REMOTE_GRACE_S = 0.5
@@ -203,10 +203,10 @@
 def view_since(state: RoutingState, known: KnownVersions, now: float) -> View:
     """Return what this balancer knows beyond what is `known`.
 
-    Peers that have not asked yet also get what the store's listing does not contain: upstreams that
-    are no longer listed, and those whose entries became unreadable. A peer that knows only a former
-    incarnation of the store gets everything that is listed, because what the store has lost has no
-    revision.
+    Peers that have not received a view yet also get what the store's listing does not contain:
+    upstreams that are no longer listed, and those whose entries became unreadable. A
+    peer that knows only a former incarnation of the store gets everything that is listed, because
+    what the store has lost has no revision.
     """
     followers = state.follower_by_collection
     upstreams = followers[Collection.UPSTREAMS]
@@ -302,10 +302,10 @@
 def _knows_more(state: RoutingState, heartbeat: Heartbeat, now: float) -> bool:
     """Whether the sender has state worth fetching.
 
-    A sender that has nothing itself is not asked. Before this balancer is ready it also asks remote
-    peers, unless the store is answering. Later it asks only local peers, so that a change does not
-    cross data centres once for each host. It asks one local peer once for the entries that the peer
-    remembers and the store no longer has, because their upstreams may be alive.
+    A sender without state is not queried. Before this balancer is ready it also queries remote
+    peers, unless the store is answering. Later it queries only local peers, so that a change does
+    not cross data centres once for each host. It queries one local peer once for the entries that
+    the peer remembers and the store no longer has, because their upstreams may be alive.
     """
     if not heartbeat.text_order:
         return False
--- a/src/bronzekeel/core/routing/relays.py
+++ b/src/bronzekeel/core/routing/relays.py
@@ -17,7 +17,7 @@
 RELAYS = 2
 
 #: Interval in seconds between these heartbeats.  Together with the wait before another data centre
-#: is asked (``REMOTE_GRACE_S``) and one fetch, a third of the shortest bound on a change (3 s)
+#: is queried (``REMOTE_GRACE_S``) and one fetch, a third of the shortest bound on a change (3 s)
 #: remains.  It costs 24 datagrams of 150 bytes a second among three data centres.
 RELAY_S = 1.0
 
--- a/src/bronzekeel/entry/daemon.py
+++ b/src/bronzekeel/entry/daemon.py
@@ -320,7 +320,7 @@
     packet_format: PacketFormat,
     store_format: StoreFormat,
 ) -> None:
-    """Run one balancer with the settings read from `path` until it is asked to stop.
+    """Run one balancer with the settings read from `path` until it is requested to stop.
 
     Objects that exist after the start live as long as the process, so they are excluded from
     garbage collection.  Raises OSError if a port is taken.
--- a/tests/test_peer_exchange.py
+++ b/tests/test_peer_exchange.py
@@ -197,8 +197,8 @@
         seeds = 2 * len(fleet.running) / SEED_INTERVAL_S
         self.assertLessEqual(heartbeats_s, 6 * RELAYS * RELAYS / RELAY_S + seeds)
 
-    def test_a_watch_that_is_a_little_late_is_not_doubted(self) -> None:
-        """Guards against doubting a watch at once when a peer reports a change before it.
+    def test_a_watch_that_is_a_little_late_is_not_stalled(self) -> None:
+        """Guards against a watch that counts as stalled once a peer reports a change before it.
 
         Each change would cost two more calls for each watcher.
         """
--- a/tests/test_remote_capacity.py
+++ b/tests/test_remote_capacity.py
@@ -356,7 +356,7 @@
         self.assertFalse(state.flows.lengths.is_short(PORTAL_KEY))
 
 
-class DeparturesTest(TestCase):
+class RemoteFlowsTest(TestCase):
     """Log lines on flows that move."""
 
     def test_a_surge_logs_two_lines(self) -> None:
