--- a/src/bronzekeel/core/routing/messages.py
+++ b/src/bronzekeel/core/routing/messages.py
@@ -92,13 +92,12 @@
     their reports.  `unanswered_by_number` has the number of consecutive unanswered opening packets
     of upstreams, by their short numbers.  `evacuated` has all evacuations that it knows, so that
     they need not be requested.  `callers_by_service` has the demand of callers of overloaded
-    services and their admitted requests.  `counts` are the answers that the sender observed since its last
-    heartbeat to neighbours, None if there are none.  `others` are peers that it knows.
+    services and their admitted requests.  `counts` are the answers that the sender observed since
+    its last heartbeat to neighbours, None if there are none.  `others` are peers that it knows.
     `demand_by_service` has its callers' demand for services whose demand is controlled, or in
-    messages to other data centres that of its whole data centre; None if not known yet.
-    `hears` reports to neighbours the data centres from which it recently received heartbeats,
-    `unheard` reports to other data centres those from which its own data centre receives none any
-    more.
+    messages to other data centres that of its whole data centre; None if not known yet.  `hears`
+    reports to neighbours the data centres from which it recently received heartbeats, `unheard`
+    reports to other data centres those from which its own data centre receives none any more.
     """
 
     __slots__ = (
