--- a/src/bronzekeel/core/routing/peer_exchange.py
+++ b/src/bronzekeel/core/routing/peer_exchange.py
@@ -45,13 +45,13 @@
 #: a third of the shortest bound on a change (3 s).
 MAX_BEHIND_S = 1.0
 
-#: Seconds from a start in which the store may answer before another data centre is asked: fifty
+#: Seconds from a start in which the store may answer before another data centre is queried: fifty
 #: times the usual answer time of the users' store. Without this, each of hundreds of starting
 #: hosts fetches a view of all upstreams across data centres although the store is about to list
 #: them.
 STORE_GRACE_S = 0.2
 
-#: Seconds for which another data centre must have known more before it is asked. The local watch
+#: Seconds for which another data centre must have known more before it is queried. The local watch
 #: reports a change within 0.25 s of a remote one, even if the store is sixty times slower than its
 #: usual 4 ms; this is twice that.
 REMOTE_GRACE_S = 0.5
@@ -203,10 +203,10 @@
 def view_since(state: RoutingState, known: KnownVersions, now: float) -> View:
     """Return what this balancer knows beyond what is `known`.
 
-    Peers that have not asked yet also get what the store's listing does not contain: upstreams that
-    are no longer listed, and those whose entries became unreadable. A peer that knows only a former
-    incarnation of the store gets everything that is listed, because what the store has lost has no
-    revision.
+    Peers that have not received a view yet also get what the store's listing does not contain:
+    upstreams that are no longer listed, and those whose entries became unreadable. A
+    peer that knows only a former incarnation of the store gets everything that is listed, because
+    what the store has lost has no revision.
     """
     followers = state.follower_by_collection
     upstreams = followers[Collection.UPSTREAMS]
@@ -232,11 +232,11 @@
         seen = known.removals_revision if withheld else known.upstreams_revision
         if whole or upstream.entry.revision > seen:
             entries.append(upstream.entry)
-    # Doubted entries come last: before the valid ones they would count as newer.
+    # Unconfirmed entries come last: before the valid ones they would count as newer.
     entries.extend(
-        doubted
-        for doubted in state.directory.unconfirmed_entries
-        if doubted.revision > known.upstreams_revision
+        unconfirmed_entry
+        for unconfirmed_entry in state.directory.unconfirmed_entries
+        if unconfirmed_entry.revision > known.upstreams_revision
     )
     return entries
 
@@ -257,8 +257,9 @@
 def _apply_evacuations(state: RoutingState, heartbeat: Heartbeat, now: float) -> list[Effect]:
     """Apply the evacuations that a peer reports.
 
-    The watch of this host has to report the same soon, or it is doubted. Changes that come from
-    another data centre are announced at once, because all hosts of this data centre wait for them.
+    The watch of this host has to report the same soon, or it counts as stalled. Changes that come
+    from another data centre are announced at once, because all hosts of this data centre wait for
+    them.
     """
     known = state.evacuated.centres
     effects = apply_evacuated(state, heartbeat.evacuated, heartbeat.sender.name, now)
@@ -282,9 +283,9 @@
 def _note_changes(state: RoutingState, known: tuple[int, int], now: float) -> list[Effect]:
     """Handle what a view added to the `known` revisions of text and upstreams.
 
-    The watches of this host have to report the same soon, or they are doubted. Changes that come
-    from another data centre are announced at once, because all hosts of this data centre wait for
-    them.
+    The watches of this host have to report the same soon, or they count as stalled. Changes that
+    come from another data centre are announced at once, because all hosts of this data centre wait
+    for them.
     """
     text_order, upstreams_revision = known
     followers = state.follower_by_collection
@@ -301,10 +302,10 @@
 def _knows_more(state: RoutingState, heartbeat: Heartbeat, now: float) -> bool:
     """Whether the sender has state worth fetching.
 
-    A sender that has nothing itself is not asked. Before this balancer is ready it also asks remote
-    peers, unless the store is answering. Later it asks only local peers, so that a change does not
-    cross data centres once for each host. It asks one local peer once for the entries that the peer
-    remembers and the store no longer has, because their upstreams may be alive.
+    A sender without state is not queried. Before this balancer is ready it also queries remote
+    peers, unless the store is answering. Later it queries only local peers, so that a change does
+    not cross data centres once for each host. It queries one local peer once for the entries that
+    the peer remembers and the store no longer has, because their upstreams may be alive.
     """
     if not heartbeat.text_order:
         return False
